--- a/src/citronvalve/model/__init__.py
+++ b/src/citronvalve/model/__init__.py
@@ -1,1 +1,4 @@
-"""Records, error kinds, missing values and the clock; imports nothing."""
+"""Shared records, errors, missing values and the clock.
+
+Imports no other package of the project.
+"""
--- a/src/citronvalve/model/clock.py
+++ b/src/citronvalve/model/clock.py
@@ -1,9 +1,9 @@
-"""Time in whole milliseconds, read from one small clock type."""
+"""Time in whole milliseconds and the clock interface that reads it."""
 
 import abc
 import time
 
-#: A moment or a span, in milliseconds.
+#: A point in time or a duration, in milliseconds.
 Ms = int
 
 SECOND: Ms = 1_000
@@ -14,22 +14,23 @@
 
 
 class Clock(abc.ABC):
-    """Reads the time; everything that waits or expires is given one."""
+    """Interface of all clocks; code that waits or expires takes one."""
 
     @abc.abstractmethod
     def now(self) -> Ms:
-        """Return the monotonic time in ms; only differences mean anything."""
+        """Return the monotonic time in ms, from an arbitrary start."""
 
     @abc.abstractmethod
     def wall(self) -> Ms:
-        """Return ms since the epoch; for records and logs, never for leases.
+        """Return the ms since the epoch.
 
-        Wall clocks step and differ between VMs.
+        Use it in records and logs, never for leases: wall clocks jump and
+        differ between VMs.
         """
 
 
 class SystemClock(Clock):
-    """The clock of the machine."""
+    """Clock of the operating system."""
 
     def now(self) -> Ms:
         return time.monotonic_ns() // _NS_PER_MS
--- a/src/citronvalve/model/decisionlog.py
+++ b/src/citronvalve/model/decisionlog.py
@@ -1,27 +1,28 @@
-"""One line for each decision, bounded in volume, never blocking."""
+"""Interface of the decision log: bounded in volume, never blocking."""
 
 import abc
 from typing import Any
 
 
 class DecisionLog(abc.ABC):
-    """Takes what was decided, with the inputs that decided it."""
+    """Logs one line per decision, with the inputs it is based on."""
 
     @abc.abstractmethod
     def note(self, event: str, request: str = "", **inputs: Any) -> None:
-        """Note a decision about a request.
+        """Log a decision about a request.
 
-        Under load these are dropped before those of :meth:`change`.
+        Under load these lines are dropped before those of :meth:`change`.
 
-        :param event: what was decided, two or three words.
-        :param request: the request's id.
-        :param inputs: what decided it, with ages or versions.
+        :param event: the decision, in two or three words.
+        :param request: id of the request.
+        :param inputs: values the decision is based on, with their ages or
+            versions.
         """
 
     @abc.abstractmethod
     def change(self, event: str, **inputs: Any) -> None:
-        """Note what changes the daemon's belief, or a failure.
+        """Log a failure or a change of the daemon's state.
 
-        :param event: what changed, two or three words.
-        :param inputs: what it is based on.
+        :param event: the change, in two or three words.
+        :param inputs: values the change is based on.
         """
--- a/src/citronvalve/model/declared.py
+++ b/src/citronvalve/model/declared.py
@@ -1,4 +1,4 @@
-"""What operators declare in the table, one type a kind of row."""
+"""Records of the operators' table, one type for each kind of row."""
 
 import enum
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class ServiceState(enum.StrEnum):
-    """Whether operators want something to carry work."""
+    """Whether operators have something in service."""
 
     IN = "in"
     OUT = "out"
 
 
 class UpstreamKind(enum.StrEnum):
-    """What stands behind an upstream's address."""
+    """What kind of server listens at an upstream's address."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -23,8 +23,8 @@
 class Team(NamedTuple):
     """A team of callers; ``weight`` is its fair share under contention.
 
-    ``token_sha256`` is the hex digest of its bearer token: the table never
-    holds the token itself.
+    ``token_sha256`` is the hex digest of its bearer token; the table never
+    contains the token itself.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 
 class Model(NamedTuple):
-    """A model; ``weights`` names its object in the weight store."""
+    """A model; ``weights`` is its object's name in the weight store."""
 
     name: str
     weights: str = ""
@@ -42,7 +42,7 @@
 
 
 class Datacentre(NamedTuple):
-    """A data centre; state ``out`` takes no new work within seconds."""
+    """A data centre; with state ``out`` it gets no new work after seconds."""
 
     name: str
     region: str = "local"
@@ -51,11 +51,12 @@
 
 
 class Upstream(NamedTuple):
-    """An upstream at a fixed address; groups bring theirs by themselves.
+    """An upstream at a fixed address; upstreams of groups have no row.
 
     ``serves`` names models (kind engine) or one plain service (kind plain).
-    ``slots`` is how many requests it bears when warm and ``cold_slots``
-    right after a start; ``ramp`` is the least time between the two in ms.
+    ``slots`` is its capacity in concurrent requests when warm,
+    ``cold_slots`` right after a start; ``ramp`` is the minimum time in ms
+    from the one to the other.
     """
 
     name: str
@@ -73,11 +74,11 @@
 class Group(NamedTuple):
     """Replica groups of one model in one data centre.
 
-    Each of ``replicas`` groups takes ``size`` VMs of one fabric domain.
-    ``refuses_old_fence`` says whether its engines refuse an order with an
-    old fencing number.  ``most_closed`` bounds how many of the groups a
-    change may close at once.  ``adapter`` and ``role`` are passed on to
-    the engines as they stand.
+    Each of the ``replicas`` groups has ``size`` VMs of one fabric domain.
+    ``refuses_old_fence`` is true if its engines reject an order with an
+    old fencing token.  ``most_closed`` is the maximum number of groups that
+    a change may close at once.  ``adapter`` and ``role`` are passed to the
+    engines unchanged.
     """
 
     name: str
@@ -96,7 +97,7 @@
 
 
 class PlainService(NamedTuple):
-    """A plain service; methods not named in ``repeatable`` run once."""
+    """A plain service; methods not in ``repeatable`` run at most once."""
 
     name: str
     repeatable: tuple[str, ...] = ("GET", "HEAD")
@@ -104,7 +105,7 @@
 
 
 class Limit(NamedTuple):
-    """Requests in progress that a team may hold on a model in one place."""
+    """Maximum of a team's concurrent requests to a model in a data centre."""
 
     team: str
     model: str
@@ -113,16 +114,20 @@
 
 
 class Switches(NamedTuple):
-    """Every other switch of behaviour; one row named ``all``.
-
-    ``retry_share``: retries as a share of first tries.
-    ``hedge_share``: hedged copies as a share of first tries; 0 is off.
-    ``eject_share``: most upstreams of a model that may be ejected at once.
-    ``crashes_to_fence``: upstreams lost to one request before it is refused.
-    ``fence_for``: ms that such a request stays refused.
-    ``weight_loads``: loads from the weight store at once, per data centre.
-    ``keep_keys``: ms that the answer to a key is kept.
-    ``default_deadline``: ms for a request that states none.
+    """All other options; they are in one row named ``all``.
+
+    ``retry_share``: maximum ratio of retries to first attempts.
+    ``hedge_share``: maximum ratio of hedged copies to first attempts; 0 is
+    off.
+    ``eject_share``: maximum share of a model's upstreams that are ejected at
+    the same time.
+    ``crashes_to_fence``: number of upstreams a request may crash before it
+    is rejected.
+    ``fence_for``: ms for which such a request is rejected.
+    ``weight_loads``: maximum concurrent loads from the weight store, per
+    data centre.
+    ``keep_keys``: ms for which the answer to an idempotency key is kept.
+    ``default_deadline``: ms for a request without a deadline.
     """
 
     retry_share: float = 0.1
@@ -136,7 +141,7 @@
 
 
 class Declared(NamedTuple):
-    """The whole table at one version, checked."""
+    """The operators' table at one version, validated."""
 
     version: int
     team_by_name: dict[str, Team]
--- a/src/citronvalve/model/errors.py
+++ b/src/citronvalve/model/errors.py
@@ -1,12 +1,12 @@
-"""The error tree: each error carries where it arose, why, and the remedy."""
+"""Exception hierarchy; each error has a reason, a place and a remedy."""
 
 
 class CitronvalveError(Exception):
-    """Base of every error raised on purpose.
+    """Base class of the project's exceptions.
 
-    :param why: what is wrong, with the value seen.
+    :param reason: what is wrong, with the actual value.
     :param where: file and path, row and column, or address.
-    :param remedy: what the reader can do about it.
+    :param remedy: what the user can do about it.
     """
 
     def __init__(
@@ -24,11 +24,11 @@
 
 
 class SettingsError(CitronvalveError):
-    """The settings file can't be used."""
+    """The settings file is invalid or can't be read."""
 
 
 class TableError(CitronvalveError):
-    """A row of the operators' table is wrong."""
+    """A row of the operators' table is invalid."""
 
 
 class RequestError(CitronvalveError):
@@ -40,12 +40,12 @@
 
 
 class PeerError(CitronvalveError):
-    """A message of another daemon can't be used."""
+    """A message from another daemon is invalid."""
 
 
 class MissingValueError(CitronvalveError):
-    """A missing value was used as if it were there."""
+    """A :class:`missing.Missing` was used as a value."""
 
 
 class InvariantError(CitronvalveError):
-    """A promise of the system was about to be broken; the act is refused."""
+    """An action would violate an invariant and is not carried out."""
--- a/src/citronvalve/model/load.py
+++ b/src/citronvalve/model/load.py
@@ -1,4 +1,4 @@
-"""What an upstream reports of itself, with its age."""
+"""Load reports of upstreams."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class LoadReport(NamedTuple):
-    """One report of one upstream; it lags, and reports may disagree.
+    """One report of one upstream; it is delayed, and reports may disagree.
 
     ``start_id`` changes with each start: a new one means a cold start.
-    ``bears`` is how many requests the upstream says it can hold now.
-    ``seen_at`` is this daemon's monotonic time of the measurement in ms:
-    a receiver subtracts the age that travels with a report.
-    ``vms_missing`` names the VMs of its group that do not answer; one is
-    enough to close it.
+    ``capacity`` is how many requests the upstream says it can hold.
+    ``measured_at`` is the time of the measurement in ms by this daemon's
+    monotonic clock: a receiver subtracts the age sent with a report.
+    ``vms_missing`` names the VMs of its group that do not answer; a single
+    one closes the group.
     """
 
     upstream: str
--- a/src/citronvalve/model/manualclock.py
+++ b/src/citronvalve/model/manualclock.py
@@ -1,12 +1,12 @@
-"""A clock that moves only when told to, for tests and benchmarks."""
+"""A clock that is advanced explicitly, for tests and benchmarks."""
 
 from citronvalve.model import clock
 
 
 class ManualClock(clock.Clock):
-    """A clock set by hand.
+    """Clock that only :meth:`advance` changes.
 
-    :param start: the first reading in ms.
+    :param start: initial time in ms.
     """
 
     def __init__(self, start: clock.Ms = 0) -> None:
@@ -19,10 +19,11 @@
         return self._now
 
     def advance(self, duration: clock.Ms) -> None:
-        """Move the clock on.
+        """Advance the clock.
 
-        :param span: ms to add; negative spans raise :exc:`ValueError`.
+        :param duration: ms to add.
+        :raises ValueError: if the duration is negative.
         """
         if duration < 0:
-            raise ValueError("a monotonic clock does not go back")
+            raise ValueError("a monotonic clock can't go backwards")
         self._now += duration
--- a/src/citronvalve/model/missing.py
+++ b/src/citronvalve/model/missing.py
@@ -1,6 +1,7 @@
-"""Values that are not there, remember why, and complain when used.
+"""Objects that stand for a missing value and carry the reason.
 
 Expected failures are returned as one of these instead of being raised.
+Using one as a value raises :exc:`errors.MissingValueError`.
 """
 
 from typing import Any
@@ -10,10 +11,10 @@
 
 
 class Missing:
-    """Base of the family; false, and unusable as a value.
+    """Base class; its objects are false and can't be used as values.
 
     :param reason: why there is no value.
-    :param where: table and key, address, or name looked up.
+    :param where: table and key, address, or name that was requested.
     """
 
     __slots__ = ("reason", "where")
@@ -36,8 +37,8 @@
         )
 
     def __getattr__(self, name: str) -> NoReturn:
-        # Copying and pickling probe for special names, and must see them
-        # as absent rather than as a use of the value.
+        # Copying and pickling look up special names, which must be absent
+        # and not count as a use of the value.
         if name.startswith("__"):
             raise AttributeError(name)
         self._raise_error()
@@ -47,32 +48,32 @@
 
 
 class NotFound(Missing):
-    """Looked up, and certainly not there."""
+    """The lookup succeeded, and the requested value does not exist."""
 
     __slots__ = ()
 
 
 class Unavailable(Missing):
-    """The other side could not be asked; nothing was done there."""
+    """The request failed and certainly had no effect."""
 
     __slots__ = ()
 
 
 class AnswerLost(Missing):
-    """The other side may or may not have done what was asked."""
+    """No usable response arrived; the request may have taken effect."""
 
     __slots__ = ()
 
 
 class Stale(Missing):
-    """There is a value, but it is too old to act on."""
+    """There is a value, but it is too old to be used."""
 
     __slots__ = ()
 
 
 def is_missing(value: object) -> bool:
-    """Tell whether a value is one of this family.
+    """Return whether a value is a :class:`Missing`.
 
-    :param value: anything.
+    :param value: any object.
     """
     return isinstance(value, Missing)
--- a/src/citronvalve/model/ran.py
+++ b/src/citronvalve/model/ran.py
@@ -1,12 +1,12 @@
-"""Whether a request was run, as far as it is known for certain."""
+"""Whether a request was executed, as far as that is certain."""
 
 import enum
 
 
 class Ran(enum.StrEnum):
-    """What a refusal or an error says about the work itself."""
+    """Whether a request with a refusal or an error was executed."""
 
-    #: Provable only: never sent, or refused by the upstream before running.
+    #: Only if proven: never sent, or rejected by the upstream before running.
     NO = "no"
     YES = "yes"
     UNKNOWN = "unknown"
--- a/src/citronvalve/model/refusal.py
+++ b/src/citronvalve/model/refusal.py
@@ -1,4 +1,4 @@
-"""What a caller gets in place of an answer, with its HTTP status."""
+"""Refusals: what a caller gets instead of an answer."""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class RefusalKind(enum.StrEnum):
-    """Why a request has no answer; the name is part of the interface."""
+    """Why a request has no answer; the values are part of the interface."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too-large"
@@ -25,7 +25,7 @@
     OUTCOME_UNKNOWN = "outcome-unknown"
     UPSTREAM_FAILED = "upstream-failed"
     DEADLINE_PASSED = "deadline-passed"
-    #: Written to the log only: nobody is there to read it.
+    #: Only logged: the caller has closed the connection.
     CALLER_LEFT = "caller-left"
 
 
@@ -49,14 +49,14 @@
 }
 
 
-# The field ``ran`` hides the module of that name within the class body.
+# The field ``ran`` shadows the module of that name in the class body.
 _Ran = ran.Ran
 
 
 class Refusal(NamedTuple):
-    """A typed refusal.
+    """One refusal with its explanation.
 
-    ``retry_after`` is ms from now, or 0 when coming back will not help.
+    ``retry_after`` is ms from the response, or 0 if a retry won't help.
     """
 
     kind: RefusalKind
@@ -67,5 +67,5 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status of this kind."""
+        """Return the HTTP status for this kind."""
         return STATUS_BY_KIND[self.kind]
--- a/tests/inforce/steps/inforce_steps.py
+++ b/tests/inforce/steps/inforce_steps.py
@@ -265,4 +265,4 @@
     for name, told in _told(context).items():
         assert told["invariants"].keys() >= _PROMISES, (name, told)
         log = _fleet(context).process_by_name[name].output()
-        assert "broken:" not in log, name
+        assert "invariant violated:" not in log, name
