--- a/tests/model/missing.feature
+++ b/tests/model/missing.feature
@@ -1,11 +1,11 @@
-Feature: Values that are missing remember why
-  A caller of the platform that forgets to test for failure must see the
-  reason of the failure, not an unrelated attribute error later on.
+Feature: Missing values carry the reason of the failure
+  Code that uses the result of a failed call without a check must raise an
+  error with the reason of the failure, not an unrelated attribute error.
 
-  Scenario Outline: using a missing value tells its reason
-    Given a value missing because "the store is down" at "teams/kanta"
+  Scenario Outline: using a missing value by <use> raises its reason
+    Given a value that is missing at "teams/kanta" because "the store is down"
     When it is used by <use>
-    Then the error names "the store is down" and "teams/kanta"
+    Then the error contains "the store is down" and "teams/kanta"
 
     Examples:
       | use       |
@@ -17,5 +17,5 @@
       | length    |
 
   Scenario: a missing value is false
-    Given a value missing because "gone" at "x"
-    Then it counts as false
+    Given a value that is missing at "x" because "gone"
+    Then it is false
--- a/tests/model/steps/missing_steps.py
+++ b/tests/model/steps/missing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about missing values."""
+"""Steps for missing values."""
 
 import behave
 
@@ -15,8 +15,8 @@
 }
 
 
-@behave.given('a value missing because "{reason}" at "{where}"')
-def step_missing(context, reason, where):
+@behave.given('a value that is missing at "{where}" because "{reason}"')
+def step_missing(context, where, reason):
     context.value = missing.Unavailable(reason, where)
 
 
@@ -27,15 +27,15 @@
     except errors.MissingValueError as error:
         context.error = error
     else:
-        raise AssertionError(f"{use} did not complain")
+        raise AssertionError(f"{use} raised no error")
 
 
-@behave.then('the error names "{reason}" and "{where}"')
-def step_names(context, reason, where):
+@behave.then('the error contains "{reason}" and "{where}"')
+def step_error_contains(context, reason, where):
     assert reason in str(context.error)
     assert where in str(context.error)
 
 
-@behave.then("it counts as false")
-def step_false(context):
+@behave.then("it is false")
+def step_is_false(context):
     assert not context.value
