--- a/src/citronvalve/storage/__init__.py
+++ b/src/citronvalve/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives, as interfaces and as HTTP clients of them."""
+"""Interfaces to the platform's services and HTTP clients for them."""
--- a/src/citronvalve/storage/client.py
+++ b/src/citronvalve/storage/client.py
@@ -1,4 +1,4 @@
-"""One HTTP client of the platform, which says whether a write was sent."""
+"""HTTP client of the platform that knows whether a write had an effect."""
 
 from typing import NamedTuple
 
@@ -8,23 +8,23 @@
 from citronvalve.model import clock
 from citronvalve.model import missing
 
-#: An answer above this is refused, so that a broken platform can't fill a
-#: daemon's memory.  A whole table of 12,000 rows takes about 4 MB.
+#: Larger responses are rejected, so that a broken platform can't exhaust a
+#: daemon's memory.  A table of 12,000 rows takes about 4 MB.
 MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 
-#: Connections kept and used at once; further callers wait for one.
+#: Size of the connection pool; further callers wait for a connection.
 MAX_CONNECTIONS = 8
 
-#: A connection unused for so long may have been forgotten by something
-#: between the two ends; a write on it would be lost in silence.
+#: Longer unused connections are not used again: a device between the two
+#: ends may have dropped their state, and a write would be lost silently.
 MAX_IDLE_TIME: clock.Ms = 30_000
 
-#: Bytes taken from a connection at once.
+#: Maximum number of bytes read from a connection at once.
 _CHUNK_BYTES = 256 * 1024
 
-#: The first try of a read gets this part of the timeout, the second, on a
-#: new connection, the rest: a connection gone silent is found soon, and a
-#: store that is slow for long is still given most of the time.
+#: The first attempt of a read gets this fraction of the timeout and the
+#: second, on a new connection, the rest: a silent connection is detected
+#: soon, and a store that stays slow still gets most of the time.
 _FIRST_ATTEMPT_DIVISOR = 4
 
 _NOT_SENT_ERRORS = (
@@ -34,29 +34,30 @@
 
 
 class Response(NamedTuple):
-    """The status and the whole body of an answer."""
+    """Status and complete body of a response."""
 
     status: int
     body: bytes
 
 
 class ErrorBody(msgspec.Struct):
-    """The platform's body for a call that it did not carry out."""
+    """Body of an error response; ``done`` is false if nothing was done."""
 
     reason: str
     done: bool = True
 
 
 class PlatformClient:
-    """Keeps a pool of connections to the platform.
+    """HTTP client with a pool of connections to the platform.
 
-    The pool is dropped after a silence: an open connection can go silent
-    for good while new ones work, and a kept one would then fail each call.
+    The pool is discarded after a timeout: an open connection can stay silent
+    forever while new ones work, and would then fail each call.
 
     :param address: host:port.
-    :param timeout: ms that one call may take in all.
-    :param now: clock by which idle connections are dropped.
-    :param undone: statuses by which the platform says that it did nothing.
+    :param timeout: ms for one call, all attempts included.
+    :param time_source: clock for timeouts and idle connections.
+    :param not_executed_statuses: statuses by which the platform says that
+        a call had no effect.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self._pool = self._new_pool()
 
     def read(self, path: str) -> Response | missing.Unavailable:
-        """Ask for something; a failure leaves nothing changed.
+        """Send a GET request, and once more if the first attempt fails.
 
         :param path: path and query.
         """
@@ -95,12 +96,12 @@
     def long_poll(
         self, path: str, timeout: clock.Ms
     ) -> Response | missing.Unavailable:
-        """Ask once for something that the other side may hold back.
+        """Send a GET request that the platform may hold back.
 
-        A second try would only wait as long again.
+        It is sent only once: a second attempt would wait as long again.
 
         :param path: path and query.
-        :param timeout: ms, more than the other side may hold it back.
+        :param timeout: ms, longer than the platform may hold it back.
         """
         try:
             return self._call("GET", path, None, timeout)
@@ -113,12 +114,12 @@
     ) -> Response | missing.Unavailable | missing.AnswerLost:
         """Send a write once.
 
-        It is never sent again from here: whether that is safe is known
-        only to the caller.
+        It is never retried here, since only the caller knows whether that
+        is safe.
 
         :param method: HTTP method.
         :param path: path and query.
-        :param body: the content.
+        :param body: request body.
         """
         where = self._url(path)
         try:
@@ -138,7 +139,7 @@
 
     def _attempt_timeouts(self) -> tuple[clock.Ms, clock.Ms]:
         short = self._timeout // _FIRST_ATTEMPT_DIVISOR
-        # While the store is slow the short try would only add to its load.
+        # A short first attempt would only add to the load of a slow store.
         if self._last_read_duration > short:
             return self._timeout - short, short
         return short, self._timeout - short
@@ -167,8 +168,8 @@
     def _read_body(
         self, response: urllib3.BaseHTTPResponse, timeout: clock.Ms
     ) -> bytes:
-        # The library's timeout is that of one receive: an answer that drips
-        # would hold its caller for ever.
+        # The library's timeout applies to each receive call: a response that
+        # arrives byte by byte would block its caller indefinitely.
         deadline = self._clock.now() + timeout
         body = bytearray()
         while chunk := response.read1(_CHUNK_BYTES):
@@ -177,7 +178,9 @@
             if is_late or len(body) > MAX_RESPONSE_BYTES:
                 response.close()
                 problem = "takes too long" if is_late else "is too large"
-                raise urllib3.exceptions.ResponseError(f"the answer {problem}")
+                raise urllib3.exceptions.ResponseError(
+                    f"the response {problem}"
+                )
         return bytes(body)
 
     def _new_pool(self) -> urllib3.HTTPConnectionPool:
@@ -198,8 +201,8 @@
 def _server_failure(
     response: Response, where: str
 ) -> missing.Unavailable | missing.AnswerLost:
-    # Only the platform's own word that nothing was done counts: a balancer
-    # in between may answer 503 after the write has taken effect.
+    # Only an error body of the platform itself proves that nothing was done:
+    # a load balancer may answer 503 after the write has taken effect.
     try:
         error = msgspec.json.decode(response.body, type=ErrorBody)
     except msgspec.MsgspecError:
--- a/src/citronvalve/storage/httpobjects.py
+++ b/src/citronvalve/storage/httpobjects.py
@@ -8,9 +8,9 @@
 
 
 class HttpObjects(objectstore.ObjectStore):
-    """Whole objects by name.
+    """HTTP client of the object store.
 
-    :param platform: the client to send calls by.
+    :param platform: client that sends the requests.
     """
 
     def __init__(self, platform: client.PlatformClient) -> None:
--- a/src/citronvalve/storage/httptable.py
+++ b/src/citronvalve/storage/httptable.py
@@ -11,7 +11,7 @@
 
 
 class ConflictBody(msgspec.Struct):
-    """The body of a transaction that met a failed condition."""
+    """Response body of a transaction with a failed condition."""
 
     reason: str
     where: str
@@ -19,9 +19,9 @@
 
 
 class HttpTable(tableservice.TableService):
-    """Reads and transactions as JSON.
+    """HTTP client of the table service; bodies are JSON.
 
-    :param platform: the client to send them by.
+    :param platform: client that sends the requests.
     """
 
     def __init__(self, platform: client.PlatformClient) -> None:
@@ -56,7 +56,7 @@
                 conflict.reason, conflict.where, conflict.present
             )
         if response.status != 200:
-            # Refused as malformed or too large, before it had any effect.
+            # The transaction is malformed or too large and had no effect.
             return missing.Unavailable(
                 _describe(response), transaction.attempt
             )
@@ -80,4 +80,4 @@
     try:
         return msgspec.json.decode(response.body, type=type_)
     except msgspec.MsgspecError as error:
-        return missing.Unavailable(f"the answer can't be read: {error}")
+        return missing.Unavailable(f"the response can't be decoded: {error}")
--- a/src/citronvalve/storage/httpvms.py
+++ b/src/citronvalve/storage/httpvms.py
@@ -1,4 +1,4 @@
-"""The list of VMs over HTTP."""
+"""The platform's list of VMs over HTTP."""
 
 import urllib.parse
 
@@ -10,9 +10,9 @@
 
 
 class HttpVms(vmlist.VmList):
-    """The platform's lagging list.
+    """HTTP client of the list of VMs.
 
-    :param platform: the client to send calls by.
+    :param platform: client that sends the requests.
     """
 
     def __init__(self, platform: client.PlatformClient) -> None:
--- a/src/citronvalve/storage/objectstore.py
+++ b/src/citronvalve/storage/objectstore.py
@@ -1,4 +1,4 @@
-"""The platform's object store, as the system sees it."""
+"""Interface to the platform's object store."""
 
 import abc
 
@@ -6,13 +6,13 @@
 
 
 class ObjectStore(abc.ABC):
-    """Whole objects by name; the last write wins."""
+    """Named objects, read and written as a whole; the last write wins."""
 
     @abc.abstractmethod
     def get(self, name: str) -> bytes | missing.NotFound | missing.Unavailable:
         """Read an object.
 
-        :param name: its name.
+        :param name: name of the object.
         """
 
     @abc.abstractmethod
@@ -21,6 +21,6 @@
     ) -> missing.Unavailable | missing.AnswerLost | None:
         """Write an object.
 
-        :param name: its name.
-        :param body: its whole content.
+        :param name: name of the object.
+        :param body: complete content.
         """
--- a/src/citronvalve/storage/outage.py
+++ b/src/citronvalve/storage/outage.py
@@ -1,18 +1,18 @@
-"""Notes when a table can't be read, and when it can again."""
+"""Outages of the store, as seen by the reads of one table."""
 
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
 from citronvalve.model import missing
 
-#: Pauses after a failure, the last one repeated; spread by chance.
+#: Delays after consecutive failures; the last one repeats.
 _RETRY_DELAYS: tuple[clock.Ms, ...] = (50, 100, 200, 400)
 
 
 class Outage:
-    """Counts the calls for a table that fail one after the other.
+    """Counts consecutive failed calls and logs when an outage begins or ends.
 
-    :param table: its name, for the log.
-    :param log: told of a lost and regained service.
+    :param table: name of the table, for the log.
+    :param log: gets the begin and end of outages.
     :ivar failed_at: monotonic ms of the last failed call, or None.
     """
 
@@ -26,9 +26,9 @@
     def record_failure(
         self, failure: missing.Missing, now: clock.Ms
     ) -> clock.Ms:
-        """Take in that a call failed; return the ms until the next.
+        """Record a failed call and return the delay in ms before the next.
 
-        :param why: what came of it.
+        :param failure: result of the call.
         :param now: monotonic ms.
         """
         self.failed_at = now
@@ -42,7 +42,7 @@
         return delay
 
     def record_success(self, now: clock.Ms) -> None:
-        """Take in that a call had an answer.
+        """Record a successful call.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/storage/resync.py
+++ b/src/citronvalve/storage/resync.py
@@ -1,26 +1,27 @@
-"""Decides when what is held of a table is compared with the whole of it."""
+"""Schedule of the full reads that correct wrong rows of a followed table."""
 
 from citronvalve.model import clock
 from citronvalve.storage import rowversions
 
-#: A wrong belief ends within this time, whatever its origin.  A daemon that
-#: others go by reads the whole table; one that goes by their statements
-#: compares digests, and reads it when they differ or none came for so long.
+#: Wrong rows are corrected within this time, whatever their cause.  A daemon
+#: that reads for others reads all rows this often; the others compare digests
+#: and read all rows if digests differ or none has matched for this long.
 _FULL_READ_INTERVAL: clock.Ms = 1_600
 
-#: For each row: a reader reads 200 rows a second for it at most.
+#: Minimum interval per row, so that full reads cost a reader at most 200 rows
+#: a second.
 _INTERVAL_PER_ROW: clock.Ms = 5
 
-#: The least between two whole readings that other daemons request.
+#: Minimum time between two full reads that other daemons request.
 _MIN_REQUEST_INTERVAL: clock.Ms = 500
 
 
 class ResyncSchedule:
-    """Remembers when the table held was last known to be the store's.
+    """Decides when a full read of a table is due.
 
-    :ivar mirror: the keys and versions that are held.
-    :ivar is_doubted: whether the whole table is to be read next.
-    :ivar is_requested: whether another daemon needs the whole table told.
+    :ivar row_versions: keys and versions of the current rows.
+    :ivar is_full_read_needed: whether the next read must be a full one.
+    :ivar is_full_update_requested: whether another daemon needs all rows.
     """
 
     def __init__(self) -> None:
@@ -31,10 +32,10 @@
         self._matched_at: clock.Ms = 0
 
     def full_read_due_at(self, is_reader: bool) -> clock.Ms:
-        """Return the ms at which the table is to be read whole.
+        """Return the monotonic ms at which the next full read is due.
 
-        :param reads: whether others go by what this daemon reads; a
-            statement of another one then proves nothing.
+        :param is_reader: whether others rely on this daemon's reads; a
+            matching digest of another daemon then proves nothing.
         """
         last_proof_at = self._full_read_at if is_reader else self._matched_at
         return last_proof_at + (
@@ -44,26 +45,26 @@
         )
 
     def record_full_read(self, started_at: clock.Ms) -> None:
-        """Take in that the table was read whole.
+        """Record a full read.
 
-        :param asked: monotonic ms before the reading.
+        :param started_at: monotonic ms before the read.
         """
         self.is_full_read_needed = self.is_full_update_requested = False
         self._full_read_at = self._matched_at = started_at
 
     def record_match(self, at: clock.Ms) -> None:
-        """Take in that another daemon held the same rows.
+        """Record that another daemon has the same rows.
 
-        :param at: monotonic ms at which these were the newest.
+        :param at: monotonic ms at which they were current.
         """
         self.is_full_read_needed = False
         self._matched_at = max(self._matched_at, at)
 
     def record_mismatch(self, now: clock.Ms) -> None:
-        """Take in that another daemon states other rows.
+        """Record that another daemon has different rows.
 
-        One that has just read the whole table is not the one to doubt; the
-        other finds out at its next whole reading.
+        After a recent full read this daemon's rows are trusted; the other
+        daemon corrects its own at its next full read.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/storage/rows.py
+++ b/src/citronvalve/storage/rows.py
@@ -19,7 +19,7 @@
 
 
 class Condition(NamedTuple):
-    """The row must have this very version; :data:`NO_ROW` means absent."""
+    """The row must have exactly this version; :data:`NO_ROW` means absent."""
 
     table: str
     key: str
@@ -35,10 +35,11 @@
 
 
 class Transaction(NamedTuple):
-    """All writes happen if all conditions hold, else none does.
+    """Writes that take effect together if all conditions hold.
 
-    ``attempt`` names this try in logs.  The service does not deduplicate;
-    callers that must settle a lost answer put it into a row and read back.
+    ``attempt`` identifies this attempt in logs.  The service does not
+    deduplicate: to learn the outcome after a lost response, a caller writes
+    ``attempt`` into a row and reads it back.
     """
 
     attempt: str
@@ -53,7 +54,10 @@
 
 
 class Scan(NamedTuple):
-    """Rows of a table at one revision; ``deleted`` holds keys gone since."""
+    """Rows of a table at one revision, and keys deleted up to it.
+
+    ``deleted`` is relative to the revision that was requested.
+    """
 
     revision: int
     rows: tuple[Row, ...]
@@ -64,8 +68,8 @@
     """A condition did not hold; nothing was written.
 
     :param reason: which condition failed.
-    :param where: table and key of the first that failed.
-    :param rows: the rows that the conditions named, as they are now.
+    :param where: table and key of the first condition that failed.
+    :param rows: current rows of the conditions.
     """
 
     __slots__ = ("rows",)
@@ -77,5 +81,5 @@
         self.rows = rows
 
 
-#: What a commit comes to: done, refused, not done, or not known.
+#: Result of a commit: done, condition failed, not done, or unknown.
 CommitResult = Committed | Conflict | missing.Unavailable | missing.AnswerLost
--- a/src/citronvalve/storage/rowversions.py
+++ b/src/citronvalve/storage/rowversions.py
@@ -1,4 +1,4 @@
-"""The keys and versions of a table's rows, as one daemon holds them."""
+"""Keys and versions of a table's rows, and their digest."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,17 +9,17 @@
 
 
 class Difference(NamedTuple):
-    """Rows that are new or have another version, and keys that are gone."""
+    """Rows that are new or have another version, and keys of deleted rows."""
 
     rows: tuple[rows.Row, ...]
     deleted: tuple[str, ...]
 
 
 class RowVersions:
-    """Tells cheaply whether two daemons hold the same rows.
+    """Versions by key, with a digest to compare the rows of two daemons.
 
-    :ivar digest: the same for two mirrors with the same rows at the same
-        versions; an update costs only the rows that it names.
+    :ivar digest: equal for equal keys and versions; the cost of an update
+        depends only on the number of its rows.
     """
 
     def __init__(self) -> None:
@@ -30,9 +30,9 @@
         return len(self._version_by_key)
 
     def difference(self, all_rows: tuple[rows.Row, ...]) -> Difference:
-        """Return what leads from these rows to those of a whole reading.
+        """Return the changes from the current rows to those of a full read.
 
-        :param found: all rows of the table.
+        :param all_rows: all rows of the table.
         """
         held = self._version_by_key
         changed = tuple(r for r in all_rows if held.get(r.key) != r.version)
@@ -42,10 +42,10 @@
     def update(
         self, changed: Iterable[rows.Row], deleted: Iterable[str] = ()
     ) -> None:
-        """Take changes.
+        """Apply changes.
 
-        :param found: rows that are new or differ.
-        :param gone: keys of rows that are no more.
+        :param changed: new and changed rows.
+        :param deleted: keys of deleted rows.
         """
         for key in deleted:
             self._remove(key)
--- a/src/citronvalve/storage/tablelistener.py
+++ b/src/citronvalve/storage/tablelistener.py
@@ -1,4 +1,4 @@
-"""Takes what a daemon reads of a table, or is told of it."""
+"""Interface for receivers of a table's rows."""
 
 import abc
 
@@ -7,27 +7,27 @@
 
 
 class TableListener(abc.ABC):
-    """Takes what is read of a table."""
+    """Receives the rows of a table, from the store or other daemons."""
 
     @abc.abstractmethod
     def replace_all(self, found: tuple[rows.Row, ...]) -> None:
-        """Take all rows; whatever is not among them is gone.
+        """Replace all rows.
 
-        :param found: the rows.
+        :param found: all rows of the table.
         """
 
     @abc.abstractmethod
     def apply_changes(
         self, found: tuple[rows.Row, ...], gone: tuple[str, ...]
     ) -> None:
-        """Take changes.
+        """Apply changes.
 
-        :param found: rows that are new or differ.
-        :param gone: keys of rows that are no more.
+        :param found: new and changed rows.
+        :param gone: keys of deleted rows.
         """
 
     def confirm(self, at: clock.Ms) -> None:
-        """Take that nothing newer was there at a moment.
+        """Record that the rows were current at a time.
 
         :param at: monotonic ms.
         """
--- a/src/citronvalve/storage/tableservice.py
+++ b/src/citronvalve/storage/tableservice.py
@@ -1,4 +1,4 @@
-"""The platform's transactional table service, as the system sees it."""
+"""Interface to the platform's transactional table service."""
 
 import abc
 
@@ -8,11 +8,11 @@
 
 
 class TableService(abc.ABC):
-    """Several hundred writes and about 2,000 reads a second, with outages.
+    """Table service for several hundred writes and 2,000 reads a second.
 
-    Expected failures come back as values: :class:`missing.Unavailable`
-    when nothing was done, :class:`missing.AnswerLost` when a write may have
-    taken effect.
+    It has outages.  Expected failures are returned:
+    :class:`missing.Unavailable` if nothing was done,
+    :class:`missing.AnswerLost` if a write may have taken effect.
     """
 
     @abc.abstractmethod
@@ -22,7 +22,7 @@
         """Read one row.
 
         :param table: name of the table.
-        :param key: the row's key.
+        :param key: key of the row.
         """
 
     @abc.abstractmethod
@@ -32,27 +32,27 @@
         """Read the rows of a table that changed after a revision.
 
         :param table: name of the table.
-        :param after: a revision already seen; 0 reads the whole table.
+        :param after: last known revision; 0 reads all rows.
         """
 
     def follow(
         self, table: str, after: int, wait: clock.Ms
     ) -> rows.Scan | missing.NotFound | missing.Unavailable:
-        """Return what changed after a revision, as soon as something has.
+        """Wait for changes after a revision and return them.
 
-        :class:`missing.NotFound` means that the service no longer holds the
-        changes since that revision; the table is then to be read whole.
-        A service that can't wait answers at once.
+        :class:`missing.NotFound` means that the service no longer has the
+        changes since that revision, and the caller must read all rows.
+        A service that can't wait returns at once.
 
         :param table: name of the table.
-        :param after: a revision already seen.
-        :param wait: longest time in ms to wait for a change.
+        :param after: last known revision.
+        :param wait: maximum time in ms to wait for a change.
         """
         return self.scan(table, after)
 
     @abc.abstractmethod
     def commit(self, transaction: rows.Transaction) -> rows.CommitResult:
-        """Carry out a transaction.
+        """Commit a transaction.
 
         :param transaction: conditions and writes.
         """
--- a/src/citronvalve/storage/tablestate.py
+++ b/src/citronvalve/storage/tablestate.py
@@ -1,4 +1,4 @@
-"""How far a daemon has read a table."""
+"""The state of a table as one daemon knows it."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,12 @@
 
 
 class TableState(NamedTuple):
-    """What a reader states of a table, so that others can compare theirs.
+    """State that a reader sends to other daemons for comparison.
 
-    The last change came with ``changed``, and there was none after it up to
-    ``revision``, which was the newest ``age`` ms ago.  ``digest`` is that of
-    all rows then (:class:`mirror.Mirror`), None from an older release.
+    The last change has revision ``changed_revision``, and there is none
+    after it up to ``revision``, which was the newest ``age`` ms ago.
+    ``digest`` is that of all rows (:class:`rowversions.RowVersions`), None
+    from an older release.
     """
 
     table: str
--- a/src/citronvalve/storage/tail.py
+++ b/src/citronvalve/storage/tail.py
@@ -1,4 +1,4 @@
-"""Follows one table of the platform for as long as the daemon runs."""
+"""Follows a table of the platform and keeps a listener up to date."""
 
 from collections.abc import Callable
 
@@ -13,60 +13,67 @@
 from citronvalve.storage import tableservice
 from citronvalve.storage import tablestate
 
-#: Longest time one call waits for a change.  A service that went silent is
-#: noticed soon after it, so that "the newest" is not said of an older view.
+#: Maximum time that a call waits for a change.  It also bounds how long rows
+#: are reported as current while the service is silent.
 _MAX_WAIT: clock.Ms = 800
 
-#: What another daemon has read counts for so long since it read it, however
-#: often it says so: its own call may hang, and a runner that leaves must be
-#: known two seconds after the store has it.  A reader confirms every 0.9 s
-#: and says so every 0.3 s, so in calm this never expires.
+#: A confirmation is valid for this long after the read it is based on,
+#: however often it is repeated: the reader's own call may hang, and a
+#: runner's departure must be known 2 s after the store has it.  A reader
+#: confirms every 0.9 s and sends its state every 0.3 s, so that confirmations
+#: don't expire without a fault.
 _CONFIRMATION_LIFETIME: clock.Ms = 1_500
 
-#: A daemon that goes by a reader waits so much longer for its statement
-#: before it calls the store: statements expire for all daemons at once, and
-#: they would all call.  A reading is then 1.7 s old at most.
+#: After a confirmation expires, a daemon waits this long for the next one
+#: before it calls the store: confirmations expire for all daemons at once,
+#: and all would call.  Rows in use are then confirmed at most 1.7 s ago.
 _CONFIRMATION_GRACE: clock.Ms = 150
 
-#: A call after this time without a reading does not wait for changes, since
-#: what is needed first is to know whether there were any.
+#: If the last confirmation is older than this, a call does not wait for
+#: changes: whether there are any must be known first.
 _MAX_WAIT_STALENESS: clock.Ms = 1_200
 
-#: Pause between two looks whether another daemon still vouches.
+#: Interval between two checks whether a call is due.
 _POLL_INTERVAL: clock.Ms = 50
 
-#: Changes within this time come in one answer: at the start each runner
-#: changes several times a second, and each call is paid for.
+#: Minimum time between two calls, so that one response has several changes:
+#: at startup each runner changes several times a second, and each call is
+#: paid for.
 _MIN_CALL_INTERVAL: clock.Ms = 70
 
-#: Source of an update that this daemon read itself, in the log.
+#: Source of this daemon's own reads in the log.
 _STORE_SOURCE = "store"
 
-#: Removed rows that one line of the log names.
+#: Maximum number of deleted keys in a log line.
 _MAX_LOGGED_KEYS = 10
 
 
 class Tail:
-    """Reads a table whole, then its changes, and again whole after a gap.
+    """Reads all rows of a table, then its changes.
+
+    All rows are read again when changes are lost and at the intervals of
+    :class:`resync.ResyncSchedule`.  Rows come from the store or from another
+    daemon that reads it.
 
     :param service: the table service.
     :param table: name of the table.
-    :param reader: takes what is read.
-    :param log: told of a lost and regained service.
-    :param now: the clock.
+    :param listener: gets the rows.
+    :param log: gets updates, mismatches and outages.
+    :param time_source: the clock.
     :param sleep: waits for seconds; other tasks run meanwhile.
-    :ivar on_read: told the revision asked after and what was read; returns
-        the ms in which further changes are better gathered.
-    :ivar on_call: told of each call whether it had an answer.
-    :ivar on_unreadable: called when updates are missing here and the service
-        does not answer; another daemon may tell the whole table.
-    :ivar is_reader: tells whether others go by what this daemon reads; one
-        that is none asks only when no statement of another has come.
-    :ivar revision: how far the table is known, 0 before the first reading.
-    :ivar changed: revision up to which the last change came; the platform's
-        counter goes on with the changes of other tables.
-    :ivar confirmed_at: monotonic ms at which that was the newest, or 0.
-    :ivar outage: knows when calls failed.
+    :ivar on_read: called with the base revision and the changes of a read;
+        returns the minimum ms until the next call.
+    :ivar on_call: called after each call with whether there was a response.
+    :ivar on_unreadable: called when a call fails and no confirmation is
+        valid; another daemon may then send all rows.
+    :ivar is_reader: returns whether others rely on this daemon's reads; if
+        not, it calls the store only without a valid confirmation.
+    :ivar revision: last known revision, 0 before the first read.
+    :ivar changed_revision: revision of the last change; the platform's
+        counter also rises with changes of other tables.
+    :ivar confirmed_at: monotonic ms at which ``revision`` was the newest, or
+        0.
+    :ivar outage: failed calls.
     """
 
     def __init__(
@@ -96,12 +103,12 @@
         self.outage = outage.Outage(table, log)
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow the table; never returns."""
         while True:
             self._sleep(self.step() / clock.SECOND)
 
     def step(self) -> clock.Ms:
-        """Make one call, or none; return the ms until the next."""
+        """Make at most one call and return the ms until the next step."""
         started_at = self._clock.now()
         is_reader = self.is_reader()
         is_full_read_needed = self._resync.is_full_read_needed
@@ -122,7 +129,7 @@
             return self._handle_failure(scan)
         self.outage.record_success(self._clock.now())
         if scan.revision < self.revision:
-            # It was made before an update that came meanwhile.
+            # The response is older than an update that arrived meanwhile.
             return _MIN_CALL_INTERVAL
         update = self._update_from(scan)
         self._apply_all(_STORE_SOURCE, scan)
@@ -154,13 +161,13 @@
         if isinstance(scan, missing.Missing):
             return self._handle_failure(scan)
         self.outage.record_success(self._clock.now())
-        # Others that have the last change lack none up to ``base``, whether
-        # or not they have heard how far the counter has gone on.
+        # Daemons that have the last change lack none up to ``base``, even if
+        # they don't know that revision yet.
         update_base = self.changed_revision
         if scan.revision >= self.revision:
             self._apply_changes(_STORE_SOURCE, base, scan)
-        # An answer without changes was held back to the end of the wait, so
-        # there was none until then; one with changes was just made.
+        # A response without changes was held back to the end of the wait, so
+        # there was none until then; one with changes was sent at once.
         has_changes = scan.rows or scan.deleted
         newest_at = self._clock.now() if has_changes else started_at + wait
         self._record_read(started_at, newest_at, is_reader)
@@ -176,10 +183,9 @@
     def apply_update(
         self, base: int, scan: rows.Scan, source: str = ""
     ) -> None:
-        """Take what another daemon has read.
+        """Apply an update that another daemon has read.
 
-        :param base: revision after which the rows changed, 0 for the whole
-            table.
+        :param base: revision after which the rows changed, 0 for all rows.
         :param scan: the changes.
         :param source: name of that daemon, for the log.
         """
@@ -189,8 +195,8 @@
             self._apply_all(source, scan)
             return
         if base > self.revision:
-            # Something in between did not arrive; it is read from the
-            # platform itself.
+            # An earlier update was lost; the changes are read from the
+            # platform.
             self._confirmed_until = 0
             self._log.change(
                 "table update missed",
@@ -203,13 +209,13 @@
         self._apply_changes(source, base, scan)
 
     def confirm(self, state: tablestate.TableState, source: str = "") -> None:
-        """Take another daemon's word on what the newest revision is.
+        """Compare with another daemon's state, which may confirm the rows.
 
-        :param told: what it states.
+        :param state: state of the table at that daemon.
         :param source: name of that daemon, for the log.
         """
         if state.changed_revision > self.revision:
-            # That change did not arrive; it is read from the platform itself.
+            # An update was lost; the changes are read from the platform.
             self._confirmed_until = 0
             return
         read_at = self._clock.now() - state.age
@@ -224,11 +230,11 @@
         self._record_confirmation(read_at)
 
     def request_full_update(self) -> None:
-        """Take that another daemon needs the whole table told."""
+        """Request an early full read and an update with all of its rows."""
         self._resync.is_full_update_requested = True
 
     def state(self) -> tablestate.TableState | None:
-        """Return what others may go by, None before the first reading."""
+        """Return the state for other daemons, None before the first read."""
         if not self.revision or not self.confirmed_at:
             return None
         age = self._clock.now() - self.confirmed_at
@@ -286,7 +292,7 @@
             self._resync.row_versions.update(*difference)
             self.changed_revision = scan.revision
         self.revision = scan.revision
-        # Rows that went before it are named nowhere.
+        # A full read does not name the rows that were deleted before it.
         self._listener.replace_all(scan.rows)
 
     def _apply_changes(self, source: str, base: int, scan: rows.Scan) -> None:
--- a/src/citronvalve/storage/vmlist.py
+++ b/src/citronvalve/storage/vmlist.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs, as the system sees it."""
+"""Interface to the platform's list of VMs, which is delayed."""
 
 import abc
 import enum
@@ -8,14 +8,14 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform believes of a VM, some time ago."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class VmRecord(NamedTuple):
-    """One VM; ``address`` is host:port of its engine's order interface."""
+    """One VM; ``address`` is host:port of its engine's order API."""
 
     vm: str
     datacentre: str
@@ -26,13 +26,13 @@
 
 
 class VmList(abc.ABC):
-    """The list lags: it is a hint of what to look at, never a proof."""
+    """List of VMs; it is delayed and proves nothing about a VM's state."""
 
     @abc.abstractmethod
     def vms(
         self, datacentre: str
     ) -> tuple[VmRecord, ...] | missing.Unavailable:
-        """List the VMs of a data centre.
+        """Return the VMs of a data centre.
 
-        :param datacentre: its name.
+        :param datacentre: name of the data centre.
         """
