--- a/src/citronvalve/routes/__init__.py
+++ b/src/citronvalve/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Declared routes: which request goes to which service, and for whom."""
+"""The declared configuration: routes, services, engines and API keys."""
--- a/src/citronvalve/routes/callerlimits.py
+++ b/src/citronvalve/routes/callerlimits.py
@@ -1,4 +1,4 @@
-"""What one caller's connection may send, and how long it may take."""
+"""Limits on the size and duration of a caller's requests."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,10 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bytes of a header and a body; ms for a header and between requests.
+    """Limits for one connection; the defaults apply without a configuration.
 
-    The defaults hold until a configuration says otherwise.
+    ``header_timeout`` is the maximum ms until a header is complete,
+    ``idle_timeout`` between two requests.
     """
 
     max_header_bytes: int = 16_384
--- a/src/citronvalve/routes/catalogue.py
+++ b/src/citronvalve/routes/catalogue.py
@@ -1,4 +1,4 @@
-"""Everything that one version of the configuration declares."""
+"""The contents of one version of the declared configuration."""
 
 from typing import NamedTuple
 
@@ -10,9 +10,10 @@
 
 
 class Catalogue(NamedTuple):
-    """Routes, services and keys of one version; versions only rise.
+    """Routes, services and API keys of one version; versions only rise.
 
-    ``needs_key`` tells whether the configuration knows teams at all.
+    ``route_by_prefix`` has host and path prefix as its key.  ``needs_key``
+    is true if the configuration has teams.
     """
 
     version: int
@@ -25,13 +26,13 @@
     def find_route(
         self, host: str, path: str
     ) -> routes_.Route | missing.NotFound:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest matching path prefix.
 
-        Prefixes end with a slash, so only as many look-ups are made as the
-        path has slashes, whatever the number of routes.
+        Prefixes end with a slash, so there is one lookup per slash of the
+        path, whatever the number of routes.
 
-        :param host: as the caller wrote it, without a port.
-        :param path: without its query.
+        :param host: host of the request, without a port.
+        :param path: path of the request, without a query.
         """
         end = path.rfind("/")
         while end >= 0:
@@ -39,4 +40,4 @@
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
-        return missing.NotFound("no route begins this path", f"{host}{path}")
+        return missing.NotFound("no route matches", f"{host}{path}")
--- a/src/citronvalve/routes/enginespec.py
+++ b/src/citronvalve/routes/enginespec.py
@@ -1,4 +1,4 @@
-"""How a service's engines work, as declared."""
+"""Declared performance figures of a service's engines."""
 
 from typing import NamedTuple
 
@@ -7,16 +7,17 @@
 
 
 class EngineSpec(NamedTuple):
-    """Figures of one replica at pace 1; times are ms, also in fractions.
+    """Figures of one replica at time factor 1; times are ms or fractions.
 
-    A pass with writers executes ``stride`` steps; a step takes ``step``
-    and, for each request that is writing, ``step_per_writer`` and
-    ``step_per_1k_context`` for each 1,000 tokens of its context.  Prompts
-    are read at ``read_per_ms`` tokens and ``pairs_per_million`` ms for a
-    million pairs of tokens, at most ``chunk`` tokens a step.  ``report_lag``
-    is the age of what an engine reports.  ``staged_kept`` models stay
-    staged on a host.  A group over several domains is ``far_factor`` times
-    slower.  Opening a group takes ``form``.
+    A pass with requests in decode executes ``steps_per_pass`` steps.  A step
+    takes ``step_time`` and, for each of these requests,
+    ``step_time_per_request`` and ``step_time_per_1k_context`` for each
+    1,000 tokens of its context.  Prefill processes ``prefill_tokens_per_ms``
+    and takes another ``prefill_time_per_million_pairs`` for a million pairs
+    of tokens, at most ``max_prefill_tokens`` a step.  ``report_lag`` is the
+    age of an engine's reports.  ``max_staged_models`` stay staged on a host.
+    A group over several domains is slower by ``cross_domain_factor``.
+    Opening a group takes ``group_open_time``.
     """
 
     slots: int
--- a/src/citronvalve/routes/keyholder.py
+++ b/src/citronvalve/routes/keyholder.py
@@ -1,10 +1,10 @@
-"""A team as the declared keys know it."""
+"""The team that an API key belongs to."""
 
 from typing import NamedTuple
 
 
 class KeyHolder(NamedTuple):
-    """A team and its rank; ``priority`` is None where none is declared."""
+    """Name and priority of a team; None if no priority is declared."""
 
     name: str
     priority: int | None = None
--- a/src/citronvalve/routes/kind.py
+++ b/src/citronvalve/routes/kind.py
@@ -1,14 +1,14 @@
-"""What may be repeated of a route's requests."""
+"""Kinds of requests by whether they may be repeated."""
 
 import enum
 
 
 class RequestKind(enum.StrEnum):
-    """How often one request of a route may run."""
+    """How often a request of a route may be executed."""
 
-    #: May run any number of times.
+    #: Any number of times.
     IDEMPOTENT = "idempotent"
-    #: May run once; an outcome that is not known stays so.
+    #: Once; it is not retried, even if its outcome is unknown.
     AT_MOST_ONCE = "at-most-once"
-    #: A series of events with rising ids.
+    #: Sends events with rising ids; repeatable if the route is resumable.
     STREAM = "stream"
--- a/src/citronvalve/routes/modelspec.py
+++ b/src/citronvalve/routes/modelspec.py
@@ -1,4 +1,4 @@
-"""A model as a service's engines run it."""
+"""Declared performance figures of a model."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,12 @@
 
 
 class ModelSpec(NamedTuple):
-    """One replica takes ``size`` runners of one fabric domain.
+    """A model; each replica has ``size`` runners of one fabric domain.
 
-    ``share`` is the model's part of the work at the start, ``pace`` a
-    factor on all of a replica's times.  ``load`` ms bring the weights from
-    the weight store, ``warm`` ms those that are staged on the host.
+    ``initial_share`` is the model's assumed share of the work until demand
+    is known, ``time_factor`` a factor on all of a replica's times.
+    Loading the weights takes ``load_time`` from the weight store and
+    ``staged_load_time`` if they are staged on the host.
     """
 
     name: str
--- a/src/citronvalve/routes/route.py
+++ b/src/citronvalve/routes/route.py
@@ -1,4 +1,4 @@
-"""One declared route."""
+"""Declared routes."""
 
 import random
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 
 class Route(NamedTuple):
-    """Requests of a host below a path, and what may be done with them.
+    """How requests for a host and path prefix are handled.
 
-    ``timeout`` is the longest time in ms that a caller is kept waiting,
-    ``latency_objective`` the ms within which an answer is of full use,
-    ``gap_objective`` the same for the pause between two events of a stream.
-    ``priority`` is 0 for the most urgent.  ``attempts`` bounds the upstreams
-    that one request is sent to.  ``public`` routes need no key.
+    ``timeout`` is the maximum ms that a caller waits, ``latency_objective``
+    the target ms for an answer and ``gap_objective`` that for the time
+    between two events of a stream.  ``priority`` is 0 for the most urgent.
+    ``max_attempts`` limits the attempts that may execute one request.
+    ``public`` routes need no API key.
     """
 
     name: str
@@ -33,15 +33,15 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is kinds.RequestKind.STREAM:
             return self.resumable
         return self.kind is kinds.RequestKind.IDEMPOTENT
 
     def pick_service(self, rng: random.Random) -> str:
-        """Return the service that takes a request.
+        """Return the name of the service for a request.
 
-        :param chance: source of chance for a split.
+        :param rng: random number generator for the split between services.
         """
         if len(self.shares) == 1:
             return self.shares[0].service
--- a/src/citronvalve/routes/service.py
+++ b/src/citronvalve/routes/service.py
@@ -1,4 +1,4 @@
-"""A declared service: upstreams that do the same work."""
+"""Declared services."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,12 @@
 
 
 class Service(NamedTuple):
-    """``connections`` is the most that one upstream takes from all callers.
+    """A service: upstreams that handle the same requests.
 
-    An upstream that has just started is cold for ``cold_time`` and then
-    bears ``cold_rate`` requests a second; 0 means no bound.  ``engine`` is
-    None for a plain service.
+    ``max_connections`` is the limit of one upstream for all callers
+    together.  An upstream is cold for ``cold_time`` ms after its start and
+    accepts ``cold_rate`` requests a second meanwhile; 0 means no limit.
+    ``engine`` is None for a plain service.
     """
 
     name: str
--- a/src/citronvalve/routes/share.py
+++ b/src/citronvalve/routes/share.py
@@ -1,10 +1,10 @@
-"""One part of a split between services."""
+"""Shares of a route that is split between services."""
 
 from typing import NamedTuple
 
 
 class Share(NamedTuple):
-    """A service and its weight against the other shares of the route."""
+    """A service and its weight relative to the route's other shares."""
 
     service: str
     weight: float
