--- a/tests/routes/catalogue.feature
+++ b/tests/routes/catalogue.feature
@@ -1,10 +1,10 @@
-Feature: Which request goes where, and for whom
-  Routes overlap, are split and change; a request that is taken to the wrong
-  one runs where no operator ever sent it.
+Feature: Requests are matched to the declared routes
+  Routes overlap, are split between services and change. A request that is
+  matched to the wrong route is sent to a service that no operator chose.
 
   Scenario Outline: <path> of <host>
     Given routes for /a/, /a/b/ and /c/ of h.example and /a/ of g.example
-    When a request for <path> of <host> comes
+    When a request for <path> of <host> arrives
     Then its route is <route>
 
     Examples:
@@ -21,21 +21,22 @@
       | g.example | /a/b/x     | g-a    |
       | k.example | /a/x       | none   |
 
-  Scenario: a version that came late does not undo a newer one
-    Given a directory that holds version 7 with a key
+  Scenario: a late version does not replace a newer one
+    Given a directory with version 7 that has a key
     When version 5 without the key arrives
     Then version 7 is in force, with the key
 
-  Scenario: a split sends by weight, and nothing to a weight of none
+  Scenario: a split follows the weights, and weight 0 gets no request
     Given a route split 90 to 10 to 0
     When 2000 requests are sent
     Then the shares are within 3 in 100 of 90, 10 and 0
 
-  Scenario: a daemon that could not read for long does not say "there is none"
-    A route or key that was added meanwhile would be refused for good.
+  Scenario: an unknown path is not final while the catalogue is outdated
+    The daemon has not read the configuration for long. A 404 would be wrong
+    for a route or key that was added meanwhile.
 
     Given an intake whose catalogue was confirmed 10 s ago
-    When a request for an unknown path comes
-    Then it is refused with 503 and told when to come back
-    When its catalogue is confirmed and the request comes again
+    When a request for an unknown path arrives
+    Then it is refused with 503 and a time to retry after
+    When its catalogue is confirmed and the request arrives again
     Then it is refused with 404
--- a/tests/routes/steps/catalogue_steps.py
+++ b/tests/routes/steps/catalogue_steps.py
@@ -1,4 +1,4 @@
-"""Steps about routes, keys and versions."""
+"""Steps for routes, API keys and versions of the catalogue."""
 
 import collections
 import random
@@ -54,7 +54,7 @@
     )
 
 
-@behave.when("a request for {path} of {host} comes")
+@behave.when("a request for {path} of {host} arrives")
 def step_request(context, path, host):
     context.found = context.catalogue.find_route(host, path)
 
@@ -65,14 +65,14 @@
     assert found == name, found
 
 
-@behave.given("a directory that holds version 7 with a key")
+@behave.given("a directory with version 7 that has a key")
 def step_directory(context):
     context.directory = directories.Directory("z")
     assert context.directory.adopt(_catalogue([], 7, ["k"]))
 
 
 @behave.when("version 5 without the key arrives")
-def step_older(context):
+def step_older_version(context):
     assert not context.directory.adopt(_catalogue([], 5))
 
 
@@ -93,18 +93,18 @@
 
 @behave.when("{count:d} requests are sent")
 def step_send(context, count):
-    chance = random.Random(5)
+    rng = random.Random(5)
     context.count = count
     context.picked = collections.Counter(
-        context.route.pick_service(chance) for _ in range(count)
+        context.route.pick_service(rng) for _ in range(count)
     )
 
 
 @behave.then("the shares are within 3 in 100 of 90, 10 and 0")
 def step_shares(context):
-    for name, wanted in (("a", 0.9), ("b", 0.1), ("c", 0.0)):
-        seen = context.picked[name] / context.count
-        assert abs(seen - wanted) <= 0.03, context.picked
+    for name, expected in (("a", 0.9), ("b", 0.1), ("c", 0.0)):
+        actual = context.picked[name] / context.count
+        assert abs(actual - expected) <= 0.03, context.picked
     assert not context.picked["c"]
 
 
@@ -127,7 +127,7 @@
     context.intake = intake.Intake(env, context.directory)
 
 
-def _ask(context):
+def _send_request(context):
     context.refused = context.intake.admit(
         callerrequest.CallerRequest(
             b"GET",
@@ -139,19 +139,19 @@
     )
 
 
-@behave.when("a request for an unknown path comes")
-def step_unknown(context):
-    _ask(context)
+@behave.when("a request for an unknown path arrives")
+def step_unknown_path(context):
+    _send_request(context)
 
 
-@behave.when("its catalogue is confirmed and the request comes again")
+@behave.when("its catalogue is confirmed and the request arrives again")
 def step_confirmed(context):
     context.directory.confirmed_at = context.clock.now()
-    _ask(context)
+    _send_request(context)
 
 
-@behave.then("it is refused with {status:d} and told when to come back")
-def step_come_back(context, status):
+@behave.then("it is refused with {status:d} and a time to retry after")
+def step_retry_after(context, status):
     assert context.refused.status == status, context.refused
     assert context.refused.retry_after > 0
 
