--- a/src/citronvalve/storage/tail.py
+++ b/src/citronvalve/storage/tail.py
@@ -34,7 +34,7 @@
 _MAX_WAIT_STALENESS: clock.Ms = 1_200
 
 #: Interval between two checks whether a call is due.
-_POLL_INTERVAL: clock.Ms = 50
+_CHECK_INTERVAL: clock.Ms = 50
 
 #: Minimum time between two calls, so that one response has several changes:
 #: at startup each runner changes several times a second, and each call is
@@ -115,7 +115,7 @@
         if not is_full_read_needed and started_at < self._next_call_at(
             is_reader
         ):
-            return _POLL_INTERVAL
+            return _CHECK_INTERVAL
         if is_full_read_needed or started_at >= self._resync.full_read_due_at(
             is_reader
         ):
--- a/tests/storage/fleet.py
+++ b/tests/storage/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons that follow one table, of which one reads it for the others."""
+"""Simulated daemons that follow a table; the leader reads it for all."""
 
 from citronvalve.model import clock
 from citronvalve.model import missing
@@ -13,35 +13,35 @@
 
 TABLE = "t"
 
-_CALL = 8
-_HOP = 3
-_BEAT = 300
-_POLL = 20
+_CALL_DELAY = 8
+_MESSAGE_DELAY = 3
+_STATE_INTERVAL = 300
+_POLL_INTERVAL = 20
 
 
 class Store(memorytable.MemoryTable):
-    """Rows with a history that may be forgotten."""
+    """Table whose history of changes can be discarded."""
 
     def __init__(self):
         super().__init__()
-        self.forgotten = 0
-        #: How often each daemon was told that its history is gone.
-        self.refused_history = {}
+        self.history_start = 0
+        #: Number of "history is gone" responses to each daemon.
+        self.lost_history_count_by_name = {}
 
     def put(self, key):
         """Write a row."""
         self._write(key, {})
 
-    def drop(self, key):
-        """Remove a row."""
+    def delete(self, key):
+        """Delete a row."""
         self._write(key, None)
 
-    def forget(self):
-        """Forget all changes up to now."""
-        self.forgotten = self._revision
+    def discard_history(self):
+        """Discard the history of all changes so far."""
+        self.history_start = self._revision
 
     def keys(self):
-        """Return the keys that the table holds now."""
+        """Return the keys of all rows."""
         return {row.key for row in self.scan(TABLE).rows}
 
     def _write(self, key, value):
@@ -49,16 +49,16 @@
         self.commit(rows.Transaction(key, (), (write,)))
 
 
-class Access(tableservice.TableService):
-    """One daemon's way to the store: calls take time, and may be refused."""
+class StoreClient(tableservice.TableService):
+    """One daemon's client of the store; calls take time and can fail."""
 
     def __init__(self, store, sim, name):
         self._store = store
         self._name = name
         self._sim = sim
-        self.refused = False
-        #: Ms that an answer stays on its way after the store has made it.
-        self.way_back = _CALL
+        self.is_rejected = False
+        #: Ms from the store's response to its arrival.
+        self.response_delay = _CALL_DELAY
         self.calls = 0
 
     def read(self, table, key):
@@ -73,75 +73,77 @@
     def follow(self, table, after, wait):
         return self._call(lambda: self._changes(table, after, wait))
 
-    def _call(self, answer):
+    def _call(self, function):
         self.calls += 1
-        self._sim.sleep(_CALL / clock.SECOND)
-        if self.refused:
-            return missing.Unavailable("refused")
-        found = answer()
-        self._sim.sleep(self.way_back / clock.SECOND)
-        return found
+        self._sim.sleep(_CALL_DELAY / clock.SECOND)
+        if self.is_rejected:
+            return missing.Unavailable("rejected")
+        result = function()
+        self._sim.sleep(self.response_delay / clock.SECOND)
+        return result
 
     def _changes(self, table, after, wait):
-        until = self._sim.clock.now() + wait
+        deadline = self._sim.clock.now() + wait
         while True:
-            if after < self._store.forgotten:
-                count = self._store.refused_history
+            if after < self._store.history_start:
+                count = self._store.lost_history_count_by_name
                 count[self._name] = count.get(self._name, 0) + 1
                 return missing.NotFound("the history is gone")
-            found = self._store.scan(table, after)
-            if found.rows or found.deleted:
-                return found
-            if self._sim.clock.now() >= until:
-                return found
-            self._sim.sleep(_POLL / clock.SECOND)
+            scan = self._store.scan(table, after)
+            if scan.rows or scan.deleted:
+                return scan
+            if self._sim.clock.now() >= deadline:
+                return scan
+            self._sim.sleep(_POLL_INTERVAL / clock.SECOND)
 
 
-class Held(tablelistener.TableListener):
-    """The keys that a daemon believes in."""
+class KeyListener(tablelistener.TableListener):
+    """Keeps the keys of a daemon's rows."""
 
     def __init__(self, now):
         self.keys = set()
 
     def replace_all(self, found):
-        """Take all rows."""
+        """Replace all keys."""
         self.keys = {row.key for row in found}
 
     def apply_changes(self, found, gone):
-        """Take changes."""
+        """Apply changes."""
         self.keys = (self.keys | {row.key for row in found}) - set(gone)
 
 
 class Daemon:
-    """One daemon: what it holds, and the task that follows the table."""
+    """One daemon with its rows and the task that follows the table."""
 
     def __init__(self, name, fleet):
         self.name = name
-        self.held = fleet.make_reader(fleet.sim.clock)
-        self.access = Access(fleet.store, fleet.sim, name)
-        self.cut = False
-        #: Ms that messages are on their way to this daemon.
-        self.hop = _HOP
+        self.listener = fleet.make_listener(fleet.sim.clock)
+        self.store_client = StoreClient(fleet.store, fleet.sim, name)
+        self.is_isolated = False
+        #: Ms that messages to this daemon take.
+        self.message_delay = _MESSAGE_DELAY
         self.delays = delays.Delays()
         self.tail = tail.Tail(
-            self.access,
+            self.store_client,
             TABLE,
-            self.held,
+            self.listener,
             quietlog.QuietLog(),
             fleet.sim.clock,
             fleet.sim.sleep,
         )
         self.tail.is_reader = lambda: fleet.leader == name
-        self.tail.on_unreadable = lambda: fleet.ask(self)
-        self.tail.on_read = lambda base, scan: fleet.spread(self, base, scan)
+        self.tail.on_unreadable = lambda: fleet.request_full_update(self)
+        self.tail.on_read = lambda base, scan: fleet.broadcast_update(
+            self, base, scan
+        )
 
 
 class Fleet:
-    """The store, the daemons, and the links between them."""
+    """The store, the daemons and the messages between them."""
 
-    def __init__(self, names, keys, make_reader=Held):
+    def __init__(self, names, keys, make_listener=KeyListener):
         self.sim = simulation.Simulation()
-        self.make_reader = make_reader
+        self.make_listener = make_listener
         self.store = Store()
         for key in keys:
             self.store.put(key)
@@ -149,70 +151,87 @@
         self.daemon_by_name = {}
         for name in names:
             self.start(name)
-        self.sim.after(_BEAT, self._beat)
+        self.sim.call_later(_STATE_INTERVAL, self._send_states)
 
     def start(self, name):
-        """Start a daemon, or start it anew."""
+        """Start or restart a daemon."""
         daemon = Daemon(name, self)
         self.daemon_by_name[name] = daemon
-        self.sim.after(1, lambda: self._follow(daemon))
+        self.sim.call_later(1, lambda: self._follow(daemon))
 
-    def spread(self, sender, base, scan):
-        """Tell all others what the leader has read."""
+    def broadcast_update(self, sender, base, scan):
+        """Send an update that the leader has read to all other daemons."""
         if sender.name == self.leader and (scan.rows or scan.deleted):
-            self._tell(
+            self._broadcast(
                 sender,
                 lambda other: other.tail.apply_update(base, scan, sender.name),
             )
         return 0
 
-    def ask(self, sender):
-        """Ask the leader for the whole table."""
+    def request_full_update(self, sender):
+        """Request all rows of the table from the leader."""
         leader = self.daemon_by_name[self.leader]
-        if leader is not sender and not leader.cut and not sender.cut:
-            self.sim.after(_HOP, leader.tail.request_full_update)
+        if (
+            leader is not sender
+            and not leader.is_isolated
+            and not sender.is_isolated
+        ):
+            self.sim.call_later(
+                _MESSAGE_DELAY, leader.tail.request_full_update
+            )
 
-    def wrong(self):
-        """Return what daemons hold wrongly: key, and whether it is held."""
+    def mismatches(self):
+        """Return, by daemon, each wrong key and whether the daemon has it."""
         keys = self.store.keys()
         return {
             name: {(key, key in held) for key in held ^ keys}
             for name, daemon in self.daemon_by_name.items()
-            if (held := daemon.held.keys) != keys
+            if (held := daemon.listener.keys) != keys
         }
 
-    def reaches_truth(self, name):
-        """Tell whether a daemon reads the store, or hears one that does."""
+    def can_read_table(self, name):
+        """Return whether a daemon can reach the store or a daemon that can."""
         daemon = self.daemon_by_name[name]
-        if not daemon.access.refused:
+        if not daemon.store_client.is_rejected:
             return True
         leader = self.daemon_by_name[self.leader]
-        told = not daemon.cut and not leader.cut and daemon is not leader
-        return told and not leader.access.refused
+        is_connected = (
+            not daemon.is_isolated
+            and not leader.is_isolated
+            and daemon is not leader
+        )
+        return is_connected and not leader.store_client.is_rejected
 
     def _follow(self, daemon):
         while self.daemon_by_name[daemon.name] is daemon:
             self.sim.sleep(daemon.tail.step() / clock.SECOND)
 
-    def _beat(self):
+    def _send_states(self):
         while True:
             sender = self.daemon_by_name[self.leader]
-            self._vouch(sender)
-            self.sim.sleep(_BEAT / clock.SECOND)
+            self._broadcast_state(sender)
+            self.sim.sleep(_STATE_INTERVAL / clock.SECOND)
 
-    def _vouch(self, sender):
-        told = sender.tail.state()
+    def _broadcast_state(self, sender):
+        state = sender.tail.state()
         sent_at = self.sim.clock.now()
-        if told is not None:
-            self._tell(sender, lambda other: self._heard(other, told, sent_at))
+        if state is not None:
+            self._broadcast(
+                sender,
+                lambda other: self._receive_state(other, state, sent_at),
+            )
 
-    def _heard(self, other, told, sent_at):
+    def _receive_state(self, receiver, state, sent_at):
         now = self.sim.clock.now()
-        late = other.delays.late(self.leader, sent_at, now)
-        other.tail.confirm(told._replace(age=told.age + late), self.leader)
+        delay = receiver.delays.late(self.leader, sent_at, now)
+        receiver.tail.confirm(
+            state._replace(age=state.age + delay), self.leader
+        )
 
-    def _tell(self, sender, act):
+    def _broadcast(self, sender, deliver):
         for other in self.daemon_by_name.values():
-            if other is sender or other.cut or sender.cut:
+            if other is sender or other.is_isolated or sender.is_isolated:
                 continue
-            self.sim.after(other.hop, lambda other=other: act(other))
+            self.sim.call_later(
+                other.message_delay, lambda other=other: deliver(other)
+            )
--- a/tests/storage/believers.py
+++ b/tests/storage/listeners.py
@@ -1,4 +1,4 @@
-"""Readers of a table as the daemon has them, with what each believes in."""
+"""The daemon's table listeners, each with the keys that it has in use."""
 
 import random
 
@@ -16,37 +16,37 @@
 
 
 class _Ports:
-    """As much of the platform as declarations need.
+    """The part of the platform's interface that declarations need.
 
-    Each row takes out the data centre that its key names.
+    Each row takes the data centre of its key out of service.
     """
 
     catalogue_key = "configuration"
 
     @staticmethod
     def datacentre_out(key: str) -> str:
-        """Return the data centre that a key takes out."""
+        """Return the data centre that a key takes out of service."""
         return key
 
 
-def _environment(now):
+def _environment(time_source):
     return environments.Environment(
         "d",
         _DATACENTRE,
-        now,
+        time_source,
         random.Random(1),
         quietlog.QuietLog(),
         dialect.Dialect(),
     )
 
 
-class Upstreams(runnerlist.RunnerList):
-    """The list of upstreams; believes in those of the directory."""
+class UpstreamListener(runnerlist.RunnerList):
+    """The list of upstreams; its keys are the upstreams in use."""
 
-    def __init__(self, now):
+    def __init__(self, time_source):
         self.directory = directories.Directory(_DATACENTRE)
         super().__init__(
-            _environment(now),
+            _environment(time_source),
             self.directory,
             upstreamchoice.LoadBook(),
             _runner,
@@ -54,16 +54,16 @@
 
     @property
     def keys(self):
-        """Return the ids of the upstreams that may get requests."""
+        """Return the ids of the upstreams that can get requests."""
         return set(self.directory.runner_by_id)
 
 
-class Evacuations(declarations.Declarations):
-    """The operators' declarations; believes in data centres taken out."""
+class EvacuationListener(declarations.Declarations):
+    """The declarations; its keys are the data centres out of service."""
 
-    def __init__(self, now):
+    def __init__(self, time_source):
         self.directory = directories.Directory(_DATACENTRE)
-        super().__init__(_environment(now), self.directory, _Ports())
+        super().__init__(_environment(time_source), self.directory, _Ports())
 
     @property
     def keys(self):
--- a/tests/storage/steps/following_steps.py
+++ b/tests/storage/steps/following_steps.py
@@ -1,4 +1,4 @@
-"""Steps about who reads the platform, on a clock that is set by hand."""
+"""Steps for which daemons call the platform, on a manual clock."""
 
 import behave
 
@@ -9,15 +9,15 @@
 from standins import memorytable
 from tests import quietlog
 
-_STEP = 10
-_TAKEN_OVER = 4_000
+_TICK = 10
+_TAKEOVER_DURATION = 4_000
 
-#: Stands for a reading of the whole table, which does not wait.
-_WHOLE = -1
+#: Stands for a full read, which does not wait.
+_FULL_READ = -1
 
 
-class _Counting(memorytable.MemoryTable):
-    """Remembers how long each call was ready to wait."""
+class _RecordingTable(memorytable.MemoryTable):
+    """Records the maximum wait of each call."""
 
     def __init__(self):
         super().__init__()
@@ -25,7 +25,7 @@
 
     def scan(self, table, after=0):
         if not after:
-            self.waits.append(_WHOLE)
+            self.waits.append(_FULL_READ)
         return super().scan(table, after)
 
     def follow(self, table, after, wait):
@@ -33,118 +33,122 @@
         return rows.Scan(after, ())
 
 
-class _Ignoring(tablelistener.TableListener):
+class _NullListener(tablelistener.TableListener):
     def replace_all(self, found):
-        """Take all rows."""
+        """Ignore the rows."""
 
     def apply_changes(self, found, gone):
-        """Take changes."""
+        """Ignore the changes."""
 
 
-def _vouch(context, **other):
-    told = context.tail.state()._replace(age=0, **other)
-    context.tail.confirm(told, "another")
+def _confirm(context, **changes):
+    state = context.tail.state()._replace(age=0, **changes)
+    context.tail.confirm(state, "another")
 
 
-def _follow(context, reads):
+def _follow(context, is_reader):
     context.clock = manualclock.ManualClock()
     context.clock.advance(100_000)
-    context.service = _Counting()
+    context.service = _RecordingTable()
     write = rows.Write("t", "k", {"n": 1})
     context.service.commit(rows.Transaction("a", (), (write,)))
     context.tail = tail.Tail(
         context.service,
         "t",
-        _Ignoring(),
+        _NullListener(),
         quietlog.QuietLog(),
         context.clock,
         lambda _: None,
     )
-    context.tail.is_reader = lambda: reads
+    context.tail.is_reader = lambda: is_reader
     context.oldest = 0
     context.tail.step()
     context.service.waits.clear()
 
 
-@behave.given("a daemon that follows a table and that nobody goes by")
+@behave.given("a daemon that follows a table and is no reader for others")
 def step_follow(context):
     _follow(context, False)
 
 
-@behave.given("a daemon that follows a table by another's word")
-def step_by_word(context):
+@behave.given(
+    "a daemon that follows a table by another daemon's confirmations"
+)
+def step_follow_confirmed(context):
     _follow(context, False)
-    _vouch(context)
+    _confirm(context)
 
 
-def _run(context, span, each=0):
-    began = context.clock.now()
-    idle_until = began
-    while context.clock.now() < began + span:
-        context.clock.advance(_STEP)
+def _run(context, duration, confirm_interval=0):
+    started_at = context.clock.now()
+    next_step_at = started_at
+    while context.clock.now() < started_at + duration:
+        context.clock.advance(_TICK)
         now = context.clock.now()
-        if each and not (now - began) % each:
-            _vouch(context)
-        if now >= idle_until:
-            idle_until = now + context.tail.step()
+        if confirm_interval and not (now - started_at) % confirm_interval:
+            _confirm(context)
+        if now >= next_step_at:
+            next_step_at = now + context.tail.step()
         age = now - context.tail.confirmed_at
         context.oldest = max(context.oldest, age)
 
 
-@behave.when("{seconds:d} s pass without a word")
-def step_alone(context, seconds):
+@behave.when("{seconds:d} s pass without a confirmation")
+def step_no_confirmation(context, seconds):
     _run(context, seconds * 1_000)
 
 
-@behave.when("{seconds:d} s pass with a word each second")
-def step_word(context, seconds):
+@behave.when("{seconds:d} s pass with a confirmation every second")
+def step_confirm_every_second(context, seconds):
     _run(context, seconds * 1_000, 1_000)
 
 
-@behave.when("{seconds:d} s pass with a word each {span:d} ms")
-def step_word_each(context, seconds, span):
-    _run(context, seconds * 1_000, span)
+@behave.when("{seconds:d} s pass with a confirmation every {interval:d} ms")
+def step_confirm_every(context, seconds, interval):
+    _run(context, seconds * 1_000, interval)
 
 
-@behave.when("that word stops and others go by this one")
-def step_takes_over(context):
+@behave.when("the confirmations stop and it becomes the reader for others")
+def step_take_over(context):
     context.tail.is_reader = lambda: True
-    _run(context, _TAKEN_OVER)
+    _run(context, _TAKEOVER_DURATION)
 
 
-@behave.then("it has asked {most:d} times at most")
-def step_asked(context, most):
+@behave.then("it has made at most {most:d} calls")
+def step_calls_at_most(context, most):
     assert len(context.service.waits) <= most, context.service.waits
 
 
-@behave.then("no reading it went by was older than {most:d} ms")
-def step_age(context, most):
+@behave.then("no confirmation in use was older than {most:d} ms")
+def step_confirmation_age(context, most):
     assert context.oldest <= most, context.oldest
 
 
 @behave.then("its first call does not wait, and the following ones do")
-def step_first(context):
+def step_first_call(context):
     first, *rest = context.service.waits
-    assert first in (0, _WHOLE), context.service.waits
+    assert first in (0, _FULL_READ), context.service.waits
     assert rest and all(rest), context.service.waits
-    assert rest.count(_WHOLE) <= _TAKEN_OVER // 1_600, context.service.waits
+    assert rest.count(_FULL_READ) <= _TAKEOVER_DURATION // 1_600, (
+        context.service.waits
+    )
 
 
-@behave.when("for {seconds:d} s each second a counter is told that rises")
-def step_rises(context, seconds):
+@behave.when("for {seconds:d} s a higher counter is confirmed every second")
+def step_counter_rises(context, seconds):
     for turn in range(seconds):
         read = context.tail.revision + 1 + turn
-        _vouch(context, revision=read)
+        _confirm(context, revision=read)
         _run(context, 1_000)
 
 
-@behave.when("a word tells of a change that did not arrive")
-def step_missed(context):
+@behave.when("a confirmation names a change that did not arrive")
+def step_lost_update(context):
     newer = context.tail.revision + 5
-    _vouch(context, changed_revision=newer, revision=newer)
+    _confirm(context, changed_revision=newer, revision=newer)
     _run(context, 500)
 
 
-@behave.then("it has asked {least:d} times at least")
-def step_asked_least(context, least):
+@behave.then("it has made at least {least:d} calls")
+def step_calls_at_least(context, least):
     assert len(context.service.waits) >= least, context.service.waits
