--- a/src/citronvalve/storage/client.py
+++ b/src/citronvalve/storage/client.py
@@ -131,11 +131,7 @@
             return missing.AnswerLost(str(error), where)
         if response.status in self._not_executed_statuses:
             return missing.Unavailable(f"status {response.status}", where)
-        return (
-            response
-            if response.status < 500
-            else _server_failure(response, where)
-        )
+        return response if response.status < 500 else _failure(response, where)
 
     def _attempt_timeouts(self) -> tuple[clock.Ms, clock.Ms]:
         short = self._timeout // _FIRST_ATTEMPT_DIVISOR
@@ -198,7 +194,7 @@
         return f"http://{self.address}{path}"
 
 
-def _server_failure(
+def _failure(
     response: Response, where: str
 ) -> missing.Unavailable | missing.AnswerLost:
     # Only an error body of the platform itself proves that nothing was done:
--- a/src/citronvalve/storage/resync.py
+++ b/src/citronvalve/storage/resync.py
@@ -31,7 +31,7 @@
         self._full_read_at: clock.Ms = 0
         self._matched_at: clock.Ms = 0
 
-    def full_read_due_at(self, is_reader: bool) -> clock.Ms:
+    def due_at(self, is_reader: bool) -> clock.Ms:
         """Return the monotonic ms at which the next full read is due.
 
         :param is_reader: whether others rely on this daemon's reads; a
--- a/src/citronvalve/storage/tail.py
+++ b/src/citronvalve/storage/tail.py
@@ -111,14 +111,10 @@
         """Make at most one call and return the ms until the next step."""
         started_at = self._clock.now()
         is_reader = self.is_reader()
-        is_full_read_needed = self._resync.is_full_read_needed
-        if not is_full_read_needed and started_at < self._next_call_at(
-            is_reader
-        ):
+        must_read_all = self._resync.is_full_read_needed
+        if not must_read_all and started_at < self._next_call_at(is_reader):
             return _CHECK_INTERVAL
-        if is_full_read_needed or started_at >= self._resync.full_read_due_at(
-            is_reader
-        ):
+        if must_read_all or started_at >= self._resync.due_at(is_reader):
             return self._read_all(started_at, is_reader)
         return self._read_changes(started_at, is_reader)
 
@@ -150,7 +146,7 @@
         if is_reader and started_at - self.confirmed_at < _MAX_WAIT_STALENESS:
             wait = min(
                 _MAX_WAIT,
-                self._resync.full_read_due_at(is_reader) - started_at,
+                self._resync.due_at(is_reader) - started_at,
             )
         scan = self._service.follow(self._table, base, wait)
         self.on_call(not isinstance(scan, missing.Unavailable))
@@ -282,7 +278,7 @@
             return self._confirmed_until
         return min(
             self._confirmed_until + _CONFIRMATION_GRACE,
-            self._resync.full_read_due_at(is_reader),
+            self._resync.due_at(is_reader),
         )
 
     def _apply_all(self, source: str, scan: rows.Scan) -> None:
--- a/tests/storage/fleet.py
+++ b/tests/storage/fleet.py
@@ -100,7 +100,7 @@
 class KeyListener(tablelistener.TableListener):
     """Keeps the keys of a daemon's rows."""
 
-    def __init__(self, now):
+    def __init__(self, time_source):
         self.keys = set()
 
     def replace_all(self, found):
