--- a/benchmarks/groupmonth.py
+++ b/benchmarks/groupmonth.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from citronvalve.groups import fleet
-from citronvalve.groups import need
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 from citronvalve.groups import planner
-from citronvalve.groups import standing
 
 DAY = 86_400.0
 MONTH = 30 * DAY
@@ -215,7 +215,7 @@
             if vm not in used and vm not in down:
                 free.setdefault(domain, []).append(vm)
         groups = tuple(
-            standing.Standing(
+            groupstatus.GroupStatus(
                 each.name,
                 "draft",
                 each.domain,
@@ -224,7 +224,9 @@
             )
             for each in self._groups.values()
         )
-        wanted = need.Need("draft", self._case.size, self._case.replicas)
+        wanted = groupspec.GroupSpec(
+            "draft", self._case.size, self._case.replicas
+        )
         return fleet.Fleet(
             (wanted,), groups, {d: tuple(v) for d, v in free.items()}
         )
--- a/benchmarks/groups.py
+++ b/benchmarks/groups.py
@@ -9,8 +9,8 @@
 from citronvalve.groups import compact
 from citronvalve.groups import firstfit
 from citronvalve.groups import fleet
-from citronvalve.groups import need
-from citronvalve.groups import standing
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 from tests.groups import world
 
 _SEED = 11
@@ -47,8 +47,8 @@
 
 
 def _month(case: groupmonth.Case) -> Iterator[figure.Figure]:
-    ours = groupmonth.Month(case, compact.Compact(), _SEED).play()
-    plain = groupmonth.Month(case, firstfit.FirstFit(), _SEED).play()
+    ours = groupmonth.Month(case, compact.CompactPlanner(), _SEED).play()
+    plain = groupmonth.Month(case, firstfit.FirstFitPlanner(), _SEED).play()
     hours, accelerators = "group-hours a month", "accelerators"
     yield figure.Figure(
         f"{case.name}: group downtime beside first-fit",
@@ -81,7 +81,7 @@
     case = _CASES[2]
     waited = case._replace(patience=600.0)
     after, now = (
-        groupmonth.Month(each, compact.Compact(), _SEED).play().closed
+        groupmonth.Month(each, compact.CompactPlanner(), _SEED).play().closed
         for each in (waited, case)
     )
     return figure.Figure(
@@ -139,12 +139,12 @@
             mine = tuple(names[n * 8 : n * 8 + 8])
             lost = mine[:1] if n == 0 else ()
             groups.append(
-                standing.Standing(
+                groupstatus.GroupStatus(
                     f"{domain}/{n}", "draft", domain, mine[len(lost) :], lost
                 )
             )
         free[domain] = tuple(names[whole * 8 :])
-    wanted = (need.Need("draft", 8, len(groups)),)
+    wanted = (groupspec.GroupSpec("draft", 8, len(groups)),)
     seen = fleet.Fleet(wanted, tuple(groups), free)
     empty = fleet.Fleet(
         wanted,
@@ -159,6 +159,6 @@
     took = []
     for _ in range(_RUNS):
         began = time.perf_counter()
-        compact.Compact().plan(seen)
+        compact.CompactPlanner().plan(seen)
         took.append((time.perf_counter() - began) * 1_000)
     return min(took)
--- a/src/citronvalve/cli/grouping.py
+++ b/src/citronvalve/cli/grouping.py
@@ -8,9 +8,9 @@
 from citronvalve.cli import outcomes
 from citronvalve.cli import report
 from citronvalve.cli import session
-from citronvalve.groups import book
 from citronvalve.groups import phase
 from citronvalve.groups import record
+from citronvalve.groups import rowcache
 from citronvalve.model import clock
 from citronvalve.model import declared
 from citronvalve.model import invariant
@@ -68,10 +68,10 @@
 def _records(
     service: tableservice.TableService, group: declared.Group
 ) -> list[record.GroupRecord] | missing.Unavailable:
-    scan = service.scan(book.groups_table(group.datacentre))
+    scan = service.scan(rowcache.groups_table(group.datacentre))
     if missing.is_missing(scan):
         return scan
-    known = book.Book(group.datacentre, invariant.Invariants())
+    known = rowcache.RowCache(group.datacentre, invariant.Invariants())
     known.read_groups(scan)
     records = known.record_by_group.values()
     return [each for each in records if each.declared == group.name]
--- a/src/citronvalve/daemon/grouptask.py
+++ b/src/citronvalve/daemon/grouptask.py
@@ -7,14 +7,14 @@
 from citronvalve.entry import environment as environments
 from citronvalve.entry import grouproute
 from citronvalve.entry import view as views
-from citronvalve.groups import book
 from citronvalve.groups import compact
-from citronvalve.groups import fixedloads
+from citronvalve.groups import dependencies
+from citronvalve.groups import fixedloadslots
 from citronvalve.groups import httpengines
 from citronvalve.groups import leader
-from citronvalve.groups import means
 from citronvalve.groups import phase
 from citronvalve.groups import record
+from citronvalve.groups import rowcache
 from citronvalve.groups import state
 from citronvalve.model import clock
 from citronvalve.model import declared
@@ -53,20 +53,22 @@
         self._env = env
         self._view = view
         self._table = table
-        self._loads = fixedloads.FixedLoads(declared.Switches().weight_loads)
-        self._far_by_name: dict[str, book.Book] = {}
+        self._loads = fixedloadslots.FixedLoadSlots(
+            declared.Switches().weight_loads
+        )
+        self._far_by_name: dict[str, rowcache.RowCache] = {}
         self._log = logbook.Logger("citronvalve.groups")
         pool = eventlet.GreenPool(_SIDE_BY_SIDE)
         start = f"{env.chance.getrandbits(64):016x}"
         self.leader = leader.Leader(
-            means.Means(
+            dependencies.Dependencies(
                 datacentre=settings.datacentre,
                 holder=f"{settings.name}/{start}",
                 table=table,
                 vms=vms,
                 engines=httpengines.HttpEngines(pool.imap),
                 loads=self._loads,
-                planner=compact.Compact(),
+                planner=compact.CompactPlanner(),
                 time=env.clock,
                 held=env.invariants,
                 say=self._log.info,
@@ -117,9 +119,9 @@
 
     def _read_far(self, name: str) -> None:
         known = self._far_by_name.setdefault(
-            name, book.Book(name, self._env.invariants)
+            name, rowcache.RowCache(name, self._env.invariants)
         )
-        place = book.groups_table(name)
+        place = rowcache.groups_table(name)
         after = known.revision_by_table.get(place, 0)
         scan = self._table.scan(place, after)
         if isinstance(scan, rows.Scan):
--- a/src/citronvalve/groups/change.py
+++ b/src/citronvalve/groups/change.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from citronvalve.groups import book
 from citronvalve.groups import owner
 from citronvalve.groups import record
+from citronvalve.groups import rowcache
 from citronvalve.model import invariant
 from citronvalve.storage import rows
 
@@ -34,7 +34,7 @@
 
 def transaction(
     change: Change,
-    known: book.Book,
+    known: rowcache.RowCache,
     leased: rows.Condition,
     attempt: str,
     held: invariant.Invariants,
@@ -52,13 +52,13 @@
     :param attempt: id of this try.
     :param held: where promises are asserted.
     """
-    groups = book.groups_table(known.datacentre)
+    groups = rowcache.groups_table(known.datacentre)
     after = change.after
     conditions = [leased, known.condition(groups, change.group)]
-    value = book.encode(after) if after else None
+    value = rowcache.encode(after) if after else None
     writes = [rows.Write(groups, change.group, value)]
     if change.ordering:
-        owners = book.owners_table(known.datacentre)
+        owners = rowcache.owners_table(known.datacentre)
         for each in _owners(change, known, attempt):
             was = known.owner_by_vm.get(each.vm)
             held.check(
@@ -67,12 +67,12 @@
                 f"{each.vm} of {was} for {change.group}",
             )
             conditions.append(known.condition(owners, each.vm))
-            writes.append(rows.Write(owners, each.vm, book.encode(each)))
+            writes.append(rows.Write(owners, each.vm, rowcache.encode(each)))
     return rows.Transaction(attempt, tuple(conditions), tuple(writes))
 
 
 def _owners(
-    change: Change, known: book.Book, attempt: str
+    change: Change, known: rowcache.RowCache, attempt: str
 ) -> list[owner.Owner]:
     after = change.after
     fence = after.fence if after else 0
@@ -88,7 +88,7 @@
 def outbid(
     vm: str,
     seen: int,
-    known: book.Book,
+    known: rowcache.RowCache,
     leased: rows.Condition,
     attempt: str,
 ) -> rows.Transaction:
@@ -104,8 +104,8 @@
     :param attempt: id of this try.
     """
     fence = next_fence(known, seen=seen)
-    table = book.owners_table(known.datacentre)
-    value = book.encode(owner.Owner(vm, "", fence, attempt))
+    table = rowcache.owners_table(known.datacentre)
+    value = rowcache.encode(owner.Owner(vm, "", fence, attempt))
     return rows.Transaction(
         attempt,
         (leased, known.condition(table, vm)),
@@ -114,7 +114,7 @@
 
 
 def next_fence(
-    known: book.Book,
+    known: rowcache.RowCache,
     before: record.GroupRecord | None = None,
     seen: int = 0,
 ) -> int:
--- a/src/citronvalve/groups/compact.py
+++ b/src/citronvalve/groups/compact.py
@@ -4,17 +4,17 @@
 
 from citronvalve.groups import firstfit
 from citronvalve.groups import fleet
-from citronvalve.groups import need
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 from citronvalve.groups import placement
 from citronvalve.groups import plan
 from citronvalve.groups import planner
-from citronvalve.groups import standing
 
 _MERGED = "its VMs complete another broken group of the domain"
 _MOVED = "no spare in its domain, and another domain has room"
 
 
-class Compact(planner.Planner):
+class CompactPlanner(planner.Planner):
     """Made for VMs lost one by one and whole domains going dark.
 
     A broken group without a spare strands all its VMs.  Three ways out are
@@ -51,12 +51,12 @@
 
 
 def _merged(
-    waiting: list[standing.Standing], free: dict[str, list[str]]
+    waiting: list[groupstatus.GroupStatus], free: dict[str, list[str]]
 ) -> set[str]:
     # The VMs of a group given up are spare only after they were read back
     # empty, so this plan gives it up and a later one uses them.
     given_up = set()
-    by_domain: dict[str, list[standing.Standing]] = {}
+    by_domain: dict[str, list[groupstatus.GroupStatus]] = {}
     for each in waiting:
         by_domain.setdefault(each.domain, []).append(each)
     for domain, groups in by_domain.items():
@@ -73,8 +73,8 @@
 
 
 def _placements(
-    needs: tuple[need.Need, ...],
-    kept: list[standing.Standing],
+    needs: tuple[groupspec.GroupSpec, ...],
+    kept: list[groupstatus.GroupStatus],
     free: dict[str, list[str]],
 ) -> list[placement.Placement]:
     placements = []
@@ -95,8 +95,8 @@
 
 
 def _best_domain(
-    wanted: need.Need,
-    needs: tuple[need.Need, ...],
+    wanted: groupspec.GroupSpec,
+    needs: tuple[groupspec.GroupSpec, ...],
     where: collections.Counter[tuple[str, str]],
     free: dict[str, list[str]],
 ) -> str | None:
@@ -118,9 +118,9 @@
 
 
 def _moved(
-    needs: tuple[need.Need, ...],
-    waiting: list[standing.Standing],
-    kept: list[standing.Standing],
+    needs: tuple[groupspec.GroupSpec, ...],
+    waiting: list[groupstatus.GroupStatus],
+    kept: list[groupstatus.GroupStatus],
     free: dict[str, list[str]],
 ) -> tuple[list[str], list[placement.Placement]]:
     moved: list[str] = []
--- a/src/citronvalve/groups/means.py
+++ b/src/citronvalve/groups/dependencies.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from citronvalve.groups import engines
+from citronvalve.groups import loadslots
 from citronvalve.groups import planner
 from citronvalve.groups import timing
-from citronvalve.groups import weightloads
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.storage import tableservice
@@ -17,7 +17,7 @@
     """Take a line of the log and drop it."""
 
 
-class Means(NamedTuple):
+class Dependencies(NamedTuple):
     """The platform, the engines, the planner and the settings of a leader.
 
     ``holder`` names the process and this start of it; no two starts may
@@ -29,7 +29,7 @@
     table: tableservice.TableService
     vms: vmlist.VmList
     engines: engines.Engines
-    loads: weightloads.WeightLoads
+    loads: loadslots.LoadSlots
     planner: planner.Planner
     time: clock.Clock
     held: invariant.Invariants
--- a/src/citronvalve/groups/drains.py
+++ b/src/citronvalve/groups/draintracker.py
@@ -1,19 +1,19 @@
 """Which closed groups still have requests in progress."""
 
-from citronvalve.groups import book
 from citronvalve.groups import engineload
 from citronvalve.groups import engines
-from citronvalve.groups import look
+from citronvalve.groups import observation
 from citronvalve.groups import phase
 from citronvalve.groups import record
-from citronvalve.groups import sighting
+from citronvalve.groups import rowcache
 from citronvalve.groups import timing
+from citronvalve.groups import vmstatus
 from citronvalve.model import clock
 
 _WAITING = {phase.Phase.CLOSED, phase.Phase.DISSOLVING}
 
 
-class Drains:
+class DrainTracker:
     """Times how long groups are closed, and asks whether they are idle.
 
     :param spans: the limits.
@@ -25,8 +25,8 @@
 
     def drained(
         self,
-        known: book.Book,
-        sighting_by_vm: dict[str, sighting.Sighting],
+        known: rowcache.RowCache,
+        sighting_by_vm: dict[str, vmstatus.VmStatus],
         asked: engines.Engines,
         now: clock.Ms,
     ) -> frozenset[str]:
@@ -51,13 +51,13 @@
             if self._is_drained(
                 each, sighting_by_vm, asked, now - self._closed_at[key]
             )
-            or look.lost_vms(each, sighting_by_vm, now, self._spans)
+            or observation.lost_vms(each, sighting_by_vm, now, self._spans)
         )
 
     def _is_drained(
         self,
         known: record.GroupRecord,
-        sighting_by_vm: dict[str, sighting.Sighting],
+        sighting_by_vm: dict[str, vmstatus.VmStatus],
         asked: engines.Engines,
         closed_for: clock.Ms,
     ) -> bool:
--- a/src/citronvalve/groups/firstfit.py
+++ b/src/citronvalve/groups/firstfit.py
@@ -1,11 +1,11 @@
 """The plain planner that the other is measured against."""
 
 from citronvalve.groups import fleet
+from citronvalve.groups import groupstatus
 from citronvalve.groups import placement
 from citronvalve.groups import plan
 from citronvalve.groups import planner
 from citronvalve.groups import repair
-from citronvalve.groups import standing
 
 
 def surplus(seen: fleet.Fleet) -> dict[str, str]:
@@ -28,7 +28,7 @@
 
 
 def repairs(
-    broken: list[standing.Standing], free_by_domain: dict[str, list[str]]
+    broken: list[groupstatus.GroupStatus], free_by_domain: dict[str, list[str]]
 ) -> list[repair.Repair]:
     """Repair groups in the given order, and take the spares used away.
 
@@ -46,7 +46,7 @@
     return done
 
 
-class FirstFit(planner.Planner):
+class FirstFitPlanner(planner.Planner):
     """Takes the first domain with room, and waits for lost VMs."""
 
     def plan(self, seen: fleet.Fleet) -> plan.Plan:
--- a/src/citronvalve/groups/fixedloads.py
+++ b/src/citronvalve/groups/fixedloadslots.py
@@ -1,6 +1,6 @@
 """A fixed number of slots for loads, kept by one process."""
 
-from citronvalve.groups import weightloads
+from citronvalve.groups import loadslots
 from citronvalve.model import clock
 from citronvalve.model import missing
 
@@ -10,7 +10,7 @@
 _LENT_FOR: clock.Ms = 10_000
 
 
-class FixedLoads(weightloads.WeightLoads):
+class FixedLoadSlots(loadslots.LoadSlots):
     """Enough where only the holder of the lease starts loads.
 
     :param slots: loads at once; an edit of the table may change it.
--- a/src/citronvalve/groups/fleet.py
+++ b/src/citronvalve/groups/fleet.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple
 
-from citronvalve.groups import need
-from citronvalve.groups import standing
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 
 
 class Fleet(NamedTuple):
     """Needs, groups and free VMs; a free VM is up and unowned."""
 
-    needs: tuple[need.Need, ...]
-    standing: tuple[standing.Standing, ...]
+    needs: tuple[groupspec.GroupSpec, ...]
+    standing: tuple[groupstatus.GroupStatus, ...]
     free_by_domain: dict[str, tuple[str, ...]]
--- a/src/citronvalve/groups/survey.py
+++ b/src/citronvalve/groups/fleetbuilder.py
@@ -1,13 +1,13 @@
 """The fleet as the planner is to see it."""
 
 from citronvalve.groups import fleet
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 from citronvalve.groups import holding
-from citronvalve.groups import look
-from citronvalve.groups import need
+from citronvalve.groups import observation
+from citronvalve.groups import observedstate
 from citronvalve.groups import phase
 from citronvalve.groups import record
-from citronvalve.groups import situation
-from citronvalve.groups import standing
 from citronvalve.storage import vmlist
 
 
@@ -16,16 +16,16 @@
 
     :param held: its read-back.
     """
-    return bool(held.group) or held.state is not holding.Weights.EMPTY
+    return bool(held.group) or held.state is not holding.WeightsState.EMPTY
 
 
-def survey(seen: situation.Situation) -> fleet.Fleet:
+def build_fleet(seen: observedstate.ObservedState) -> fleet.Fleet:
     """Return the needs, the groups and the free VMs.
 
     :param seen: the situation.
     """
     needs = tuple(
-        need.Need(each.name, each.size, each.replicas)
+        groupspec.GroupSpec(each.name, each.size, each.replicas)
         for each in seen.declared_groups().values()
     )
     records = seen.known.record_by_group.values()
@@ -38,27 +38,29 @@
 
 
 def _standing(
-    known: record.GroupRecord, seen: situation.Situation
-) -> standing.Standing:
-    lost = look.lost_vms(known, seen.sighting_by_vm, seen.now, seen.spans)
+    known: record.GroupRecord, seen: observedstate.ObservedState
+) -> groupstatus.GroupStatus:
+    lost = observation.lost_vms(
+        known, seen.sighting_by_vm, seen.now, seen.spans
+    )
     leaving = tuple(
         vm for vm in known.vms if vm not in lost and _is_leaving(vm, seen)
     )
     gone = {*lost, *leaving}
     up = tuple(vm for vm in known.vms if vm not in gone)
-    return standing.Standing(
+    return groupstatus.GroupStatus(
         known.name, known.declared, known.domain, up, lost, leaving
     )
 
 
-def _is_leaving(vm: str, seen: situation.Situation) -> bool:
+def _is_leaving(vm: str, seen: observedstate.ObservedState) -> bool:
     # A VM that the list does not show may be newer than the list, or a
     # group's record older; only its engine's silence makes it missing.
     listed = seen.listed_by_vm.get(vm)
     return listed is not None and listed.state is vmlist.VmState.LEAVING
 
 
-def _free(seen: situation.Situation) -> dict[str, tuple[str, ...]]:
+def _free(seen: observedstate.ObservedState) -> dict[str, tuple[str, ...]]:
     # Engines that ignore fencing numbers may yet take an order of an
     # earlier holder: until that is over, none of their VMs is given away.
     groups = seen.declared_groups().values()
@@ -72,7 +74,7 @@
     return {domain: tuple(vms) for domain, vms in by_domain.items()}
 
 
-def _is_free(vm: str, seen: situation.Situation) -> bool:
+def _is_free(vm: str, seen: observedstate.ObservedState) -> bool:
     owner = seen.known.owner_by_vm.get(vm)
     if owner and owner.group:
         return False
@@ -80,4 +82,4 @@
     if found is None or found.holding is None:
         return False
     # What it may still hold of an old group goes with the first order.
-    return not look.is_silent(found, seen.now, seen.spans)
+    return not observation.is_silent(found, seen.now, seen.spans)
--- a/src/citronvalve/groups/need.py
+++ b/src/citronvalve/groups/groupspec.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Need(NamedTuple):
+class GroupSpec(NamedTuple):
     """``replicas`` groups of ``size`` VMs each."""
 
     declared: str
--- a/src/citronvalve/groups/standing.py
+++ b/src/citronvalve/groups/groupstatus.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Standing(NamedTuple):
+class GroupStatus(NamedTuple):
     """VMs of a group that are up, missing, or up and about to leave."""
 
     group: str
--- a/src/citronvalve/groups/holding.py
+++ b/src/citronvalve/groups/holding.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Weights(enum.StrEnum):
+class WeightsState(enum.StrEnum):
     """How far an engine has come with its part of the weights."""
 
     EMPTY = "empty"
@@ -27,4 +27,4 @@
     rank: int = 0
     model: str = ""
     version: str = ""
-    state: Weights = Weights.EMPTY
+    state: WeightsState = WeightsState.EMPTY
--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -1,19 +1,19 @@
 """Keeps the replica groups of one data centre; the only part that acts."""
 
-from citronvalve.groups import book
 from citronvalve.groups import change
-from citronvalve.groups import decide
-from citronvalve.groups import drains
-from citronvalve.groups import leasekeeper
-from citronvalve.groups import means
+from citronvalve.groups import dependencies
+from citronvalve.groups import draintracker
+from citronvalve.groups import fleetbuilder
+from citronvalve.groups import leasemanager
+from citronvalve.groups import observedstate
 from citronvalve.groups import orders
 from citronvalve.groups import phase
+from citronvalve.groups import reconciler
 from citronvalve.groups import record
 from citronvalve.groups import routing
-from citronvalve.groups import situation
+from citronvalve.groups import rowcache
 from citronvalve.groups import state
-from citronvalve.groups import survey
-from citronvalve.groups import watch
+from citronvalve.groups import vmstatustable
 from citronvalve.model import clock
 from citronvalve.model import declared
 from citronvalve.model import missing
@@ -36,13 +36,13 @@
     :ivar states: of each group, after the last step.
     """
 
-    def __init__(self, has: means.Means) -> None:
+    def __init__(self, has: dependencies.Dependencies) -> None:
         self.states: tuple[state.GroupState, ...] = ()
         self._has = has
-        self._known = book.Book(has.datacentre, has.held)
-        self._watch = watch.Watch(has.spans)
-        self._drains = drains.Drains(has.spans)
-        self._lease = leasekeeper.LeaseKeeper(
+        self._known = rowcache.RowCache(has.datacentre, has.held)
+        self._watch = vmstatustable.VmStatusTable(has.spans)
+        self._drains = draintracker.DrainTracker(has.spans)
+        self._lease = leasemanager.LeaseManager(
             has.datacentre, has.holder, has.spans
         )
         self._listed_by_vm: dict[str, vmlist.VmRecord] = {}
@@ -105,8 +105,14 @@
 
     def _read(self) -> bool:
         for name, take in (
-            (book.groups_table(self._has.datacentre), self._known.read_groups),
-            (book.owners_table(self._has.datacentre), self._known.read_owners),
+            (
+                rowcache.groups_table(self._has.datacentre),
+                self._known.read_groups,
+            ),
+            (
+                rowcache.owners_table(self._has.datacentre),
+                self._known.read_owners,
+            ),
         ):
             after = self._known.revision_by_table.get(name, 0)
             scan = self._has.table.scan(name, after)
@@ -163,7 +169,7 @@
     def _hold_lease(self) -> None:
         if not self._lease.is_due(self._has.time.now()):
             return
-        row = self._has.table.read(book.LEASES, self._has.datacentre)
+        row = self._has.table.read(rowcache.LEASES, self._has.datacentre)
         if isinstance(row, missing.Unavailable):
             return
         found = row if isinstance(row, rows.Row) else None
@@ -179,12 +185,12 @@
         elif isinstance(answer, rows.Conflict):
             self._lease.refused()
 
-    def _situation(self) -> situation.Situation:
+    def _situation(self) -> observedstate.ObservedState:
         has, now = self._has, self._has.time.now()
         drained = self._drains.drained(
             self._known, self._watch.sighting_by_vm, has.engines, now
         )
-        return situation.Situation(
+        return observedstate.ObservedState(
             declared=self._declared,
             known=self._known,
             sighting_by_vm=self._watch.sighting_by_vm,
@@ -200,8 +206,8 @@
     def _rounds(self) -> None:
         for _ in range(_ROUNDS):
             seen = self._situation()
-            planned = self._has.planner.plan(survey.survey(seen))
-            decision = decide.Decision(
+            planned = self._has.planner.plan(fleetbuilder.build_fleet(seen))
+            decision = reconciler.Reconciler(
                 seen, planned, self._attempt, self._has.held
             )
             changed = [self._commit(each) for each in decision.changes()]
@@ -230,7 +236,7 @@
         # which carry the attempt, before any order is given.
         return not isinstance(done, rows.Conflict | missing.Unavailable)
 
-    def _order(self, seen: situation.Situation) -> int:
+    def _order(self, seen: observedstate.ObservedState) -> int:
         if not self._read():
             return 0
         records = self._known.record_by_group.values()
@@ -254,7 +260,7 @@
         )
         return not isinstance(lent, missing.Missing)
 
-    def _empty_strays(self, seen: situation.Situation) -> int:
+    def _empty_strays(self, seen: observedstate.ObservedState) -> int:
         due = []
         for vm, held in orders.strays(seen):
             owned = self._known.owner_by_vm.get(vm)
@@ -274,7 +280,7 @@
             )
         return self._send(due)
 
-    def _send(self, due: list[orders.Addressed]) -> int:
+    def _send(self, due: list[orders.AddressedOrder]) -> int:
         # Read just before the orders go out: the writes above may have
         # taken longer than the lease, and then another process may have
         # taken these VMs.
@@ -289,7 +295,7 @@
             self._watch.answered(each.vm, answer, sent_at)
         return len(due)
 
-    def _is_first(self, each: orders.Addressed) -> bool:
+    def _is_first(self, each: orders.AddressedOrder) -> bool:
         # One try a step: an engine that does not answer would otherwise
         # hold up every round of it.
         key = (each.vm, each.given.fence)
--- a/src/citronvalve/groups/leasekeeper.py
+++ b/src/citronvalve/groups/leasemanager.py
@@ -1,13 +1,13 @@
 """Holding the lease of a data centre, or waiting for it."""
 
-from citronvalve.groups import book
 from citronvalve.groups import lease
+from citronvalve.groups import rowcache
 from citronvalve.groups import timing
 from citronvalve.model import clock
 from citronvalve.storage import rows
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Decides when to write the lease row; the leader does the writing.
 
     No wall clock is compared: a taker must see one version of the row for
@@ -37,7 +37,7 @@
     @property
     def condition(self) -> rows.Condition:
         """Return the condition that the lease row is as this holder wrote."""
-        return rows.Condition(book.LEASES, self._datacentre, self._version)
+        return rows.Condition(rowcache.LEASES, self._datacentre, self._version)
 
     def is_held(self, now: clock.Ms) -> bool:
         """Tell whether this process may give orders.
@@ -65,7 +65,7 @@
         self._renew_at = now + self._spans.renew
         if row is None:
             return self._write(rows.NO_ROW, 1, now, attempt)
-        seen = book.read_lease(row)
+        seen = rowcache.read_lease(row)
         if seen.holder == self._holder:
             self._settle(row.version, seen)
             return self._write(row.version, seen.term, now, attempt)
@@ -91,8 +91,12 @@
         wanted = lease.Lease(self._datacentre, self._holder, term, attempt)
         return rows.Transaction(
             attempt,
-            (rows.Condition(book.LEASES, self._datacentre, version),),
-            (rows.Write(book.LEASES, self._datacentre, book.encode(wanted)),),
+            (rows.Condition(rowcache.LEASES, self._datacentre, version),),
+            (
+                rows.Write(
+                    rowcache.LEASES, self._datacentre, rowcache.encode(wanted)
+                ),
+            ),
         )
 
     def granted(self, version: int, term: int, sent_at: clock.Ms) -> None:
@@ -121,9 +125,9 @@
             return None
         self._until = -1
         free = lease.Lease(self._datacentre, "", self._term, attempt)
-        value = book.encode(free)
+        value = rowcache.encode(free)
         return rows.Transaction(
             attempt,
             (self.condition,),
-            (rows.Write(book.LEASES, self._datacentre, value),),
+            (rows.Write(rowcache.LEASES, self._datacentre, value),),
         )
--- a/src/citronvalve/groups/weightloads.py
+++ b/src/citronvalve/groups/loadslots.py
@@ -6,7 +6,7 @@
 from citronvalve.model import missing
 
 
-class WeightLoads(abc.ABC):
+class LoadSlots(abc.ABC):
     """Lends slots for a time; a slot not renewed is free again."""
 
     @abc.abstractmethod
--- a/src/citronvalve/groups/look.py
+++ b/src/citronvalve/groups/observation.py
@@ -6,12 +6,12 @@
 from citronvalve.groups import holding
 from citronvalve.groups import phase
 from citronvalve.groups import record
-from citronvalve.groups import sighting
 from citronvalve.groups import timing
+from citronvalve.groups import vmstatus
 from citronvalve.model import clock
 
 
-class Look(NamedTuple):
+class Observation(NamedTuple):
     """An event, with the reason as operators read it."""
 
     event: event.Event
@@ -19,7 +19,7 @@
 
 
 def is_silent(
-    seen: sighting.Sighting | None, now: clock.Ms, spans: timing.Timing
+    seen: vmstatus.VmStatus | None, now: clock.Ms, spans: timing.Timing
 ) -> bool:
     """Tell whether a VM's last read-back is too old to act on.
 
@@ -33,7 +33,7 @@
 
 
 def is_lost(
-    seen: sighting.Sighting | None, now: clock.Ms, spans: timing.Timing
+    seen: vmstatus.VmStatus | None, now: clock.Ms, spans: timing.Timing
 ) -> bool:
     """Tell whether a VM is missing.
 
@@ -53,7 +53,7 @@
 
 def lost_vms(
     known: record.GroupRecord,
-    sighting_by_vm: dict[str, sighting.Sighting],
+    sighting_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
     spans: timing.Timing,
 ) -> tuple[str, ...]:
@@ -101,18 +101,18 @@
     return (
         is_formed(known, rank, held)
         and held.fence == known.fence
-        and held.state is holding.Weights.READY
+        and held.state is holding.WeightsState.READY
         and held.model == known.wanted.model
         and held.version == known.wanted.version
     )
 
 
-def look(
+def observe(
     known: record.GroupRecord,
-    sighting_by_vm: dict[str, sighting.Sighting],
+    sighting_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
     spans: timing.Timing,
-) -> Look:
+) -> Observation:
     """Compare what the engines hold with a group's record.
 
     :param known: the group's record.
@@ -122,20 +122,24 @@
     """
     lost = lost_vms(known, sighting_by_vm, now, spans)
     if lost:
-        return Look(event.Event.LOST, f"missing: {', '.join(lost)}")
+        return Observation(event.Event.LOST, f"missing: {', '.join(lost)}")
     seen = [sighting_by_vm.get(vm) for vm in known.vms]
     held = [each.holding for each in seen if each and each.holding]
     if len(held) < len(known.vms):
-        return Look(event.Event.WAITING, "not every VM was read back yet")
+        return Observation(
+            event.Event.WAITING, "not every VM was read back yet"
+        )
     return _compare(known, held)
 
 
-def _compare(known: record.GroupRecord, held: list[holding.Holding]) -> Look:
+def _compare(
+    known: record.GroupRecord, held: list[holding.Holding]
+) -> Observation:
     if known.phase is phase.Phase.FORMING:
         ahead = [each.vm for each in held if each.fence > known.fence]
         if ahead:
             reason = f"saw a higher fence: {', '.join(ahead)}"
-            return Look(event.Event.STRANGE, reason)
+            return Observation(event.Event.STRANGE, reason)
         short = [
             each.vm
             for rank, each in enumerate(held)
@@ -149,7 +153,7 @@
     ]
     if strange:
         reason = f"hold something else: {', '.join(strange)}"
-        return Look(event.Event.STRANGE, reason)
+        return Observation(event.Event.STRANGE, reason)
     short = [
         each.vm
         for rank, each in enumerate(held)
@@ -158,10 +162,10 @@
     if known.phase is phase.Phase.LOADING or not short:
         return _waiting(short, "loading")
     reason = f"not ready any more: {', '.join(short)}"
-    return Look(event.Event.STRANGE, reason)
+    return Observation(event.Event.STRANGE, reason)
 
 
-def _waiting(short: list[str], reason: str) -> Look:
+def _waiting(short: list[str], reason: str) -> Observation:
     if not short:
-        return Look(event.Event.WHOLE, "all VMs match")
-    return Look(event.Event.WAITING, f"{reason}: {', '.join(short)}")
+        return Observation(event.Event.WHOLE, "all VMs match")
+    return Observation(event.Event.WAITING, f"{reason}: {', '.join(short)}")
--- a/src/citronvalve/groups/situation.py
+++ b/src/citronvalve/groups/observedstate.py
@@ -2,16 +2,16 @@
 
 from typing import NamedTuple
 
-from citronvalve.groups import book
-from citronvalve.groups import sighting
+from citronvalve.groups import rowcache
 from citronvalve.groups import timing
+from citronvalve.groups import vmstatus
 from citronvalve.groups import wanted
 from citronvalve.model import clock
 from citronvalve.model import declared
 from citronvalve.storage import vmlist
 
 
-class Situation(NamedTuple):
+class ObservedState(NamedTuple):
     """Rows, read-backs, the VM list and the operators' wishes.
 
     ``settled_at`` is when orders of an earlier holder have all arrived.
@@ -20,8 +20,8 @@
     """
 
     declared: declared.Declared
-    known: book.Book
-    sighting_by_vm: dict[str, sighting.Sighting]
+    known: rowcache.RowCache
+    sighting_by_vm: dict[str, vmstatus.VmStatus]
     unsure_until_by_vm: dict[str, clock.Ms]
     listed_by_vm: dict[str, vmlist.VmRecord]
     spans: timing.Timing
--- a/src/citronvalve/groups/orders.py
+++ b/src/citronvalve/groups/orders.py
@@ -2,17 +2,17 @@
 
 from typing import NamedTuple
 
+from citronvalve.groups import fleetbuilder
 from citronvalve.groups import holding
-from citronvalve.groups import look
+from citronvalve.groups import observation
+from citronvalve.groups import observedstate
 from citronvalve.groups import order
 from citronvalve.groups import owner
 from citronvalve.groups import phase
 from citronvalve.groups import record
-from citronvalve.groups import situation
-from citronvalve.groups import survey
 
 
-class Addressed(NamedTuple):
+class AddressedOrder(NamedTuple):
     """An order, and the VM it goes to."""
 
     vm: str
@@ -21,8 +21,8 @@
 
 
 def of_group(
-    known: record.GroupRecord, seen: situation.Situation
-) -> list[Addressed]:
+    known: record.GroupRecord, seen: observedstate.ObservedState
+) -> list[AddressedOrder]:
     """Return the orders that a group's row calls for.
 
     They are worked out from the row alone and repeated with the same
@@ -44,15 +44,17 @@
         sighting = seen.sighting_by_vm.get(each.vm)
         if sighting is None or sighting.holding is None:
             continue
-        if look.is_silent(sighting, seen.now, seen.spans):
+        if observation.is_silent(sighting, seen.now, seen.spans):
             continue
         if _is_due(known, rank, sighting.holding):
             given = _order(known, rank)
-            found.append(Addressed(each.vm, each.address, given))
+            found.append(AddressedOrder(each.vm, each.address, given))
     return found
 
 
-def is_loading(known: record.GroupRecord, seen: situation.Situation) -> bool:
+def is_loading(
+    known: record.GroupRecord, seen: observedstate.ObservedState
+) -> bool:
     """Tell whether a VM of a group loads weights at this moment.
 
     :param known: the group's record.
@@ -63,7 +65,7 @@
     found = (seen.sighting_by_vm.get(vm) for vm in known.vms)
     held = [each.holding for each in found if each and each.holding]
     return any(
-        each.group == known.name and each.state is holding.Weights.LOADING
+        each.group == known.name and each.state is holding.WeightsState.LOADING
         for each in held
     )
 
@@ -74,8 +76,8 @@
     if held.fence != known.fence:
         return held.fence < known.fence
     if known.phase is phase.Phase.FORMING:
-        return not look.is_formed(known, rank, held)
-    return held.state is holding.Weights.EMPTY
+        return not observation.is_formed(known, rank, held)
+    return held.state is holding.WeightsState.EMPTY
 
 
 def _order(known: record.GroupRecord, rank: int) -> order.Order:
@@ -93,7 +95,9 @@
     )
 
 
-def strays(seen: situation.Situation) -> list[tuple[str, holding.Holding]]:
+def strays(
+    seen: observedstate.ObservedState,
+) -> list[tuple[str, holding.Holding]]:
     """Return the VMs that nobody owns and that hold something.
 
     They come from a group that was given up while they were silent, or took
@@ -109,15 +113,15 @@
         owned = seen.known.owner_by_vm.get(vm)
         if owned and owned.group:
             continue
-        silent = look.is_silent(sighting, seen.now, seen.spans)
-        if not silent and survey.is_stray(sighting.holding):
+        silent = observation.is_silent(sighting, seen.now, seen.spans)
+        if not silent and fleetbuilder.is_stray(sighting.holding):
             found.append((vm, sighting.holding))
     return found
 
 
 def of_stray(
     owned: owner.Owner | None, held: holding.Holding, address: str
-) -> Addressed | None:
+) -> AddressedOrder | None:
     """Return the order that empties a stray VM.
 
     :param owned: its row, which is the intent.
@@ -128,4 +132,4 @@
     if owned is None or owned.fence < held.fence:
         return None
     given = order.Order(owned.fence, owned.attempt, order.OrderKind.CLOSE)
-    return Addressed(owned.vm, address, given)
+    return AddressedOrder(owned.vm, address, given)
--- a/src/citronvalve/groups/decide.py
+++ b/src/citronvalve/groups/reconciler.py
@@ -4,15 +4,15 @@
 
 from citronvalve.groups import change
 from citronvalve.groups import event
-from citronvalve.groups import look
 from citronvalve.groups import member
+from citronvalve.groups import observation
+from citronvalve.groups import observedstate
 from citronvalve.groups import order
 from citronvalve.groups import phase
 from citronvalve.groups import placement
 from citronvalve.groups import plan
 from citronvalve.groups import record
 from citronvalve.groups import repair
-from citronvalve.groups import situation
 from citronvalve.groups import transition
 from citronvalve.model import declared
 from citronvalve.model import invariant
@@ -21,10 +21,10 @@
 _P = phase.Phase
 #: Events that close a group which could go on serving.
 _BY_CHOICE = {_E.OUTDATED, _E.LEAVING, _E.UNWANTED}
-_NOTHING = look.Look(_E.WAITING, "")
+_NOTHING = observation.Observation(_E.WAITING, "")
 
 
-class Decision:
+class Reconciler:
     """Decides one step of a data centre; made anew for each.
 
     :param seen: the situation.
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        seen: situation.Situation,
+        seen: observedstate.ObservedState,
         planned: plan.Plan,
         attempt: Callable[[], str],
         held: invariant.Invariants,
@@ -54,7 +54,9 @@
         seen = self._seen
         closed: dict[str, int] = {}
         for each in seen.known.record_by_group.values():
-            found = look.look(each, seen.sighting_by_vm, seen.now, seen.spans)
+            found = observation.observe(
+                each, seen.sighting_by_vm, seen.now, seen.spans
+            )
             is_closed = (
                 each.phase is not _P.SERVING or found.event is not _E.WHOLE
             )
@@ -135,17 +137,21 @@
             return True
         return after is not _P.SERVING or self._seen.is_sure(known.vms)
 
-    def _look(self, known: record.GroupRecord) -> look.Look:
+    def _look(self, known: record.GroupRecord) -> observation.Observation:
         seen = self._seen
         if known.phase is _P.DISSOLVING:
             return self._when_drained(known, _E.IDLE, known.reason)
         group = self._group_by_name.get(known.declared)
         if group is None:
-            return look.Look(_E.UNWANTED, "not declared any more")
+            return observation.Observation(
+                _E.UNWANTED, "not declared any more"
+            )
         given_up = self._plan.reason_by_dissolved.get(known.name)
         if given_up:
-            return look.Look(_E.UNWANTED, given_up)
-        found = look.look(known, seen.sighting_by_vm, seen.now, seen.spans)
+            return observation.Observation(_E.UNWANTED, given_up)
+        found = observation.observe(
+            known, seen.sighting_by_vm, seen.now, seen.spans
+        )
         mend = self._repair_by_group.get(known.name)
         if mend:
             return self._mended(known, mend, found, group)
@@ -161,14 +167,14 @@
         self,
         known: record.GroupRecord,
         mend: repair.Repair,
-        found: look.Look,
+        found: observation.Observation,
         group: declared.Group,
-    ) -> look.Look:
+    ) -> observation.Observation:
         spares = ", ".join(f"{v} by {s}" for v, s in mend.spare_by_vm.items())
         reason = f"replaced {spares}"
         if found.event is _E.LOST or known.phase in transition.ORDERING:
             # It carries no work: nothing to wait for.
-            return look.Look(_E.REPAIR, reason)
+            return observation.Observation(_E.REPAIR, reason)
         if known.phase is _P.CLOSED:
             return self._when_drained(known, _E.REPAIR, reason)
         reason = f"leaving: {', '.join(mend.spare_by_vm)}"
@@ -177,9 +183,9 @@
     def _outdated(
         self,
         known: record.GroupRecord,
-        found: look.Look,
+        found: observation.Observation,
         group: declared.Group,
-    ) -> look.Look:
+    ) -> observation.Observation:
         new = self._seen.wanted(group)
         reason = " ".join(("change to", *filter(None, new)))
         if known.phase is _P.SERVING and found.event is _E.WHOLE:
@@ -189,12 +195,12 @@
         if known.phase is _P.CLOSED:
             return self._when_drained(known, _E.OUTDATED, reason)
         if known.phase in transition.ORDERING:
-            return look.Look(_E.OUTDATED, reason)
+            return observation.Observation(_E.OUTDATED, reason)
         return found
 
     def _resized(
         self, known: record.GroupRecord, group: declared.Group
-    ) -> look.Look:
+    ) -> observation.Observation:
         # Of a group given up nothing is left to count until the next one is
         # placed; without this the one after it would go in between.
         records = self._seen.known.record_by_group.values()
@@ -211,7 +217,7 @@
         group: declared.Group,
         then: event.Event,
         reason: str,
-    ) -> look.Look:
+    ) -> observation.Observation:
         """Let a change of a serving group go on, if one more may close.
 
         Made for a change of a whole declared group under full load: all its
@@ -219,7 +225,7 @@
         of a load.  The bound is what operators say the rest can carry.
         """
         if known.phase is not _P.SERVING:
-            return look.Look(then, reason)
+            return observation.Observation(then, reason)
         closed = self._closed_by_declared.get(known.declared, 0)
         if closed >= group.most_closed:
             return _NOTHING
@@ -228,20 +234,20 @@
             closed + 1 <= group.most_closed,
             f"{known.name}: {closed} of {group.most_closed}",
         )
-        return look.Look(then, reason)
+        return observation.Observation(then, reason)
 
     def _when_drained(
         self, known: record.GroupRecord, then: event.Event, reason: str
-    ) -> look.Look:
+    ) -> observation.Observation:
         if known.name not in self._seen.drained:
             return _NOTHING
-        return look.Look(then, reason)
+        return observation.Observation(then, reason)
 
     def _moved(
         self,
         known: record.GroupRecord,
         after: phase.Phase,
-        found: look.Look,
+        found: observation.Observation,
     ) -> change.Change:
         new = known._replace(
             phase=after,
@@ -260,7 +266,7 @@
         self,
         known: record.GroupRecord,
         new: record.GroupRecord,
-        found: look.Look,
+        found: observation.Observation,
     ) -> record.GroupRecord:
         wanted = self._seen.wanted(self._group_by_name[known.declared])
         if new.phase is _P.FORMING:
@@ -274,7 +280,7 @@
         return new._replace(wanted=wanted, kind=kind)
 
     def _members(
-        self, known: record.GroupRecord, found: look.Look
+        self, known: record.GroupRecord, found: observation.Observation
     ) -> tuple[member.Member, ...]:
         if found.event is not _E.REPAIR:
             return known.members
--- a/src/citronvalve/groups/routing.py
+++ b/src/citronvalve/groups/routing.py
@@ -1,12 +1,12 @@
 """The state of each group as routing may use it."""
 
 from citronvalve.groups import event
-from citronvalve.groups import look
+from citronvalve.groups import observation
 from citronvalve.groups import phase
 from citronvalve.groups import record
-from citronvalve.groups import sighting
 from citronvalve.groups import state
 from citronvalve.groups import timing
+from citronvalve.groups import vmstatus
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.model import missing
@@ -14,7 +14,7 @@
 
 def state_of(
     known: record.GroupRecord,
-    sighting_by_vm: dict[str, sighting.Sighting],
+    sighting_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
     spans: timing.Timing,
     held: invariant.Invariants,
@@ -33,7 +33,7 @@
     :param spans: the limits.
     :param held: where promises are asserted.
     """
-    found = look.look(known, sighting_by_vm, now, spans)
+    found = observation.observe(known, sighting_by_vm, now, spans)
     seen = [sighting_by_vm.get(vm) for vm in known.vms]
     seen_at = min((each.seen_at for each in seen if each), default=0)
     shown, reason = known.phase, known.reason
@@ -43,7 +43,9 @@
         held.check(
             "no group serves with a VM missing",
             all(
-                each and not look.is_lost(each, now, spans) and each.holding
+                each
+                and not observation.is_lost(each, now, spans)
+                and each.holding
                 for each in seen
             ),
             f"{known.name}: {seen}",
--- a/src/citronvalve/groups/book.py
+++ b/src/citronvalve/groups/rowcache.py
@@ -67,7 +67,7 @@
     return decode(lease.Lease, row)
 
 
-class Book:
+class RowCache:
     """Groups and owners with the versions of their rows.
 
     :param datacentre: its name.
--- a/src/citronvalve/groups/sighting.py
+++ b/src/citronvalve/groups/vmstatus.py
@@ -6,7 +6,7 @@
 from citronvalve.model import clock
 
 
-class Sighting(NamedTuple):
+class VmStatus(NamedTuple):
     """The last read-back of a VM.
 
     ``seen_at`` is the monotonic time before the question was sent.
--- a/src/citronvalve/groups/watch.py
+++ b/src/citronvalve/groups/vmstatustable.py
@@ -4,13 +4,13 @@
 from citronvalve.groups import engines
 from citronvalve.groups import holding
 from citronvalve.groups import refused
-from citronvalve.groups import sighting
 from citronvalve.groups import timing
+from citronvalve.groups import vmstatus
 from citronvalve.model import clock
 from citronvalve.model import missing
 
 
-class Watch:
+class VmStatusTable:
     """Remembers when each VM was heard of, and which orders are unsure.
 
     :param spans: the limits.
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, spans: timing.Timing) -> None:
-        self.sighting_by_vm: dict[str, sighting.Sighting] = {}
+        self.sighting_by_vm: dict[str, vmstatus.VmStatus] = {}
         self.unsure_until_by_vm: dict[str, clock.Ms] = {}
         self._order_bound = spans.order_bound
 
@@ -38,10 +38,10 @@
             # An order was answered while this read-back was under way.
             return
         if isinstance(answer, holding.Holding) and answer.vm == vm:
-            new = sighting.Sighting(answer, asked_at, asked_at)
+            new = vmstatus.VmStatus(answer, asked_at, asked_at)
         elif last is None:
             gone = not isinstance(answer, missing.AnswerLost)
-            new = sighting.Sighting(None, asked_at, asked_at, gone)
+            new = vmstatus.VmStatus(None, asked_at, asked_at, gone)
         elif isinstance(answer, missing.AnswerLost):
             new = last._replace(asked_at=asked_at)
         else:
--- a/src/citronvalve/groups/wire.py
+++ b/src/citronvalve/groups/wire.py
@@ -40,7 +40,7 @@
     rank: int
     model: str
     version: str
-    state: holding.Weights
+    state: holding.WeightsState
 
 
 class WireAnswer(msgspec.Struct):
--- a/standins/fakeengine.py
+++ b/standins/fakeengine.py
@@ -49,9 +49,11 @@
 
         :param now: monotonic time in ms.
         """
-        if self._held.state is holding.Weights.LOADING:
+        if self._held.state is holding.WeightsState.LOADING:
             if now >= self._ready_at:
-                self._held = self._held._replace(state=holding.Weights.READY)
+                self._held = self._held._replace(
+                    state=holding.WeightsState.READY
+                )
         return self._held
 
     def take(
@@ -67,7 +69,7 @@
         if given.fence < self._held.fence:
             # The harm that an ignoring engine can do: it starts over.
             self._loaded = None
-            self._held = self._held._replace(state=holding.Weights.EMPTY)
+            self._held = self._held._replace(state=holding.WeightsState.EMPTY)
         if given.kind is _Kind.CLOSE:
             self._loaded = None
             start_id = self._held.start_id
@@ -80,11 +82,11 @@
         wanted = (given.model, given.version, given.adapter, given.rank)
         state = self.holding(now).state
         if self._loaded != wanted:
-            state = holding.Weights.EMPTY
+            state = holding.WeightsState.EMPTY
         if given.kind is not _Kind.FORM:
             self.role = given.role
-            if state is holding.Weights.EMPTY:
-                state = holding.Weights.LOADING
+            if state is holding.WeightsState.EMPTY:
+                state = holding.WeightsState.LOADING
                 self._loaded = wanted
                 self._ready_at = now + self.load_time
         self._held = self._held._replace(
--- a/tests/groups/steps/drill_steps.py
+++ b/tests/groups/steps/drill_steps.py
@@ -10,7 +10,7 @@
 import msgspec
 import urllib3
 
-from citronvalve.groups import book
+from citronvalve.groups import rowcache
 from citronvalve.storage import rows
 from standins import deployment as deployments
 from tests import drill
@@ -72,7 +72,7 @@
 def step_answers(context):
     until = time.monotonic() + _TAKEOVER
     while not _answers(context):
-        rows_now = _scan(context, book.groups_table(_DC))
+        rows_now = _scan(context, rowcache.groups_table(_DC))
         assert time.monotonic() < until, (context.last, rows_now)
         time.sleep(0.1)
     context.group = _group(context)
@@ -85,7 +85,7 @@
 
 
 def _group(context):
-    (value,) = _scan(context, book.groups_table(_DC))
+    (value,) = _scan(context, rowcache.groups_table(_DC))
     return value
 
 
@@ -176,7 +176,7 @@
 
 @behave.when("the daemon that leads is killed")
 def step_kill_leader(context):
-    (lease,) = _scan(context, book.LEASES)
+    (lease,) = _scan(context, rowcache.LEASES)
     name = lease["holder"].partition("/")[0]
     context.made.fleet.process_by_name[name].send(signal.SIGKILL)
     number = int(name.rpartition("-")[2])
--- a/tests/groups/steps/leading_steps.py
+++ b/tests/groups/steps/leading_steps.py
@@ -2,11 +2,11 @@
 
 import behave
 
-from citronvalve.groups import book
 from citronvalve.groups import change
 from citronvalve.groups import member
 from citronvalve.groups import phase
 from citronvalve.groups import record
+from citronvalve.groups import rowcache
 from citronvalve.groups import wanted
 from citronvalve.model import invariant
 from citronvalve.storage import rows
@@ -34,13 +34,16 @@
 def step_two_books(context):
     context.store = memorytable.MemoryTable()
     held = invariant.Invariants()
-    context.books = [book.Book("a", held), book.Book("a", held)]
+    context.books = [
+        rowcache.RowCache("a", held),
+        rowcache.RowCache("a", held),
+    ]
     context.held = held
 
 
 @behave.when("one writes group {first} and then the other {second}")
 def step_both_write(context, first, second):
-    lease = rows.Condition(book.LEASES, "a", rows.NO_ROW)
+    lease = rows.Condition(rowcache.LEASES, "a", rows.NO_ROW)
     context.answers = []
     for known, text in zip(context.books, (first, second), strict=True):
         name, _, vms = text.partition(":")
--- a/tests/groups/steps/planning_steps.py
+++ b/tests/groups/steps/planning_steps.py
@@ -7,10 +7,13 @@
 from citronvalve.groups import compact
 from citronvalve.groups import firstfit
 from citronvalve.groups import fleet
-from citronvalve.groups import need
-from citronvalve.groups import standing
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 
-_PLANNERS = {"compact": compact.Compact(), "firstfit": firstfit.FirstFit()}
+_PLANNERS = {
+    "compact": compact.CompactPlanner(),
+    "firstfit": firstfit.FirstFitPlanner(),
+}
 _SIZE = 4
 
 
@@ -27,7 +30,8 @@
     }
     sizes = [word.split("x") for word in needs.split()]
     context.needs = tuple(
-        need.Need(f"of{size}", int(size), int(count)) for size, count in sizes
+        groupspec.GroupSpec(f"of{size}", int(size), int(count))
+        for size, count in sizes
     )
     context.standing = ()
 
@@ -43,7 +47,7 @@
     domain, counts = word.split(":")
     up, lost = (int(each) for each in counts.split("-"))
     vms = tuple(f"{domain}-{number}-{n}" for n in range(up + lost))
-    return standing.Standing(
+    return groupstatus.GroupStatus(
         str(number), f"of{_SIZE}", domain, vms[:up], vms[up:]
     )
 
@@ -82,7 +86,7 @@
             chance.choice([0, 0, 1, 2]) for _ in range(chance.randint(0, 5))
         )
     )
-    needs = (need.Need(f"of{_SIZE}", _SIZE, chance.randint(0, 8)),)
+    needs = (groupspec.GroupSpec(f"of{_SIZE}", _SIZE, chance.randint(0, 8)),)
     return fleet.Fleet(needs, groups, free)
 
 
--- a/tests/groups/steps/rolling_steps.py
+++ b/tests/groups/steps/rolling_steps.py
@@ -2,7 +2,7 @@
 
 import behave
 
-from citronvalve.groups import fixedloads
+from citronvalve.groups import fixedloadslots
 from citronvalve.groups import phase
 from tests.groups import world
 
@@ -36,7 +36,7 @@
     for engine in made.engine_by_address.values():
         engine.load_time = 3 * _LOAD
     for each in made.process_by_name.values():
-        slot = fixedloads.FixedLoads(slots)
+        slot = fixedloadslots.FixedLoadSlots(slots)
         each.leader._has = each.leader._has._replace(loads=slot)
 
 
--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -1,13 +1,13 @@
 """A data centre in memory: VMs, engines, table and several leaders."""
 
-from citronvalve.groups import book
 from citronvalve.groups import compact
-from citronvalve.groups import fixedloads
+from citronvalve.groups import dependencies
+from citronvalve.groups import fixedloadslots
 from citronvalve.groups import holding
 from citronvalve.groups import leader
-from citronvalve.groups import means
 from citronvalve.groups import phase
 from citronvalve.groups import routing
+from citronvalve.groups import rowcache
 from citronvalve.groups import timing
 from citronvalve.model import declared
 from citronvalve.model import invariant
@@ -35,14 +35,14 @@
         )
         self.is_paused = False
         self.leader = leader.Leader(
-            means.Means(
+            dependencies.Dependencies(
                 datacentre=DC,
                 holder=name,
                 table=triptable.TripTable(world.table, self.points),
                 vms=world.vms,
                 engines=self.engines,
-                loads=fixedloads.FixedLoads(4),
-                planner=compact.Compact(),
+                loads=fixedloadslots.FixedLoadSlots(4),
+                planner=compact.CompactPlanner(),
                 time=world.clock,
                 held=world.held,
                 spans=SPANS,
@@ -144,10 +144,10 @@
 
     def rows(self):
         """Read the table as it is, past the faults set for the leaders."""
-        known = book.Book(DC, self.held)
+        known = rowcache.RowCache(DC, self.held)
         kept, self.table.faults = self.table.faults, faults.Faults()
-        known.read_groups(self.table.scan(book.groups_table(DC)))
-        known.read_owners(self.table.scan(book.owners_table(DC)))
+        known.read_groups(self.table.scan(rowcache.groups_table(DC)))
+        known.read_owners(self.table.scan(rowcache.owners_table(DC)))
         self.table.faults = kept
         return known
 
@@ -161,7 +161,7 @@
                 *(state.group, state.fence, rank, state.vms),
             ):
                 return False
-            if held.state is not holding.Weights.READY:
+            if held.state is not holding.WeightsState.READY:
                 return False
         return True
 
