--- a/src/citronvalve/cli/grouping.py
+++ b/src/citronvalve/cli/grouping.py
@@ -72,7 +72,7 @@
     if missing.is_missing(scan):
         return scan
     known = rowcache.RowCache(group.datacentre, invariant.Invariants())
-    known.read_groups(scan)
+    known.apply_groups(scan)
     records = known.record_by_group.values()
     return [each for each in records if each.declared == group.name]
 
--- a/src/citronvalve/daemon/grouptask.py
+++ b/src/citronvalve/daemon/grouptask.py
@@ -67,11 +67,11 @@
                 table=table,
                 vms=vms,
                 engines=httpengines.HttpEngines(pool.imap),
-                loads=self._loads,
+                load_slots=self._loads,
                 planner=compact.CompactPlanner(),
-                time=env.clock,
-                held=env.invariants,
-                say=self._log.info,
+                clock=env.clock,
+                invariants=env.invariants,
+                log=self._log.info,
             )
         )
 
@@ -125,7 +125,7 @@
         after = known.revision_by_table.get(place, 0)
         scan = self._table.scan(place, after)
         if isinstance(scan, rows.Scan):
-            known.read_groups(scan)
+            known.apply_groups(scan)
 
     def _route(self) -> None:
         table = self._view.table
--- a/src/citronvalve/groups/change.py
+++ b/src/citronvalve/groups/change.py
@@ -18,7 +18,7 @@
 
     before: record.GroupRecord | None
     after: record.GroupRecord | None
-    ordering: bool = True
+    has_orders: bool = True
 
     @property
     def group(self) -> str:
@@ -34,10 +34,10 @@
 
 def transaction(
     change: Change,
-    known: rowcache.RowCache,
-    leased: rows.Condition,
+    cache: rowcache.RowCache,
+    lease_condition: rows.Condition,
     attempt: str,
-    held: invariant.Invariants,
+    invariants: invariant.Invariants,
 ) -> rows.Transaction:
     """Write a change as a transaction.
 
@@ -52,32 +52,32 @@
     :param attempt: id of this try.
     :param held: where promises are asserted.
     """
-    groups = rowcache.groups_table(known.datacentre)
+    groups = rowcache.groups_table(cache.datacentre)
     after = change.after
-    conditions = [leased, known.condition(groups, change.group)]
+    conditions = [lease_condition, cache.condition(groups, change.group)]
     value = rowcache.encode(after) if after else None
     writes = [rows.Write(groups, change.group, value)]
-    if change.ordering:
-        owners = rowcache.owners_table(known.datacentre)
-        for each in _owners(change, known, attempt):
-            was = known.owner_by_vm.get(each.vm)
-            held.check(
+    if change.has_orders:
+        owners = rowcache.owners_table(cache.datacentre)
+        for each in _owners(change, cache, attempt):
+            previous = cache.owner_by_vm.get(each.vm)
+            invariants.check(
                 "no VM is taken from another group",
-                was is None or was.group in ("", change.group),
-                f"{each.vm} of {was} for {change.group}",
+                previous is None or previous.group in ("", change.group),
+                f"{each.vm} of {previous} for {change.group}",
             )
-            conditions.append(known.condition(owners, each.vm))
+            conditions.append(cache.condition(owners, each.vm))
             writes.append(rows.Write(owners, each.vm, rowcache.encode(each)))
     return rows.Transaction(attempt, tuple(conditions), tuple(writes))
 
 
 def _owners(
-    change: Change, known: rowcache.RowCache, attempt: str
+    change: Change, cache: rowcache.RowCache, attempt: str
 ) -> list[owner.Owner]:
     after = change.after
     fence = after.fence if after else 0
     if after is None:
-        fence = next_fence(known, change.before)
+        fence = next_fence(cache, change.before)
     members = set(after.vms) if after else set()
     return [
         owner.Owner(vm, after.name if vm in members else "", fence, attempt)
@@ -85,11 +85,11 @@
     ]
 
 
-def outbid(
+def raise_fence(
     vm: str,
-    seen: int,
-    known: rowcache.RowCache,
-    leased: rows.Condition,
+    engine_fence: int,
+    cache: rowcache.RowCache,
+    lease_condition: rows.Condition,
     attempt: str,
 ) -> rows.Transaction:
     """Write the intent to empty a VM that nobody owns.
@@ -103,20 +103,20 @@
     :param leased: the leader's own lease row.
     :param attempt: id of this try.
     """
-    fence = next_fence(known, seen=seen)
-    table = rowcache.owners_table(known.datacentre)
+    fence = next_fence(cache, reported_fence=engine_fence)
+    table = rowcache.owners_table(cache.datacentre)
     value = rowcache.encode(owner.Owner(vm, "", fence, attempt))
     return rows.Transaction(
         attempt,
-        (leased, known.condition(table, vm)),
+        (lease_condition, cache.condition(table, vm)),
         (rows.Write(table, vm, value),),
     )
 
 
 def next_fence(
-    known: rowcache.RowCache,
+    cache: rowcache.RowCache,
     before: record.GroupRecord | None = None,
-    seen: int = 0,
+    reported_fence: int = 0,
 ) -> int:
     """Return a fence above all that were given in the data centre.
 
@@ -128,5 +128,5 @@
     :param before: the group's record, if it has one.
     :param seen: the highest fence read back from the engines.
     """
-    fences = [each.fence for each in known.owner_by_vm.values()]
-    return 1 + max([seen, before.fence if before else 0, *fences])
+    fences = [each.fence for each in cache.owner_by_vm.values()]
+    return 1 + max([reported_fence, before.fence if before else 0, *fences])
--- a/src/citronvalve/groups/compact.py
+++ b/src/citronvalve/groups/compact.py
@@ -10,8 +10,8 @@
 from citronvalve.groups import plan
 from citronvalve.groups import planner
 
-_MERGED = "its VMs complete another broken group of the domain"
-_MOVED = "no spare in its domain, and another domain has room"
+_MERGE_REASON = "its VMs complete another broken group of the domain"
+_MOVE_REASON = "no spare in its domain, and another domain has room"
 
 
 class CompactPlanner(planner.Planner):
@@ -24,118 +24,128 @@
     never touched: moving one costs downtime and wins no VM.
     """
 
-    def plan(self, seen: fleet.Fleet) -> plan.Plan:
-        gone = firstfit.surplus(seen)
-        free = {d: list(v) for d, v in sorted(seen.free_by_domain.items())}
-        kept = [each for each in seen.standing if each.group not in gone]
+    def plan(self, current: fleet.Fleet) -> plan.Plan:
+        dissolved = firstfit.surplus(current)
+        free = {d: list(v) for d, v in sorted(current.free_by_domain.items())}
+        kept = [each for each in current.groups if each.group not in dissolved]
         # Groups that lack the fewest VMs first: most groups come back for
         # the spares there are.
         broken = sorted(
             (each for each in kept if each.lost or each.leaving),
             key=lambda s: (not s.lost, len(s.lost), s.group),
         )
-        mended = firstfit.repairs(broken, free)
-        names = {each.group for each in mended}
+        repaired = firstfit.repairs(broken, free)
+        names = {each.group for each in repaired}
         # A group that only has a VM about to leave serves until then.
-        waiting = [
+        unrepaired = [
             each for each in broken if each.lost and each.group not in names
         ]
-        merged = _merged(waiting, free)
-        gone |= dict.fromkeys(merged, _MERGED)
-        waiting = [each for each in waiting if each.group not in merged]
-        kept = [each for each in kept if each.group not in gone]
-        placements = _placements(seen.needs, kept, free)
-        moved, more = _moved(seen.needs, waiting, kept, free)
-        gone |= dict.fromkeys(moved, _MOVED)
-        return plan.Plan((*placements, *more), tuple(mended), gone)
-
-
-def _merged(
-    waiting: list[groupstatus.GroupStatus], free: dict[str, list[str]]
+        merged = _groups_to_merge(unrepaired, free)
+        dissolved |= dict.fromkeys(merged, _MERGE_REASON)
+        unrepaired = [each for each in unrepaired if each.group not in merged]
+        kept = [each for each in kept if each.group not in dissolved]
+        placements = _new_placements(current.specs, kept, free)
+        moved, moved_placements = _groups_to_move(
+            current.specs, unrepaired, kept, free
+        )
+        dissolved |= dict.fromkeys(moved, _MOVE_REASON)
+        return plan.Plan(
+            (*placements, *moved_placements), tuple(repaired), dissolved
+        )
+
+
+def _groups_to_merge(
+    broken: list[groupstatus.GroupStatus], free: dict[str, list[str]]
 ) -> set[str]:
     # The VMs of a group given up are spare only after they were read back
     # empty, so this plan gives it up and a later one uses them.
     given_up = set()
     by_domain: dict[str, list[groupstatus.GroupStatus]] = {}
-    for each in waiting:
+    for each in broken:
         by_domain.setdefault(each.domain, []).append(each)
     for domain, groups in by_domain.items():
-        spare = len(free.get(domain, ()))
-        left = sorted(groups, key=lambda s: len(s.lost))
-        while len(left) > 1 and spare < len(left[0].lost):
-            last = left.pop()
-            spare += len(last.up)
+        spare_count = len(free.get(domain, ()))
+        remaining = sorted(groups, key=lambda s: len(s.lost))
+        while len(remaining) > 1 and spare_count < len(remaining[0].lost):
+            last = remaining.pop()
+            spare_count += len(last.up)
             given_up.add(last.group)
-        if left and spare < len(left[0].lost):
+        if remaining and spare_count < len(remaining[0].lost):
             # Nothing is won: keep them all, and wait for their VMs.
             given_up -= {each.group for each in groups}
     return given_up
 
 
-def _placements(
-    needs: tuple[groupspec.GroupSpec, ...],
+def _new_placements(
+    specs: tuple[groupspec.GroupSpec, ...],
     kept: list[groupstatus.GroupStatus],
     free: dict[str, list[str]],
 ) -> list[placement.Placement]:
     placements = []
-    where = collections.Counter((e.declared, e.domain) for e in kept)
-    standing_by_declared = collections.Counter(e.declared for e in kept)
+    count_by_declared_and_domain = collections.Counter(
+        (e.declared, e.domain) for e in kept
+    )
+    count_by_declared = collections.Counter(e.declared for e in kept)
     # The largest first: small groups fit into what large ones leave.
-    for each in sorted(needs, key=lambda n: (-n.size, n.declared)):
-        count = standing_by_declared[each.declared]
+    for each in sorted(specs, key=lambda n: (-n.size, n.declared)):
+        count = count_by_declared[each.declared]
         for _ in range(each.replicas - count):
-            domain = _best_domain(each, needs, where, free)
+            domain = _best_domain(
+                each, specs, count_by_declared_and_domain, free
+            )
             if domain is None:
                 break
             vms = tuple(free[domain][: each.size])
             del free[domain][: each.size]
-            where[each.declared, domain] += 1
+            count_by_declared_and_domain[each.declared, domain] += 1
             placements.append(placement.Placement(each.declared, domain, vms))
     return placements
 
 
 def _best_domain(
-    wanted: groupspec.GroupSpec,
-    needs: tuple[groupspec.GroupSpec, ...],
-    where: collections.Counter[tuple[str, str]],
+    spec: groupspec.GroupSpec,
+    specs: tuple[groupspec.GroupSpec, ...],
+    count_by_declared_and_domain: collections.Counter[tuple[str, str]],
     free: dict[str, list[str]],
 ) -> str | None:
     def cost(domain: str) -> tuple[int, int, int, str]:
-        room = len(free[domain])
+        free_count = len(free[domain])
         # First the room lost to larger groups, which would strand VMs; then
         # replicas of the same group lost together with the domain; then
         # how few spares each group of the domain would have.
         lost = sum(
-            room // other.size - (room - wanted.size) // other.size
-            for other in needs
-            if other.size > wanted.size
+            free_count // other.size - (free_count - spec.size) // other.size
+            for other in specs
+            if other.size > spec.size
         )
-        same = where[wanted.declared, domain]
-        return lost, same, -(room - wanted.size), domain
+        same = count_by_declared_and_domain[spec.declared, domain]
+        return lost, same, -(free_count - spec.size), domain
 
-    fitting = [d for d, vms in free.items() if len(vms) >= wanted.size]
+    fitting = [d for d, vms in free.items() if len(vms) >= spec.size]
     return min(fitting, key=cost, default=None)
 
 
-def _moved(
-    needs: tuple[groupspec.GroupSpec, ...],
-    waiting: list[groupstatus.GroupStatus],
+def _groups_to_move(
+    specs: tuple[groupspec.GroupSpec, ...],
+    broken: list[groupstatus.GroupStatus],
     kept: list[groupstatus.GroupStatus],
     free: dict[str, list[str]],
 ) -> tuple[list[str], list[placement.Placement]]:
     moved: list[str] = []
     placements: list[placement.Placement] = []
-    need_by_name = {each.declared: each for each in needs}
-    where = collections.Counter((e.declared, e.domain) for e in kept)
+    spec_by_name = {each.declared: each for each in specs}
+    count_by_declared_and_domain = collections.Counter(
+        (e.declared, e.domain) for e in kept
+    )
     # Those that lack most VMs first: they are the last to come back.
-    for each in sorted(waiting, key=lambda s: -len(s.lost)):
-        wanted = need_by_name[each.declared]
-        domain = _best_domain(wanted, needs, where, free)
+    for each in sorted(broken, key=lambda s: -len(s.lost)):
+        spec = spec_by_name[each.declared]
+        domain = _best_domain(spec, specs, count_by_declared_and_domain, free)
         if domain is None:
             continue
-        vms = tuple(free[domain][: wanted.size])
-        del free[domain][: wanted.size]
-        where[each.declared, domain] += 1
+        vms = tuple(free[domain][: spec.size])
+        del free[domain][: spec.size]
+        count_by_declared_and_domain[each.declared, domain] += 1
         moved.append(each.group)
         placements.append(placement.Placement(each.declared, domain, vms))
     return moved, placements
--- a/src/citronvalve/groups/dependencies.py
+++ b/src/citronvalve/groups/dependencies.py
@@ -13,7 +13,7 @@
 from citronvalve.storage import vmlist
 
 
-def _say_nothing(_line: str) -> None:
+def _discard_line(_line: str) -> None:
     """Take a line of the log and drop it."""
 
 
@@ -29,9 +29,9 @@
     table: tableservice.TableService
     vms: vmlist.VmList
     engines: engines.Engines
-    loads: loadslots.LoadSlots
+    load_slots: loadslots.LoadSlots
     planner: planner.Planner
-    time: clock.Clock
-    held: invariant.Invariants
-    spans: timing.Timing = timing.Timing()
-    say: Callable[[str], None] = _say_nothing
+    clock: clock.Clock
+    invariants: invariant.Invariants
+    timings: timing.Timing = timing.Timing()
+    log: Callable[[str], None] = _discard_line
--- a/src/citronvalve/groups/draintracker.py
+++ b/src/citronvalve/groups/draintracker.py
@@ -10,7 +10,7 @@
 from citronvalve.groups import vmstatus
 from citronvalve.model import clock
 
-_WAITING = {phase.Phase.CLOSED, phase.Phase.DISSOLVING}
+_DRAINING_PHASES = {phase.Phase.CLOSED, phase.Phase.DISSOLVING}
 
 
 class DrainTracker:
@@ -19,15 +19,15 @@
     :param spans: the limits.
     """
 
-    def __init__(self, spans: timing.Timing) -> None:
-        self._spans = spans
-        self._closed_at: dict[tuple[str, str], clock.Ms] = {}
+    def __init__(self, timings: timing.Timing) -> None:
+        self._timings = timings
+        self._closed_at_by_attempt: dict[tuple[str, str], clock.Ms] = {}
 
-    def drained(
+    def drained_groups(
         self,
-        known: rowcache.RowCache,
-        sighting_by_vm: dict[str, vmstatus.VmStatus],
-        asked: engines.Engines,
+        cache: rowcache.RowCache,
+        status_by_vm: dict[str, vmstatus.VmStatus],
+        engine_client: engines.Engines,
         now: clock.Ms,
     ) -> frozenset[str]:
         """Return the closed groups that have nothing in progress.
@@ -39,35 +39,38 @@
         """
         closed = {
             (each.name, each.attempt): each
-            for each in known.record_by_group.values()
-            if each.phase in _WAITING
+            for each in cache.record_by_group.values()
+            if each.phase in _DRAINING_PHASES
         }
-        self._closed_at = {
-            key: self._closed_at.get(key, now) for key in closed
+        self._closed_at_by_attempt = {
+            key: self._closed_at_by_attempt.get(key, now) for key in closed
         }
         return frozenset(
             each.name
             for key, each in closed.items()
             if self._is_drained(
-                each, sighting_by_vm, asked, now - self._closed_at[key]
+                each,
+                status_by_vm,
+                engine_client,
+                now - self._closed_at_by_attempt[key],
             )
-            or observation.lost_vms(each, sighting_by_vm, now, self._spans)
+            or observation.lost_vms(each, status_by_vm, now, self._timings)
         )
 
     def _is_drained(
         self,
-        known: record.GroupRecord,
-        sighting_by_vm: dict[str, vmstatus.VmStatus],
-        asked: engines.Engines,
+        group_record: record.GroupRecord,
+        status_by_vm: dict[str, vmstatus.VmStatus],
+        engine_client: engines.Engines,
         closed_for: clock.Ms,
     ) -> bool:
         # Other daemons go on sending until the state they hold is stale:
         # only then does an idle engine stay idle.
-        if closed_for < self._spans.fresh:
+        if closed_for < self._timings.max_state_age:
             return False
-        if closed_for >= self._spans.drain:
+        if closed_for >= self._timings.drain_timeout:
             return True
-        load = asked.load(known.members[0].address)
+        load = engine_client.load(group_record.members[0].address)
         if not isinstance(load, engineload.EngineLoad):
             return False
         return load.running + load.queued == 0
--- a/src/citronvalve/groups/engineload.py
+++ b/src/citronvalve/groups/engineload.py
@@ -12,5 +12,5 @@
     start_id: str
     running: int
     queued: int
-    bears: int
+    capacity: int
     vms_missing: tuple[str, ...] = ()
--- a/src/citronvalve/groups/event.py
+++ b/src/citronvalve/groups/event.py
@@ -7,11 +7,11 @@
     """One look at a group, with what the plan says of it."""
 
     #: Every VM holds what the phase asks for.
-    WHOLE = "whole"
+    CONVERGED = "whole"
     #: A VM is missing.
     LOST = "lost"
     #: A VM answers, and holds something else.
-    STRANGE = "strange"
+    DIVERGED = "strange"
     #: Nothing to act on yet.
     WAITING = "waiting"
     #: The plan has a spare for each VM lost.
@@ -23,4 +23,4 @@
     #: Operators or the plan give the group up.
     UNWANTED = "unwanted"
     #: The group that is given up has no request in progress.
-    IDLE = "idle"
+    DRAINED = "idle"
--- a/src/citronvalve/groups/firstfit.py
+++ b/src/citronvalve/groups/firstfit.py
@@ -8,17 +8,17 @@
 from citronvalve.groups import repair
 
 
-def surplus(seen: fleet.Fleet) -> dict[str, str]:
+def surplus(current: fleet.Fleet) -> dict[str, str]:
     """Return the groups beyond the replicas declared, with the reason.
 
     Broken groups go first, then those with the highest number.
 
     :param seen: the fleet.
     """
-    replicas_by_declared = {n.declared: n.replicas for n in seen.needs}
+    replicas_by_declared = {n.declared: n.replicas for n in current.specs}
     kept_by_declared: dict[str, int] = {}
     reason_by_group = {}
-    for each in sorted(seen.standing, key=lambda s: (len(s.lost), s.group)):
+    for each in sorted(current.groups, key=lambda s: (len(s.lost), s.group)):
         kept = kept_by_declared.get(each.declared, 0)
         if kept >= replicas_by_declared.get(each.declared, 0):
             reason_by_group[each.group] = "more groups than declared"
@@ -35,39 +35,39 @@
     :param broken: groups with VMs lost or leaving.
     :param free_by_domain: spare VMs, changed in place.
     """
-    done = []
+    planned = []
     for each in broken:
         free = free_by_domain.get(each.domain, [])
-        going = (*each.lost, *each.leaving)
-        if len(free) < len(going):
+        outgoing = (*each.lost, *each.leaving)
+        if len(free) < len(outgoing):
             continue
-        spare_by_vm = {vm: free.pop(0) for vm in going}
-        done.append(repair.Repair(each.group, spare_by_vm))
-    return done
+        spare_by_vm = {vm: free.pop(0) for vm in outgoing}
+        planned.append(repair.Repair(each.group, spare_by_vm))
+    return planned
 
 
 class FirstFitPlanner(planner.Planner):
     """Takes the first domain with room, and waits for lost VMs."""
 
-    def plan(self, seen: fleet.Fleet) -> plan.Plan:
-        gone = surplus(seen)
-        free = {d: list(v) for d, v in sorted(seen.free_by_domain.items())}
-        kept = [each for each in seen.standing if each.group not in gone]
-        mended = repairs(
+    def plan(self, current: fleet.Fleet) -> plan.Plan:
+        dissolved = surplus(current)
+        free = {d: list(v) for d, v in sorted(current.free_by_domain.items())}
+        kept = [each for each in current.groups if each.group not in dissolved]
+        repaired = repairs(
             [each for each in kept if each.lost or each.leaving], free
         )
         placements = []
-        for need in seen.needs:
-            count = sum(each.declared == need.declared for each in kept)
-            for _ in range(need.replicas - count):
+        for spec in current.specs:
+            count = sum(each.declared == spec.declared for each in kept)
+            for _ in range(spec.replicas - count):
                 domain = next(
-                    (d for d, v in free.items() if len(v) >= need.size), None
+                    (d for d, v in free.items() if len(v) >= spec.size), None
                 )
                 if domain is None:
                     break
-                vms = tuple(free[domain][: need.size])
-                del free[domain][: need.size]
+                vms = tuple(free[domain][: spec.size])
+                del free[domain][: spec.size]
                 placements.append(
-                    placement.Placement(need.declared, domain, vms)
+                    placement.Placement(spec.declared, domain, vms)
                 )
-        return plan.Plan(tuple(placements), tuple(mended), gone)
+        return plan.Plan(tuple(placements), tuple(repaired), dissolved)
--- a/src/citronvalve/groups/fixedloadslots.py
+++ b/src/citronvalve/groups/fixedloadslots.py
@@ -7,7 +7,7 @@
 #: How long a slot is lent without being renewed.  The leader renews it with
 #: every step while the load runs, so that this only has to outlast a few
 #: missed steps.
-_LENT_FOR: clock.Ms = 10_000
+_SLOT_LEASE: clock.Ms = 10_000
 
 
 class FixedLoadSlots(loadslots.LoadSlots):
@@ -18,14 +18,14 @@
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self._until_by_load: dict[str, clock.Ms] = {}
+        self._expires_at_by_load: dict[str, clock.Ms] = {}
 
     def acquire(
         self, load: str, now: clock.Ms
     ) -> clock.Ms | missing.Unavailable:
-        lent = {k: t for k, t in self._until_by_load.items() if t > now}
-        if load not in lent and len(lent) >= self.slots:
+        active = {k: t for k, t in self._expires_at_by_load.items() if t > now}
+        if load not in active and len(active) >= self.slots:
             return missing.Unavailable("all load slots are lent", load)
-        lent[load] = now + _LENT_FOR
-        self._until_by_load = lent
-        return lent[load]
+        active[load] = now + _SLOT_LEASE
+        self._expires_at_by_load = active
+        return active[load]
--- a/src/citronvalve/groups/fleet.py
+++ b/src/citronvalve/groups/fleet.py
@@ -9,6 +9,6 @@
 class Fleet(NamedTuple):
     """Needs, groups and free VMs; a free VM is up and unowned."""
 
-    needs: tuple[groupspec.GroupSpec, ...]
-    standing: tuple[groupstatus.GroupStatus, ...]
+    specs: tuple[groupspec.GroupSpec, ...]
+    groups: tuple[groupstatus.GroupStatus, ...]
     free_by_domain: dict[str, tuple[str, ...]]
--- a/src/citronvalve/groups/fleetbuilder.py
+++ b/src/citronvalve/groups/fleetbuilder.py
@@ -28,7 +28,7 @@
         groupspec.GroupSpec(each.name, each.size, each.replicas)
         for each in seen.declared_groups().values()
     )
-    records = seen.known.record_by_group.values()
+    records = seen.cache.record_by_group.values()
     groups = tuple(
         _standing(each, seen)
         for each in records
@@ -41,7 +41,7 @@
     known: record.GroupRecord, seen: observedstate.ObservedState
 ) -> groupstatus.GroupStatus:
     lost = observation.lost_vms(
-        known, seen.sighting_by_vm, seen.now, seen.spans
+        known, seen.status_by_vm, seen.now, seen.timings
     )
     leaving = tuple(
         vm for vm in known.vms if vm not in lost and _is_leaving(vm, seen)
@@ -69,17 +69,17 @@
     for vm, listed in sorted(seen.listed_by_vm.items()):
         if listed.state is not vmlist.VmState.LIVE:
             continue
-        if _is_free(vm, seen) and (not careful or seen.is_sure((vm,))):
+        if _is_free(vm, seen) and (not careful or seen.is_settled((vm,))):
             by_domain.setdefault(listed.domain, []).append(vm)
     return {domain: tuple(vms) for domain, vms in by_domain.items()}
 
 
 def _is_free(vm: str, seen: observedstate.ObservedState) -> bool:
-    owner = seen.known.owner_by_vm.get(vm)
+    owner = seen.cache.owner_by_vm.get(vm)
     if owner and owner.group:
         return False
-    found = seen.sighting_by_vm.get(vm)
+    found = seen.status_by_vm.get(vm)
     if found is None or found.holding is None:
         return False
     # What it may still hold of an old group goes with the first order.
-    return not observation.is_silent(found, seen.now, seen.spans)
+    return not observation.is_silent(found, seen.now, seen.timings)
--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -39,11 +39,11 @@
     def __init__(self, has: dependencies.Dependencies) -> None:
         self.states: tuple[state.GroupState, ...] = ()
         self._has = has
-        self._known = rowcache.RowCache(has.datacentre, has.held)
-        self._watch = vmstatustable.VmStatusTable(has.spans)
-        self._drains = draintracker.DrainTracker(has.spans)
+        self._known = rowcache.RowCache(has.datacentre, has.invariants)
+        self._watch = vmstatustable.VmStatusTable(has.timings)
+        self._drains = draintracker.DrainTracker(has.timings)
         self._lease = leasemanager.LeaseManager(
-            has.datacentre, has.holder, has.spans
+            has.datacentre, has.holder, has.timings
         )
         self._listed_by_vm: dict[str, vmlist.VmRecord] = {}
         self._list_at: clock.Ms = -1
@@ -60,7 +60,7 @@
 
     def is_leading(self) -> bool:
         """Tell whether this process holds the lease."""
-        return self._lease.is_held(self._has.time.now())
+        return self._lease.is_held(self._has.clock.now())
 
     def step(self, now: clock.Ms) -> None:
         """Watch, then lead; about once a second.
@@ -95,7 +95,7 @@
     def stop(self) -> None:
         """Free the lease, so that the next holder need not wait it out."""
         attempt = self._attempt()
-        wanted = self._lease.resigned(self._has.time.now(), attempt)
+        wanted = self._lease.resigned(self._has.clock.now(), attempt)
         if wanted:
             self._has.table.commit(wanted)
 
@@ -107,11 +107,11 @@
         for name, take in (
             (
                 rowcache.groups_table(self._has.datacentre),
-                self._known.read_groups,
+                self._known.apply_groups,
             ),
             (
                 rowcache.owners_table(self._has.datacentre),
-                self._known.read_owners,
+                self._known.apply_owners,
             ),
         ):
             after = self._known.revision_by_table.get(name, 0)
@@ -127,7 +127,7 @@
         found = self._has.vms.vms(self._has.datacentre)
         if isinstance(found, missing.Missing):
             return
-        self._list_at = now + self._has.spans.list_every
+        self._list_at = now + self._has.timings.list_interval
         self._listed_by_vm = {each.vm: each for each in found}
 
     def _poll(self) -> None:
@@ -138,21 +138,21 @@
         }
         for vm, listed in self._listed_by_vm.items():
             address_by_vm.setdefault(vm, listed.address)
-        asked_at = self._has.time.now()
+        asked_at = self._has.clock.now()
         found = self._has.engines.holdings(address_by_vm.values())
         for vm, address in address_by_vm.items():
-            self._watch.take(vm, found[address], asked_at)
-        self._watch.keep(set(address_by_vm))
+            self._watch.record_read_back(vm, found[address], asked_at)
+        self._watch.retain(set(address_by_vm))
 
     def _publish(self) -> None:
-        now = self._has.time.now()
+        now = self._has.clock.now()
         self.states = tuple(
             routing.state_of(
                 each,
-                self._watch.sighting_by_vm,
+                self._watch.status_by_vm,
                 now,
-                self._has.spans,
-                self._has.held,
+                self._has.timings,
+                self._has.invariants,
             )
             for _, each in sorted(self._known.record_by_group.items())
         )
@@ -162,18 +162,18 @@
                 continue
             for vm in each.vms:
                 other = serving.setdefault(vm, each.group)
-                self._has.held.check(
+                self._has.invariants.check(
                     "no VM serves in two groups", other == each.group, vm
                 )
 
     def _hold_lease(self) -> None:
-        if not self._lease.is_due(self._has.time.now()):
+        if not self._lease.is_due(self._has.clock.now()):
             return
-        row = self._has.table.read(rowcache.LEASES, self._has.datacentre)
+        row = self._has.table.read(rowcache.LEASES_TABLE, self._has.datacentre)
         if isinstance(row, missing.Unavailable):
             return
         found = row if isinstance(row, rows.Row) else None
-        now = self._has.time.now()
+        now = self._has.clock.now()
         wanted = self._lease.wish(found, now, self._attempt())
         if wanted is None:
             self._lease.refused()
@@ -186,21 +186,22 @@
             self._lease.refused()
 
     def _situation(self) -> observedstate.ObservedState:
-        has, now = self._has, self._has.time.now()
-        drained = self._drains.drained(
-            self._known, self._watch.sighting_by_vm, has.engines, now
+        has, now = self._has, self._has.clock.now()
+        drained = self._drains.drained_groups(
+            self._known, self._watch.status_by_vm, has.engines, now
         )
         return observedstate.ObservedState(
             declared=self._declared,
-            known=self._known,
-            sighting_by_vm=self._watch.sighting_by_vm,
-            unsure_until_by_vm=self._watch.unsure_until_by_vm,
+            cache=self._known,
+            status_by_vm=self._watch.status_by_vm,
+            uncertain_until_by_vm=self._watch.uncertain_until_by_vm,
             listed_by_vm=self._listed_by_vm,
-            spans=has.spans,
-            settled_at=self._lease.taken_at + has.spans.order_bound,
-            drained=drained,
+            timings=has.timings,
+            orders_settled_at=self._lease.taken_at
+            + has.timings.max_order_delay,
+            drained_groups=drained,
             now=now,
-            wall=has.time.wall(),
+            wall=has.clock.wall(),
         )
 
     def _rounds(self) -> None:
@@ -208,7 +209,7 @@
             seen = self._situation()
             planned = self._has.planner.plan(fleetbuilder.build_fleet(seen))
             decision = reconciler.Reconciler(
-                seen, planned, self._attempt, self._has.held
+                seen, planned, self._attempt, self._has.invariants
             )
             changed = [self._commit(each) for each in decision.changes()]
             ordered = self._order(seen)
@@ -226,12 +227,12 @@
                 self._known,
                 self._lease.condition,
                 attempt,
-                self._has.held,
+                self._has.invariants,
             )
         )
         after = wanted.after
         shown = f"{after.phase}: {after.reason}" if after else "given up"
-        self._has.say(f"group {wanted.group} {shown}; {done!r}")
+        self._has.log(f"group {wanted.group} {shown}; {done!r}")
         # Whether a lost answer was a success is read back with the rows,
         # which carry the attempt, before any order is given.
         return not isinstance(done, rows.Conflict | missing.Unavailable)
@@ -255,8 +256,8 @@
     def _may_load(self, known: record.GroupRecord) -> bool:
         if known.phase is not phase.Phase.LOADING:
             return True
-        lent = self._has.loads.acquire(
-            f"{known.name}/{known.fence}", self._has.time.now()
+        lent = self._has.load_slots.acquire(
+            f"{known.name}/{known.fence}", self._has.clock.now()
         )
         return not isinstance(lent, missing.Missing)
 
@@ -270,7 +271,7 @@
                 due.append(wanted)
                 continue
             self._has.table.commit(
-                change.outbid(
+                change.raise_fence(
                     vm,
                     held.fence,
                     self._known,
@@ -284,7 +285,7 @@
         # Read just before the orders go out: the writes above may have
         # taken longer than the lease, and then another process may have
         # taken these VMs.
-        sent_at = self._has.time.now()
+        sent_at = self._has.clock.now()
         due = [each for each in due if self._is_first(each)]
         if not due or not self._lease.is_held(sent_at):
             return 0
@@ -292,7 +293,7 @@
             [(each.address, each.given) for each in due]
         )
         for each, answer in zip(due, answers, strict=True):
-            self._watch.answered(each.vm, answer, sent_at)
+            self._watch.record_order_answer(each.vm, answer, sent_at)
         return len(due)
 
     def _is_first(self, each: orders.AddressedOrder) -> bool:
--- a/src/citronvalve/groups/leasemanager.py
+++ b/src/citronvalve/groups/leasemanager.py
@@ -37,7 +37,9 @@
     @property
     def condition(self) -> rows.Condition:
         """Return the condition that the lease row is as this holder wrote."""
-        return rows.Condition(rowcache.LEASES, self._datacentre, self._version)
+        return rows.Condition(
+            rowcache.LEASES_TABLE, self._datacentre, self._version
+        )
 
     def is_held(self, now: clock.Ms) -> bool:
         """Tell whether this process may give orders.
@@ -62,7 +64,7 @@
         :param now: monotonic time in ms, read after the row.
         :param attempt: id of this try.
         """
-        self._renew_at = now + self._spans.renew
+        self._renew_at = now + self._spans.renew_interval
         if row is None:
             return self._write(rows.NO_ROW, 1, now, attempt)
         seen = rowcache.read_lease(row)
@@ -72,7 +74,9 @@
         if row.version != self._seen_version:
             self._seen_version, self._seen_since = row.version, now
         waited = now - self._seen_since
-        free = waited >= self._spans.lease + self._spans.drift
+        free = (
+            waited >= self._spans.lease_duration + self._spans.max_clock_drift
+        )
         if not free and seen.holder:
             return None
         return self._write(row.version, seen.term + 1, now, attempt)
@@ -91,10 +95,16 @@
         wanted = lease.Lease(self._datacentre, self._holder, term, attempt)
         return rows.Transaction(
             attempt,
-            (rows.Condition(rowcache.LEASES, self._datacentre, version),),
+            (
+                rows.Condition(
+                    rowcache.LEASES_TABLE, self._datacentre, version
+                ),
+            ),
             (
                 rows.Write(
-                    rowcache.LEASES, self._datacentre, rowcache.encode(wanted)
+                    rowcache.LEASES_TABLE,
+                    self._datacentre,
+                    rowcache.encode(wanted),
                 ),
             ),
         )
@@ -109,7 +119,7 @@
         if term != self._term:
             self._term, self.taken_at = term, sent_at
         self._version = version
-        self._until = max(self._until, sent_at + self._spans.lease)
+        self._until = max(self._until, sent_at + self._spans.lease_duration)
 
     def refused(self) -> None:
         """Take in that another process wrote the row."""
@@ -129,5 +139,5 @@
         return rows.Transaction(
             attempt,
             (self.condition,),
-            (rows.Write(rowcache.LEASES, self._datacentre, value),),
+            (rows.Write(rowcache.LEASES_TABLE, self._datacentre, value),),
         )
--- a/src/citronvalve/groups/observation.py
+++ b/src/citronvalve/groups/observation.py
@@ -29,7 +29,7 @@
     """
     if seen is None:
         return False
-    return seen.gone or now - seen.seen_at >= spans.silent
+    return seen.is_down or now - seen.seen_at >= spans.unreachable_after
 
 
 def is_lost(
@@ -45,10 +45,10 @@
     :param now: monotonic time in ms.
     :param spans: the limits.
     """
-    if seen is None or seen.gone:
+    if seen is None or seen.is_down:
         return seen is not None
-    unanswered = seen.asked_at - seen.seen_at
-    return is_silent(seen, now, spans) and unanswered > spans.one_missed
+    unanswered = seen.contacted_at - seen.seen_at
+    return is_silent(seen, now, spans) and unanswered > spans.second_miss_after
 
 
 def lost_vms(
@@ -139,7 +139,7 @@
         ahead = [each.vm for each in held if each.fence > known.fence]
         if ahead:
             reason = f"saw a higher fence: {', '.join(ahead)}"
-            return Observation(event.Event.STRANGE, reason)
+            return Observation(event.Event.DIVERGED, reason)
         short = [
             each.vm
             for rank, each in enumerate(held)
@@ -153,7 +153,7 @@
     ]
     if strange:
         reason = f"hold something else: {', '.join(strange)}"
-        return Observation(event.Event.STRANGE, reason)
+        return Observation(event.Event.DIVERGED, reason)
     short = [
         each.vm
         for rank, each in enumerate(held)
@@ -162,10 +162,10 @@
     if known.phase is phase.Phase.LOADING or not short:
         return _waiting(short, "loading")
     reason = f"not ready any more: {', '.join(short)}"
-    return Observation(event.Event.STRANGE, reason)
+    return Observation(event.Event.DIVERGED, reason)
 
 
 def _waiting(short: list[str], reason: str) -> Observation:
     if not short:
-        return Observation(event.Event.WHOLE, "all VMs match")
+        return Observation(event.Event.CONVERGED, "all VMs match")
     return Observation(event.Event.WAITING, f"{reason}: {', '.join(short)}")
--- a/src/citronvalve/groups/observedstate.py
+++ b/src/citronvalve/groups/observedstate.py
@@ -20,13 +20,13 @@
     """
 
     declared: declared.Declared
-    known: rowcache.RowCache
-    sighting_by_vm: dict[str, vmstatus.VmStatus]
-    unsure_until_by_vm: dict[str, clock.Ms]
+    cache: rowcache.RowCache
+    status_by_vm: dict[str, vmstatus.VmStatus]
+    uncertain_until_by_vm: dict[str, clock.Ms]
     listed_by_vm: dict[str, vmlist.VmRecord]
-    spans: timing.Timing
-    settled_at: clock.Ms
-    drained: frozenset[str]
+    timings: timing.Timing
+    orders_settled_at: clock.Ms
+    drained_groups: frozenset[str]
     now: clock.Ms
     wall: clock.Ms
 
@@ -35,7 +35,7 @@
         return {
             name: each
             for name, each in self.declared.group_by_name.items()
-            if each.datacentre == self.known.datacentre
+            if each.datacentre == self.cache.datacentre
         }
 
     def wanted(self, group: declared.Group) -> wanted.Wanted:
@@ -47,14 +47,14 @@
         version = model.version if model else ""
         return wanted.Wanted(group.model, version, group.adapter, group.role)
 
-    def is_sure(self, vms: tuple[str, ...]) -> bool:
+    def is_settled(self, vms: tuple[str, ...]) -> bool:
         """Tell whether read-backs are later than any order in flight.
 
         :param vms: names of the VMs.
         """
         return all(
             seen is not None
-            and seen.seen_at >= self.settled_at
-            and seen.seen_at >= self.unsure_until_by_vm.get(vm, 0)
-            for vm, seen in ((v, self.sighting_by_vm.get(v)) for v in vms)
+            and seen.seen_at >= self.orders_settled_at
+            and seen.seen_at >= self.uncertain_until_by_vm.get(vm, 0)
+            for vm, seen in ((v, self.status_by_vm.get(v)) for v in vms)
         )
--- a/src/citronvalve/groups/orders.py
+++ b/src/citronvalve/groups/orders.py
@@ -37,14 +37,14 @@
     group = seen.declared_groups().get(known.declared)
     if group is None:
         return []
-    if not group.refuses_old_fence and seen.now < seen.settled_at:
+    if not group.refuses_old_fence and seen.now < seen.orders_settled_at:
         return []
     found = []
     for rank, each in enumerate(known.members):
-        sighting = seen.sighting_by_vm.get(each.vm)
+        sighting = seen.status_by_vm.get(each.vm)
         if sighting is None or sighting.holding is None:
             continue
-        if observation.is_silent(sighting, seen.now, seen.spans):
+        if observation.is_silent(sighting, seen.now, seen.timings):
             continue
         if _is_due(known, rank, sighting.holding):
             given = _order(known, rank)
@@ -62,7 +62,7 @@
     """
     if known.phase is not phase.Phase.LOADING:
         return False
-    found = (seen.sighting_by_vm.get(vm) for vm in known.vms)
+    found = (seen.status_by_vm.get(vm) for vm in known.vms)
     held = [each.holding for each in found if each and each.holding]
     return any(
         each.group == known.name and each.state is holding.WeightsState.LOADING
@@ -107,13 +107,13 @@
     """
     found = []
     for vm in seen.listed_by_vm:
-        sighting = seen.sighting_by_vm.get(vm)
+        sighting = seen.status_by_vm.get(vm)
         if sighting is None or sighting.holding is None:
             continue
-        owned = seen.known.owner_by_vm.get(vm)
+        owned = seen.cache.owner_by_vm.get(vm)
         if owned and owned.group:
             continue
-        silent = observation.is_silent(sighting, seen.now, seen.spans)
+        silent = observation.is_silent(sighting, seen.now, seen.timings)
         if not silent and fleetbuilder.is_stray(sighting.holding):
             found.append((vm, sighting.holding))
     return found
--- a/src/citronvalve/groups/planner.py
+++ b/src/citronvalve/groups/planner.py
@@ -10,7 +10,7 @@
     """Decides which VMs form groups; pure, and called with every step."""
 
     @abc.abstractmethod
-    def plan(self, seen: fleet.Fleet) -> plan.Plan:
+    def plan(self, current: fleet.Fleet) -> plan.Plan:
         """Plan a data centre.
 
         :param seen: the fleet as it is now.
--- a/src/citronvalve/groups/reconciler.py
+++ b/src/citronvalve/groups/reconciler.py
@@ -53,12 +53,12 @@
         # bound is for the callers, who are left with the rest.
         seen = self._seen
         closed: dict[str, int] = {}
-        for each in seen.known.record_by_group.values():
+        for each in seen.cache.record_by_group.values():
             found = observation.observe(
-                each, seen.sighting_by_vm, seen.now, seen.spans
+                each, seen.status_by_vm, seen.now, seen.timings
             )
             is_closed = (
-                each.phase is not _P.SERVING or found.event is not _E.WHOLE
+                each.phase is not _P.SERVING or found.event is not _E.CONVERGED
             )
             count = closed.get(each.declared, 0)
             closed[each.declared] = count + is_closed
@@ -67,12 +67,12 @@
     def changes(self) -> list[change.Change]:
         """Return the changes that are due, new groups first."""
         new = self._new_groups()
-        records = sorted(self._seen.known.record_by_group.items())
+        records = sorted(self._seen.cache.record_by_group.items())
         later = (self._next(each) for _, each in records)
         return [*new, *(each for each in later if each)]
 
     def _new_groups(self) -> list[change.Change]:
-        taken = set(self._seen.known.record_by_group)
+        taken = set(self._seen.cache.record_by_group)
         made = []
         for each in self._plan.placements:
             number = 0
@@ -106,9 +106,9 @@
     def _fence(
         self, vms: tuple[str, ...], before: record.GroupRecord | None
     ) -> int:
-        found = (self._seen.sighting_by_vm.get(vm) for vm in vms)
+        found = (self._seen.status_by_vm.get(vm) for vm in vms)
         held = [f.holding.fence for f in found if f and f.holding]
-        known = self._seen.known
+        known = self._seen.cache
         return change.next_fence(known, before, max(held, default=0))
 
     def _next(self, known: record.GroupRecord) -> change.Change | None:
@@ -135,12 +135,12 @@
         group = self._group_by_name.get(known.declared)
         if group is None or group.refuses_old_fence:
             return True
-        return after is not _P.SERVING or self._seen.is_sure(known.vms)
+        return after is not _P.SERVING or self._seen.is_settled(known.vms)
 
     def _look(self, known: record.GroupRecord) -> observation.Observation:
         seen = self._seen
         if known.phase is _P.DISSOLVING:
-            return self._when_drained(known, _E.IDLE, known.reason)
+            return self._when_drained(known, _E.DRAINED, known.reason)
         group = self._group_by_name.get(known.declared)
         if group is None:
             return observation.Observation(
@@ -150,7 +150,7 @@
         if given_up:
             return observation.Observation(_E.UNWANTED, given_up)
         found = observation.observe(
-            known, seen.sighting_by_vm, seen.now, seen.spans
+            known, seen.status_by_vm, seen.now, seen.timings
         )
         mend = self._repair_by_group.get(known.name)
         if mend:
@@ -172,7 +172,10 @@
     ) -> observation.Observation:
         spares = ", ".join(f"{v} by {s}" for v, s in mend.spare_by_vm.items())
         reason = f"replaced {spares}"
-        if found.event is _E.LOST or known.phase in transition.ORDERING:
+        if (
+            found.event is _E.LOST
+            or known.phase in transition.PHASES_WITH_ORDERS
+        ):
             # It carries no work: nothing to wait for.
             return observation.Observation(_E.REPAIR, reason)
         if known.phase is _P.CLOSED:
@@ -188,13 +191,13 @@
     ) -> observation.Observation:
         new = self._seen.wanted(group)
         reason = " ".join(("change to", *filter(None, new)))
-        if known.phase is _P.SERVING and found.event is _E.WHOLE:
+        if known.phase is _P.SERVING and found.event is _E.CONVERGED:
             return self._rolling(known, group, _E.OUTDATED, reason)
-        if found.event is _E.STRANGE:
+        if found.event is _E.DIVERGED:
             return found
         if known.phase is _P.CLOSED:
             return self._when_drained(known, _E.OUTDATED, reason)
-        if known.phase in transition.ORDERING:
+        if known.phase in transition.PHASES_WITH_ORDERS:
             return observation.Observation(_E.OUTDATED, reason)
         return found
 
@@ -203,7 +206,7 @@
     ) -> observation.Observation:
         # Of a group given up nothing is left to count until the next one is
         # placed; without this the one after it would go in between.
-        records = self._seen.known.record_by_group.values()
+        records = self._seen.cache.record_by_group.values()
         here = sum(each.declared == group.name for each in records)
         closed = self._closed_by_declared.get(group.name, 0)
         least = closed + max(0, group.replicas - here)
@@ -239,7 +242,7 @@
     def _when_drained(
         self, known: record.GroupRecord, then: event.Event, reason: str
     ) -> observation.Observation:
-        if known.name not in self._seen.drained:
+        if known.name not in self._seen.drained_groups:
             return _NOTHING
         return observation.Observation(then, reason)
 
@@ -255,8 +258,8 @@
             since=self._seen.wall,
             attempt=self._attempt(),
         )
-        if after not in transition.ORDERING:
-            return change.Change(known, new, ordering=False)
+        if after not in transition.PHASES_WITH_ORDERS:
+            return change.Change(known, new, has_orders=False)
         new = self._intended(known, new, found)
         vms = tuple(dict.fromkeys((*known.vms, *new.vms)))
         new = new._replace(fence=self._fence(vms, known))
--- a/src/citronvalve/groups/routing.py
+++ b/src/citronvalve/groups/routing.py
@@ -37,7 +37,10 @@
     seen = [sighting_by_vm.get(vm) for vm in known.vms]
     seen_at = min((each.seen_at for each in seen if each), default=0)
     shown, reason = known.phase, known.reason
-    if shown is phase.Phase.SERVING and found.event is not event.Event.WHOLE:
+    if (
+        shown is phase.Phase.SERVING
+        and found.event is not event.Event.CONVERGED
+    ):
         shown, reason = phase.Phase.CLOSED, found.reason
     if shown is phase.Phase.SERVING:
         held.check(
@@ -72,7 +75,7 @@
     """
 
     def __init__(self, spans: timing.Timing) -> None:
-        self._fresh = spans.fresh
+        self._fresh = spans.max_state_age
         self._state_by_group: dict[str, state.GroupState] = {}
 
     def tell(self, told: state.GroupState) -> None:
--- a/src/citronvalve/groups/rowcache.py
+++ b/src/citronvalve/groups/rowcache.py
@@ -12,7 +12,7 @@
 from citronvalve.model import invariant
 from citronvalve.storage import rows
 
-LEASES = "group_leases"
+LEASES_TABLE = "group_leases"
 
 
 def groups_table(datacentre: str) -> str:
@@ -31,14 +31,14 @@
     return f"group_vms.{datacentre}"
 
 
-def encode(each: NamedTuple) -> dict[str, Any]:
+def encode(stored: NamedTuple) -> dict[str, Any]:
     """Return the value of a row, with the fields named.
 
     :param each: a record.
     """
     return {
         field: msgspec.to_builtins(value)
-        for field, value in each._asdict().items()
+        for field, value in stored._asdict().items()
     }
 
 
@@ -75,20 +75,22 @@
     :ivar revision: of the last scan.
     """
 
-    def __init__(self, datacentre: str, held: invariant.Invariants) -> None:
+    def __init__(
+        self, datacentre: str, invariants: invariant.Invariants
+    ) -> None:
         self.datacentre = datacentre
         self.record_by_group: dict[str, record.GroupRecord] = {}
         self.owner_by_vm: dict[str, owner.Owner] = {}
-        self.version_by_place: dict[tuple[str, str], int] = {}
+        self.version_by_row: dict[tuple[str, str], int] = {}
         self.revision_by_table: dict[str, int] = {}
-        self._held = held
+        self._invariants = invariants
 
-    def read_groups(self, scan: rows.Scan) -> None:
+    def apply_groups(self, scan: rows.Scan) -> None:
         """Take in what changed in the table of groups.
 
         :param scan: rows changed since the last scan.
         """
-        self._read(scan, groups_table(self.datacentre))
+        self._apply_versions(scan, groups_table(self.datacentre))
         for key in scan.deleted:
             self.record_by_group.pop(key, None)
         for row in scan.rows:
@@ -96,23 +98,23 @@
             self.record_by_group[row.key] = found
         self._assert_disjoint()
 
-    def read_owners(self, scan: rows.Scan) -> None:
+    def apply_owners(self, scan: rows.Scan) -> None:
         """Take in what changed in the table of VMs.
 
         :param scan: rows changed since the last scan.
         """
-        self._read(scan, owners_table(self.datacentre))
+        self._apply_versions(scan, owners_table(self.datacentre))
         for key in scan.deleted:
             self.owner_by_vm.pop(key, None)
         for row in scan.rows:
             self.owner_by_vm[row.key] = decode(owner.Owner, row)
 
-    def _read(self, scan: rows.Scan, table: str) -> None:
+    def _apply_versions(self, scan: rows.Scan, table: str) -> None:
         self.revision_by_table[table] = scan.revision
         for key in scan.deleted:
-            self.version_by_place.pop((table, key), None)
+            self.version_by_row.pop((table, key), None)
         for row in scan.rows:
-            self.version_by_place[(table, row.key)] = row.version
+            self.version_by_row[(table, row.key)] = row.version
 
     def _assert_disjoint(self) -> None:
         # One scan is one revision of the table, so that this can't be a
@@ -121,7 +123,7 @@
         for name, each in self.record_by_group.items():
             for vm in each.vms:
                 other = group_by_vm.setdefault(vm, name)
-                self._held.check(
+                self._invariants.check(
                     "one group a VM", other == name, f"{vm}: {other}, {name}"
                 )
 
@@ -131,5 +133,5 @@
         :param table: name of the table.
         :param key: the row's key.
         """
-        version = self.version_by_place.get((table, key), rows.NO_ROW)
+        version = self.version_by_row.get((table, key), rows.NO_ROW)
         return rows.Condition(table, key, version)
--- a/src/citronvalve/groups/timing.py
+++ b/src/citronvalve/groups/timing.py
@@ -26,12 +26,12 @@
     ``list_every``: the VM list lags by more than this anyway.
     """
 
-    lease: clock.Ms = 10_000
-    drift: clock.Ms = 500
-    renew: clock.Ms = 3_000
-    silent: clock.Ms = 2_000
-    one_missed: clock.Ms = 1_500
-    fresh: clock.Ms = 3_000
-    order_bound: clock.Ms = 3_000
-    drain: clock.Ms = 30_000
-    list_every: clock.Ms = 5_000
+    lease_duration: clock.Ms = 10_000
+    max_clock_drift: clock.Ms = 500
+    renew_interval: clock.Ms = 3_000
+    unreachable_after: clock.Ms = 2_000
+    second_miss_after: clock.Ms = 1_500
+    max_state_age: clock.Ms = 3_000
+    max_order_delay: clock.Ms = 3_000
+    drain_timeout: clock.Ms = 30_000
+    list_interval: clock.Ms = 5_000
--- a/src/citronvalve/groups/transition.py
+++ b/src/citronvalve/groups/transition.py
@@ -9,31 +9,31 @@
 #: Phase and event to the next phase; what is not listed changes nothing.
 #: None gives the VMs back and removes the group.
 NEXT_BY_PHASE_AND_EVENT: dict[tuple[_P, _E], _P | None] = {
-    (_P.FORMING, _E.WHOLE): _P.LOADING,
+    (_P.FORMING, _E.CONVERGED): _P.LOADING,
     (_P.FORMING, _E.LOST): _P.CLOSED,
-    (_P.FORMING, _E.STRANGE): _P.FORMING,
+    (_P.FORMING, _E.DIVERGED): _P.FORMING,
     (_P.FORMING, _E.REPAIR): _P.FORMING,
     (_P.FORMING, _E.OUTDATED): _P.FORMING,
     (_P.FORMING, _E.UNWANTED): _P.DISSOLVING,
-    (_P.LOADING, _E.WHOLE): _P.SERVING,
+    (_P.LOADING, _E.CONVERGED): _P.SERVING,
     (_P.LOADING, _E.LOST): _P.CLOSED,
-    (_P.LOADING, _E.STRANGE): _P.FORMING,
+    (_P.LOADING, _E.DIVERGED): _P.FORMING,
     (_P.LOADING, _E.REPAIR): _P.FORMING,
     (_P.LOADING, _E.OUTDATED): _P.FORMING,
     (_P.LOADING, _E.UNWANTED): _P.DISSOLVING,
     (_P.SERVING, _E.LOST): _P.CLOSED,
-    (_P.SERVING, _E.STRANGE): _P.CLOSED,
+    (_P.SERVING, _E.DIVERGED): _P.CLOSED,
     (_P.SERVING, _E.REPAIR): _P.FORMING,
     (_P.SERVING, _E.OUTDATED): _P.CLOSED,
     (_P.SERVING, _E.LEAVING): _P.CLOSED,
     (_P.SERVING, _E.UNWANTED): _P.DISSOLVING,
-    (_P.CLOSED, _E.WHOLE): _P.SERVING,
-    (_P.CLOSED, _E.STRANGE): _P.FORMING,
+    (_P.CLOSED, _E.CONVERGED): _P.SERVING,
+    (_P.CLOSED, _E.DIVERGED): _P.FORMING,
     (_P.CLOSED, _E.REPAIR): _P.FORMING,
     (_P.CLOSED, _E.OUTDATED): _P.LOADING,
     (_P.CLOSED, _E.UNWANTED): _P.DISSOLVING,
-    (_P.DISSOLVING, _E.IDLE): None,
+    (_P.DISSOLVING, _E.DRAINED): None,
 }
 
 #: Phases whose row is the intent of orders to every VM.
-ORDERING = {_P.FORMING, _P.LOADING}
+PHASES_WITH_ORDERS = {_P.FORMING, _P.LOADING}
--- a/src/citronvalve/groups/vmstatus.py
+++ b/src/citronvalve/groups/vmstatus.py
@@ -16,5 +16,5 @@
 
     holding: holding.Holding | None
     seen_at: clock.Ms
-    asked_at: clock.Ms
-    gone: bool = False
+    contacted_at: clock.Ms
+    is_down: bool = False
--- a/src/citronvalve/groups/vmstatustable.py
+++ b/src/citronvalve/groups/vmstatustable.py
@@ -20,12 +20,14 @@
         engine that ignores fencing numbers.
     """
 
-    def __init__(self, spans: timing.Timing) -> None:
-        self.sighting_by_vm: dict[str, vmstatus.VmStatus] = {}
-        self.unsure_until_by_vm: dict[str, clock.Ms] = {}
-        self._order_bound = spans.order_bound
+    def __init__(self, timings: timing.Timing) -> None:
+        self.status_by_vm: dict[str, vmstatus.VmStatus] = {}
+        self.uncertain_until_by_vm: dict[str, clock.Ms] = {}
+        self._max_order_delay = timings.max_order_delay
 
-    def take(self, vm: str, answer: engines.Held, asked_at: clock.Ms) -> None:
+    def record_read_back(
+        self, vm: str, answer: engines.Held, sent_at: clock.Ms
+    ) -> None:
         """Take in the answer to a read-back.
 
         :param vm: name of the VM that was meant.
@@ -33,24 +35,24 @@
         :param asked_at: monotonic time in ms before the question was sent;
             the engine may change its state right after it answered.
         """
-        last = self.sighting_by_vm.get(vm)
-        if last and asked_at < last.asked_at:
+        last = self.status_by_vm.get(vm)
+        if last and sent_at < last.contacted_at:
             # An order was answered while this read-back was under way.
             return
         if isinstance(answer, holding.Holding) and answer.vm == vm:
-            new = vmstatus.VmStatus(answer, asked_at, asked_at)
+            new = vmstatus.VmStatus(answer, sent_at, sent_at)
         elif last is None:
-            gone = not isinstance(answer, missing.AnswerLost)
-            new = vmstatus.VmStatus(None, asked_at, asked_at, gone)
+            is_down = not isinstance(answer, missing.AnswerLost)
+            new = vmstatus.VmStatus(None, sent_at, sent_at, is_down)
         elif isinstance(answer, missing.AnswerLost):
-            new = last._replace(asked_at=asked_at)
+            new = last._replace(contacted_at=sent_at)
         else:
             # Refused, or another VM has the address by now.
-            new = last._replace(asked_at=asked_at, gone=True)
-        self.sighting_by_vm[vm] = new
+            new = last._replace(contacted_at=sent_at, is_down=True)
+        self.status_by_vm[vm] = new
 
-    def answered(
-        self, vm: str, answer: engines.Answer, asked_at: clock.Ms
+    def record_order_answer(
+        self, vm: str, answer: engines.Answer, sent_at: clock.Ms
     ) -> None:
         """Take in the answer to an order.
 
@@ -59,16 +61,16 @@
         :param asked_at: monotonic time in ms before the order was sent.
         """
         if isinstance(answer, accepted.Accepted):
-            self.take(vm, answer.holding, asked_at)
+            self.record_read_back(vm, answer.holding, sent_at)
         elif not isinstance(answer, refused.Refused):
-            until = asked_at + self._order_bound
-            self.unsure_until_by_vm[vm] = until
+            uncertain_until = sent_at + self._max_order_delay
+            self.uncertain_until_by_vm[vm] = uncertain_until
 
-    def keep(self, vms: set[str]) -> None:
+    def retain(self, vms: set[str]) -> None:
         """Forget all VMs but these.
 
         :param vms: names that are listed or belong to a group.
         """
-        for by_vm in (self.sighting_by_vm, self.unsure_until_by_vm):
+        for by_vm in (self.status_by_vm, self.uncertain_until_by_vm):
             for vm in set(by_vm) - vms:
                 del by_vm[vm]
--- a/tests/groups/steps/drill_steps.py
+++ b/tests/groups/steps/drill_steps.py
@@ -176,7 +176,7 @@
 
 @behave.when("the daemon that leads is killed")
 def step_kill_leader(context):
-    (lease,) = _scan(context, rowcache.LEASES)
+    (lease,) = _scan(context, rowcache.LEASES_TABLE)
     name = lease["holder"].partition("/")[0]
     context.made.fleet.process_by_name[name].send(signal.SIGKILL)
     number = int(name.rpartition("-")[2])
--- a/tests/groups/steps/leading_steps.py
+++ b/tests/groups/steps/leading_steps.py
@@ -43,7 +43,7 @@
 
 @behave.when("one writes group {first} and then the other {second}")
 def step_both_write(context, first, second):
-    lease = rows.Condition(rowcache.LEASES, "a", rows.NO_ROW)
+    lease = rows.Condition(rowcache.LEASES_TABLE, "a", rows.NO_ROW)
     context.answers = []
     for known, text in zip(context.books, (first, second), strict=True):
         name, _, vms = text.partition(":")
@@ -213,10 +213,10 @@
 
     def on_say(line):
         if "forming" in line and made.table.writes > writes:
-            made.clock.advance(world.SPANS.lease + 1)
+            made.clock.advance(world.SPANS.lease_duration + 1)
 
     process = made.process_by_name["x"]
-    process.leader._has = process.leader._has._replace(say=on_say)
+    process.leader._has = process.leader._has._replace(log=on_say)
     made.clock.advance(1_000)
     before = len(points.names)
     process.leader.step(made.clock.now())
@@ -259,4 +259,4 @@
 @behave.then("it did not before {bound:d} ms")
 def step_not_before(context, bound):
     # The lease counts from its last renewal, up to one renewal before.
-    assert context.waited >= bound - world.SPANS.renew, context.waited
+    assert context.waited >= bound - world.SPANS.renew_interval, context.waited
--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -41,12 +41,12 @@
                 table=triptable.TripTable(world.table, self.points),
                 vms=world.vms,
                 engines=self.engines,
-                loads=fixedloadslots.FixedLoadSlots(4),
+                load_slots=fixedloadslots.FixedLoadSlots(4),
                 planner=compact.CompactPlanner(),
-                time=world.clock,
-                held=world.held,
-                spans=SPANS,
-                say=world.log.append,
+                clock=world.clock,
+                invariants=world.held,
+                timings=SPANS,
+                log=world.log.append,
             )
         )
 
@@ -146,8 +146,8 @@
         """Read the table as it is, past the faults set for the leaders."""
         known = rowcache.RowCache(DC, self.held)
         kept, self.table.faults = self.table.faults, faults.Faults()
-        known.read_groups(self.table.scan(rowcache.groups_table(DC)))
-        known.read_owners(self.table.scan(rowcache.owners_table(DC)))
+        known.apply_groups(self.table.scan(rowcache.groups_table(DC)))
+        known.apply_owners(self.table.scan(rowcache.owners_table(DC)))
         self.table.faults = kept
         return known
 
@@ -176,7 +176,7 @@
         for key, since in self.broken_since.items():
             self.held.check(
                 "no half group is routed to for longer than detection takes",
-                now - since < SPANS.fresh,
+                now - since < SPANS.max_state_age,
                 f"{key} broken for {now - since} ms",
             )
         self._check_owners()
