--- a/src/citronvalve/daemon/grouptask.py
+++ b/src/citronvalve/daemon/grouptask.py
@@ -97,7 +97,7 @@
 
     def watch(self) -> None:
         """Read back the VMs here, and renew the routes."""
-        self.leader.watch()
+        self.leader.poll()
         self._route()
 
     def lead(self) -> None:
@@ -106,7 +106,7 @@
         if not table:
             return
         self._loads.slots = table.switches.weight_loads
-        self.leader.declare(table)
+        self.leader.update_declared(table)
         self.leader.lead(self._env.clock.now())
         for name in table.datacentre_by_name:
             if name != self._env.datacentre:
--- a/src/citronvalve/groups/fleetbuilder.py
+++ b/src/citronvalve/groups/fleetbuilder.py
@@ -11,75 +11,91 @@
 from citronvalve.storage import vmlist
 
 
-def is_stray(held: holding.Holding) -> bool:
+def is_stray(reported: holding.Holding) -> bool:
     """Tell whether a VM that nobody owns holds something all the same.
 
     :param held: its read-back.
     """
-    return bool(held.group) or held.state is not holding.WeightsState.EMPTY
+    return (
+        bool(reported.group)
+        or reported.state is not holding.WeightsState.EMPTY
+    )
 
 
-def build_fleet(seen: observedstate.ObservedState) -> fleet.Fleet:
+def build_fleet(observed: observedstate.ObservedState) -> fleet.Fleet:
     """Return the needs, the groups and the free VMs.
 
     :param seen: the situation.
     """
-    needs = tuple(
+    specs = tuple(
         groupspec.GroupSpec(each.name, each.size, each.replicas)
-        for each in seen.declared_groups().values()
+        for each in observed.declared_groups().values()
     )
-    records = seen.cache.record_by_group.values()
+    records = observed.cache.record_by_group.values()
     groups = tuple(
-        _standing(each, seen)
+        _group_status(each, observed)
         for each in records
         if each.phase is not phase.Phase.DISSOLVING
     )
-    return fleet.Fleet(needs, groups, _free(seen))
+    return fleet.Fleet(specs, groups, _free_by_domain(observed))
 
 
-def _standing(
-    known: record.GroupRecord, seen: observedstate.ObservedState
+def _group_status(
+    group_record: record.GroupRecord, observed: observedstate.ObservedState
 ) -> groupstatus.GroupStatus:
     lost = observation.lost_vms(
-        known, seen.status_by_vm, seen.now, seen.timings
+        group_record, observed.status_by_vm, observed.now, observed.timings
     )
     leaving = tuple(
-        vm for vm in known.vms if vm not in lost and _is_leaving(vm, seen)
+        vm
+        for vm in group_record.vms
+        if vm not in lost and _is_leaving(vm, observed)
     )
-    gone = {*lost, *leaving}
-    up = tuple(vm for vm in known.vms if vm not in gone)
+    unusable = {*lost, *leaving}
+    up = tuple(vm for vm in group_record.vms if vm not in unusable)
     return groupstatus.GroupStatus(
-        known.name, known.declared, known.domain, up, lost, leaving
+        group_record.name,
+        group_record.declared,
+        group_record.domain,
+        up,
+        lost,
+        leaving,
     )
 
 
-def _is_leaving(vm: str, seen: observedstate.ObservedState) -> bool:
+def _is_leaving(vm: str, observed: observedstate.ObservedState) -> bool:
     # A VM that the list does not show may be newer than the list, or a
     # group's record older; only its engine's silence makes it missing.
-    listed = seen.listed_by_vm.get(vm)
+    listed = observed.listed_by_vm.get(vm)
     return listed is not None and listed.state is vmlist.VmState.LEAVING
 
 
-def _free(seen: observedstate.ObservedState) -> dict[str, tuple[str, ...]]:
+def _free_by_domain(
+    observed: observedstate.ObservedState,
+) -> dict[str, tuple[str, ...]]:
     # Engines that ignore fencing numbers may yet take an order of an
     # earlier holder: until that is over, none of their VMs is given away.
-    groups = seen.declared_groups().values()
-    careful = any(not each.refuses_old_fence for each in groups)
+    groups = observed.declared_groups().values()
+    late_orders_possible = any(not each.refuses_old_fence for each in groups)
     by_domain: dict[str, list[str]] = {}
-    for vm, listed in sorted(seen.listed_by_vm.items()):
+    for vm, listed in sorted(observed.listed_by_vm.items()):
         if listed.state is not vmlist.VmState.LIVE:
             continue
-        if _is_free(vm, seen) and (not careful or seen.is_settled((vm,))):
+        if _is_free(vm, observed) and (
+            not late_orders_possible or observed.is_settled((vm,))
+        ):
             by_domain.setdefault(listed.domain, []).append(vm)
     return {domain: tuple(vms) for domain, vms in by_domain.items()}
 
 
-def _is_free(vm: str, seen: observedstate.ObservedState) -> bool:
-    owner = seen.cache.owner_by_vm.get(vm)
+def _is_free(vm: str, observed: observedstate.ObservedState) -> bool:
+    owner = observed.cache.owner_by_vm.get(vm)
     if owner and owner.group:
         return False
-    found = seen.status_by_vm.get(vm)
-    if found is None or found.holding is None:
+    status = observed.status_by_vm.get(vm)
+    if status is None or status.holding is None:
         return False
     # What it may still hold of an old group goes with the first order.
-    return not observation.is_silent(found, seen.now, seen.timings)
+    return not observation.is_unreachable(
+        status, observed.now, observed.timings
+    )
--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -23,7 +23,7 @@
 #: Rounds of decisions and orders in one step: a group whose engines answer
 #: at once is formed, and its load begun, within the step that found a VM
 #: missing, instead of a poll later each.
-_ROUNDS = 4
+_MAX_ROUNDS = 4
 
 
 class Leader:
@@ -36,47 +36,47 @@
     :ivar states: of each group, after the last step.
     """
 
-    def __init__(self, has: dependencies.Dependencies) -> None:
+    def __init__(self, deps: dependencies.Dependencies) -> None:
         self.states: tuple[state.GroupState, ...] = ()
-        self._has = has
-        self._known = rowcache.RowCache(has.datacentre, has.invariants)
-        self._watch = vmstatustable.VmStatusTable(has.timings)
-        self._drains = draintracker.DrainTracker(has.timings)
+        self._deps = deps
+        self._cache = rowcache.RowCache(deps.datacentre, deps.invariants)
+        self._vm_statuses = vmstatustable.VmStatusTable(deps.timings)
+        self._drain_tracker = draintracker.DrainTracker(deps.timings)
         self._lease = leasemanager.LeaseManager(
-            has.datacentre, has.holder, has.timings
+            deps.datacentre, deps.holder, deps.timings
         )
         self._listed_by_vm: dict[str, vmlist.VmRecord] = {}
-        self._list_at: clock.Ms = -1
-        self._tries = 0
+        self._next_list_at: clock.Ms = -1
+        self._attempts = 0
         self._declared: declared.Declared | None = None
-        self._ordered: set[tuple[str, int]] = set()
+        self._sent_orders: set[tuple[str, int]] = set()
 
-    def declare(self, wanted: declared.Declared) -> None:
+    def update_declared(self, declared_table: declared.Declared) -> None:
         """Take in a version of the operators' table.
 
         :param wanted: the whole table.
         """
-        self._declared = wanted
+        self._declared = declared_table
 
     def is_leading(self) -> bool:
         """Tell whether this process holds the lease."""
-        return self._lease.is_held(self._has.clock.now())
+        return self._lease.is_held(self._deps.clock.now())
 
     def step(self, now: clock.Ms) -> None:
         """Watch, then lead; about once a second.
 
         :param now: monotonic time in ms.
         """
-        self.watch()
+        self.poll()
         self.lead(now)
 
-    def watch(self) -> None:
+    def poll(self) -> None:
         """Read back all VMs and renew the states for routing.
 
         Asks nothing of the platform, and may run while :meth:`lead` waits
         for it: a slow store must not make the states go stale.
         """
-        self._poll()
+        self._poll_vms()
         self._publish()
 
     def lead(self, now: clock.Ms) -> None:
@@ -84,222 +84,232 @@
 
         :param now: monotonic time in ms.
         """
-        readable = self._read()
-        self._list(now)
-        self._hold_lease()
+        readable = self._read_tables()
+        self._read_vm_list(now)
+        self._renew_lease()
         if readable and self._declared and self.is_leading():
-            self._ordered.clear()
-            self._rounds()
+            self._sent_orders.clear()
+            self._run_rounds()
         self._publish()
 
     def stop(self) -> None:
         """Free the lease, so that the next holder need not wait it out."""
-        attempt = self._attempt()
-        wanted = self._lease.resigned(self._has.clock.now(), attempt)
-        if wanted:
-            self._has.table.commit(wanted)
+        attempt = self._next_attempt()
+        release = self._lease.release(self._deps.clock.now(), attempt)
+        if release:
+            self._deps.table.commit(release)
 
-    def _attempt(self) -> str:
-        self._tries += 1
-        return f"{self._has.holder}#{self._tries}"
+    def _next_attempt(self) -> str:
+        self._attempts += 1
+        return f"{self._deps.holder}#{self._attempts}"
 
-    def _read(self) -> bool:
-        for name, take in (
+    def _read_tables(self) -> bool:
+        for name, apply in (
             (
-                rowcache.groups_table(self._has.datacentre),
-                self._known.apply_groups,
+                rowcache.groups_table(self._deps.datacentre),
+                self._cache.apply_groups,
             ),
             (
-                rowcache.owners_table(self._has.datacentre),
-                self._known.apply_owners,
+                rowcache.owners_table(self._deps.datacentre),
+                self._cache.apply_owners,
             ),
         ):
-            after = self._known.revision_by_table.get(name, 0)
-            scan = self._has.table.scan(name, after)
+            after = self._cache.revision_by_table.get(name, 0)
+            scan = self._deps.table.scan(name, after)
             if not isinstance(scan, rows.Scan):
                 return False
-            take(scan)
+            apply(scan)
         return True
 
-    def _list(self, now: clock.Ms) -> None:
-        if now < self._list_at:
+    def _read_vm_list(self, now: clock.Ms) -> None:
+        if now < self._next_list_at:
             return
-        found = self._has.vms.vms(self._has.datacentre)
+        found = self._deps.vms.vms(self._deps.datacentre)
         if isinstance(found, missing.Missing):
             return
-        self._list_at = now + self._has.timings.list_interval
+        self._next_list_at = now + self._deps.timings.list_interval
         self._listed_by_vm = {each.vm: each for each in found}
 
-    def _poll(self) -> None:
+    def _poll_vms(self) -> None:
         address_by_vm = {
             each.vm: each.address
-            for known in self._known.record_by_group.values()
+            for known in self._cache.record_by_group.values()
             for each in known.members
         }
         for vm, listed in self._listed_by_vm.items():
             address_by_vm.setdefault(vm, listed.address)
-        asked_at = self._has.clock.now()
-        found = self._has.engines.holdings(address_by_vm.values())
+        sent_at = self._deps.clock.now()
+        answer_by_address = self._deps.engines.holdings(address_by_vm.values())
         for vm, address in address_by_vm.items():
-            self._watch.record_read_back(vm, found[address], asked_at)
-        self._watch.retain(set(address_by_vm))
+            self._vm_statuses.record_read_back(
+                vm, answer_by_address[address], sent_at
+            )
+        self._vm_statuses.retain(set(address_by_vm))
 
     def _publish(self) -> None:
-        now = self._has.clock.now()
+        now = self._deps.clock.now()
         self.states = tuple(
             routing.state_of(
                 each,
-                self._watch.status_by_vm,
+                self._vm_statuses.status_by_vm,
                 now,
-                self._has.timings,
-                self._has.invariants,
+                self._deps.timings,
+                self._deps.invariants,
             )
-            for _, each in sorted(self._known.record_by_group.items())
+            for _, each in sorted(self._cache.record_by_group.items())
         )
-        serving: dict[str, str] = {}
+        group_by_vm: dict[str, str] = {}
         for each in self.states:
             if each.state is not phase.Phase.SERVING:
                 continue
             for vm in each.vms:
-                other = serving.setdefault(vm, each.group)
-                self._has.invariants.check(
+                other = group_by_vm.setdefault(vm, each.group)
+                self._deps.invariants.check(
                     "no VM serves in two groups", other == each.group, vm
                 )
 
-    def _hold_lease(self) -> None:
-        if not self._lease.is_due(self._has.clock.now()):
+    def _renew_lease(self) -> None:
+        if not self._lease.is_due(self._deps.clock.now()):
             return
-        row = self._has.table.read(rowcache.LEASES_TABLE, self._has.datacentre)
+        row = self._deps.table.read(
+            rowcache.LEASES_TABLE, self._deps.datacentre
+        )
         if isinstance(row, missing.Unavailable):
             return
         found = row if isinstance(row, rows.Row) else None
-        now = self._has.clock.now()
-        wanted = self._lease.wish(found, now, self._attempt())
-        if wanted is None:
-            self._lease.refused()
+        now = self._deps.clock.now()
+        lease_write = self._lease.next_write(found, now, self._next_attempt())
+        if lease_write is None:
+            self._lease.record_lost()
             return
-        answer = self._has.table.commit(wanted)
+        answer = self._deps.table.commit(lease_write)
         if isinstance(answer, rows.Committed):
-            term = wanted.writes[0].value["term"]
-            self._lease.granted(answer.revision, term, now)
+            term = lease_write.writes[0].value["term"]
+            self._lease.record_granted(answer.revision, term, now)
         elif isinstance(answer, rows.Conflict):
-            self._lease.refused()
+            self._lease.record_lost()
 
-    def _situation(self) -> observedstate.ObservedState:
-        has, now = self._has, self._has.clock.now()
-        drained = self._drains.drained_groups(
-            self._known, self._watch.status_by_vm, has.engines, now
+    def _observe(self) -> observedstate.ObservedState:
+        deps, now = self._deps, self._deps.clock.now()
+        drained = self._drain_tracker.drained_groups(
+            self._cache, self._vm_statuses.status_by_vm, deps.engines, now
         )
         return observedstate.ObservedState(
             declared=self._declared,
-            cache=self._known,
-            status_by_vm=self._watch.status_by_vm,
-            uncertain_until_by_vm=self._watch.uncertain_until_by_vm,
+            cache=self._cache,
+            status_by_vm=self._vm_statuses.status_by_vm,
+            uncertain_until_by_vm=self._vm_statuses.uncertain_until_by_vm,
             listed_by_vm=self._listed_by_vm,
-            timings=has.timings,
-            orders_settled_at=self._lease.taken_at
-            + has.timings.max_order_delay,
+            timings=deps.timings,
+            orders_settled_at=self._lease.acquired_at
+            + deps.timings.max_order_delay,
             drained_groups=drained,
             now=now,
-            wall=has.clock.wall(),
+            wall=deps.clock.wall(),
         )
 
-    def _rounds(self) -> None:
-        for _ in range(_ROUNDS):
-            seen = self._situation()
-            planned = self._has.planner.plan(fleetbuilder.build_fleet(seen))
+    def _run_rounds(self) -> None:
+        for _ in range(_MAX_ROUNDS):
+            observed = self._observe()
+            planned = self._deps.planner.plan(
+                fleetbuilder.build_fleet(observed)
+            )
             decision = reconciler.Reconciler(
-                seen, planned, self._attempt, self._has.invariants
+                observed, planned, self._next_attempt, self._deps.invariants
             )
             changed = [self._commit(each) for each in decision.changes()]
-            ordered = self._order(seen)
-            ordered += self._empty_strays(seen)
+            ordered = self._send_group_orders(observed)
+            ordered += self._empty_strays(observed)
             if not any(changed) and not ordered:
                 return
-            if not self._read():
+            if not self._read_tables():
                 return
 
-    def _commit(self, wanted: change.Change) -> bool:
-        attempt = wanted.after.attempt if wanted.after else self._attempt()
-        done = self._has.table.commit(
+    def _commit(self, wanted_change: change.Change) -> bool:
+        attempt = (
+            wanted_change.after.attempt
+            if wanted_change.after
+            else self._next_attempt()
+        )
+        outcome = self._deps.table.commit(
             change.transaction(
-                wanted,
-                self._known,
+                wanted_change,
+                self._cache,
                 self._lease.condition,
                 attempt,
-                self._has.invariants,
+                self._deps.invariants,
             )
         )
-        after = wanted.after
+        after = wanted_change.after
         shown = f"{after.phase}: {after.reason}" if after else "given up"
-        self._has.log(f"group {wanted.group} {shown}; {done!r}")
+        self._deps.log(f"group {wanted_change.group} {shown}; {outcome!r}")
         # Whether a lost answer was a success is read back with the rows,
         # which carry the attempt, before any order is given.
-        return not isinstance(done, rows.Conflict | missing.Unavailable)
+        return not isinstance(outcome, rows.Conflict | missing.Unavailable)
 
-    def _order(self, seen: observedstate.ObservedState) -> int:
-        if not self._read():
+    def _send_group_orders(self, observed: observedstate.ObservedState) -> int:
+        if not self._read_tables():
             return 0
-        records = self._known.record_by_group.values()
+        records = self._cache.record_by_group.values()
         # Loads in progress, of an earlier holder too, have their slots
         # before any new one: the weight store bears them already.
         for each in records:
-            if orders.is_loading(each, seen):
+            if orders.is_loading(each, observed):
                 self._may_load(each)
         due = []
         for each in records:
-            wanted = orders.of_group(each, seen)
+            wanted = orders.group_orders(each, observed)
             if wanted and self._may_load(each):
                 due += wanted
-        return self._send(due)
+        return self._send_orders(due)
 
-    def _may_load(self, known: record.GroupRecord) -> bool:
-        if known.phase is not phase.Phase.LOADING:
+    def _may_load(self, group_record: record.GroupRecord) -> bool:
+        if group_record.phase is not phase.Phase.LOADING:
             return True
-        lent = self._has.load_slots.acquire(
-            f"{known.name}/{known.fence}", self._has.clock.now()
+        slot = self._deps.load_slots.acquire(
+            f"{group_record.name}/{group_record.fence}", self._deps.clock.now()
         )
-        return not isinstance(lent, missing.Missing)
+        return not isinstance(slot, missing.Missing)
 
-    def _empty_strays(self, seen: observedstate.ObservedState) -> int:
+    def _empty_strays(self, observed: observedstate.ObservedState) -> int:
         due = []
-        for vm, held in orders.strays(seen):
-            owned = self._known.owner_by_vm.get(vm)
+        for vm, reported in orders.strays(observed):
+            owner_row = self._cache.owner_by_vm.get(vm)
             address = self._listed_by_vm[vm].address
-            wanted = orders.of_stray(owned, held, address)
-            if wanted:
-                due.append(wanted)
+            stray_order = orders.stray_order(owner_row, reported, address)
+            if stray_order:
+                due.append(stray_order)
                 continue
-            self._has.table.commit(
+            self._deps.table.commit(
                 change.raise_fence(
                     vm,
-                    held.fence,
-                    self._known,
+                    reported.fence,
+                    self._cache,
                     self._lease.condition,
-                    self._attempt(),
+                    self._next_attempt(),
                 )
             )
-        return self._send(due)
+        return self._send_orders(due)
 
-    def _send(self, due: list[orders.AddressedOrder]) -> int:
+    def _send_orders(self, due: list[orders.AddressedOrder]) -> int:
         # Read just before the orders go out: the writes above may have
         # taken longer than the lease, and then another process may have
         # taken these VMs.
-        sent_at = self._has.clock.now()
-        due = [each for each in due if self._is_first(each)]
+        sent_at = self._deps.clock.now()
+        due = [each for each in due if self._is_first_attempt(each)]
         if not due or not self._lease.is_held(sent_at):
             return 0
-        answers = self._has.engines.orders(
-            [(each.address, each.given) for each in due]
+        answers = self._deps.engines.orders(
+            [(each.address, each.order) for each in due]
         )
         for each, answer in zip(due, answers, strict=True):
-            self._watch.record_order_answer(each.vm, answer, sent_at)
+            self._vm_statuses.record_order_answer(each.vm, answer, sent_at)
         return len(due)
 
-    def _is_first(self, each: orders.AddressedOrder) -> bool:
+    def _is_first_attempt(self, each: orders.AddressedOrder) -> bool:
         # One try a step: an engine that does not answer would otherwise
         # hold up every round of it.
-        key = (each.vm, each.given.fence)
-        first = key not in self._ordered
-        self._ordered.add(key)
+        key = (each.vm, each.order.fence)
+        first = key not in self._sent_orders
+        self._sent_orders.add(key)
         return first
--- a/src/citronvalve/groups/leasemanager.py
+++ b/src/citronvalve/groups/leasemanager.py
@@ -20,17 +20,17 @@
     """
 
     def __init__(
-        self, datacentre: str, holder: str, spans: timing.Timing
+        self, datacentre: str, holder: str, timings: timing.Timing
     ) -> None:
-        self.taken_at: clock.Ms = 0
+        self.acquired_at: clock.Ms = 0
         self._datacentre = datacentre
         self._holder = holder
-        self._spans = spans
+        self._timings = timings
         self._version = rows.NO_ROW
-        self._until: clock.Ms = -1
-        self._renew_at: clock.Ms = -1
-        self._seen_version = -1
-        self._seen_since: clock.Ms = 0
+        self._held_until: clock.Ms = -1
+        self._next_renewal_at: clock.Ms = -1
+        self._observed_version = -1
+        self._observed_since: clock.Ms = 0
         self._term = 0
         self._sent_at_by_attempt: dict[str, clock.Ms] = {}
 
@@ -46,16 +46,16 @@
 
         :param now: monotonic time in ms, read just before the order.
         """
-        return now < self._until
+        return now < self._held_until
 
     def is_due(self, now: clock.Ms) -> bool:
         """Tell whether the row should be read now.
 
         :param now: monotonic time in ms.
         """
-        return now >= self._renew_at
+        return now >= self._next_renewal_at
 
-    def wish(
+    def next_write(
         self, row: rows.Row | None, now: clock.Ms, attempt: str
     ) -> rows.Transaction | None:
         """Return the write of the row that is due, if any.
@@ -64,35 +64,36 @@
         :param now: monotonic time in ms, read after the row.
         :param attempt: id of this try.
         """
-        self._renew_at = now + self._spans.renew_interval
+        self._next_renewal_at = now + self._timings.renew_interval
         if row is None:
             return self._write(rows.NO_ROW, 1, now, attempt)
-        seen = rowcache.read_lease(row)
-        if seen.holder == self._holder:
-            self._settle(row.version, seen)
-            return self._write(row.version, seen.term, now, attempt)
-        if row.version != self._seen_version:
-            self._seen_version, self._seen_since = row.version, now
-        waited = now - self._seen_since
-        free = (
-            waited >= self._spans.lease_duration + self._spans.max_clock_drift
+        stored = rowcache.read_lease(row)
+        if stored.holder == self._holder:
+            self._settle_lost_answer(row.version, stored)
+            return self._write(row.version, stored.term, now, attempt)
+        if row.version != self._observed_version:
+            self._observed_version, self._observed_since = row.version, now
+        waited = now - self._observed_since
+        is_free = (
+            waited
+            >= self._timings.lease_duration + self._timings.max_clock_drift
         )
-        if not free and seen.holder:
+        if not is_free and stored.holder:
             return None
-        return self._write(row.version, seen.term + 1, now, attempt)
+        return self._write(row.version, stored.term + 1, now, attempt)
 
-    def _settle(self, version: int, seen: lease.Lease) -> None:
+    def _settle_lost_answer(self, version: int, stored: lease.Lease) -> None:
         # The answer to our write was lost, and here it stands.  Its time
         # counts from before it was sent.
-        sent_at = self._sent_at_by_attempt.get(seen.attempt)
+        sent_at = self._sent_at_by_attempt.get(stored.attempt)
         if sent_at is not None:
-            self.granted(version, seen.term, sent_at)
+            self.record_granted(version, stored.term, sent_at)
 
     def _write(
         self, version: int, term: int, now: clock.Ms, attempt: str
     ) -> rows.Transaction:
         self._sent_at_by_attempt = {attempt: now}
-        wanted = lease.Lease(self._datacentre, self._holder, term, attempt)
+        new_lease = lease.Lease(self._datacentre, self._holder, term, attempt)
         return rows.Transaction(
             attempt,
             (
@@ -104,12 +105,14 @@
                 rows.Write(
                     rowcache.LEASES_TABLE,
                     self._datacentre,
-                    rowcache.encode(wanted),
+                    rowcache.encode(new_lease),
                 ),
             ),
         )
 
-    def granted(self, version: int, term: int, sent_at: clock.Ms) -> None:
+    def record_granted(
+        self, version: int, term: int, sent_at: clock.Ms
+    ) -> None:
         """Take in that a write of the row took effect.
 
         :param version: of the row.
@@ -117,15 +120,17 @@
         :param sent_at: monotonic time in ms before it was sent.
         """
         if term != self._term:
-            self._term, self.taken_at = term, sent_at
+            self._term, self.acquired_at = term, sent_at
         self._version = version
-        self._until = max(self._until, sent_at + self._spans.lease_duration)
+        self._held_until = max(
+            self._held_until, sent_at + self._timings.lease_duration
+        )
 
-    def refused(self) -> None:
+    def record_lost(self) -> None:
         """Take in that another process wrote the row."""
-        self._until = -1
+        self._held_until = -1
 
-    def resigned(self, now: clock.Ms, attempt: str) -> rows.Transaction | None:
+    def release(self, now: clock.Ms, attempt: str) -> rows.Transaction | None:
         """Return the write that frees the row for the next holder.
 
         :param now: monotonic time in ms.
@@ -133,9 +138,9 @@
         """
         if not self.is_held(now):
             return None
-        self._until = -1
-        free = lease.Lease(self._datacentre, "", self._term, attempt)
-        value = rowcache.encode(free)
+        self._held_until = -1
+        released = lease.Lease(self._datacentre, "", self._term, attempt)
+        value = rowcache.encode(released)
         return rows.Transaction(
             attempt,
             (self.condition,),
--- a/src/citronvalve/groups/observation.py
+++ b/src/citronvalve/groups/observation.py
@@ -18,8 +18,8 @@
     reason: str
 
 
-def is_silent(
-    seen: vmstatus.VmStatus | None, now: clock.Ms, spans: timing.Timing
+def is_unreachable(
+    status: vmstatus.VmStatus | None, now: clock.Ms, timings: timing.Timing
 ) -> bool:
     """Tell whether a VM's last read-back is too old to act on.
 
@@ -27,13 +27,13 @@
     :param now: monotonic time in ms.
     :param spans: the limits.
     """
-    if seen is None:
+    if status is None:
         return False
-    return seen.is_down or now - seen.seen_at >= spans.unreachable_after
+    return status.is_down or now - status.seen_at >= timings.unreachable_after
 
 
 def is_lost(
-    seen: vmstatus.VmStatus | None, now: clock.Ms, spans: timing.Timing
+    status: vmstatus.VmStatus | None, now: clock.Ms, timings: timing.Timing
 ) -> bool:
     """Tell whether a VM is missing.
 
@@ -45,17 +45,20 @@
     :param now: monotonic time in ms.
     :param spans: the limits.
     """
-    if seen is None or seen.is_down:
-        return seen is not None
-    unanswered = seen.contacted_at - seen.seen_at
-    return is_silent(seen, now, spans) and unanswered > spans.second_miss_after
+    if status is None or status.is_down:
+        return status is not None
+    unanswered = status.contacted_at - status.seen_at
+    return (
+        is_unreachable(status, now, timings)
+        and unanswered > timings.second_miss_after
+    )
 
 
 def lost_vms(
-    known: record.GroupRecord,
-    sighting_by_vm: dict[str, vmstatus.VmStatus],
+    group_record: record.GroupRecord,
+    status_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
-    spans: timing.Timing,
+    timings: timing.Timing,
 ) -> tuple[str, ...]:
     """Return the VMs of a group that are missing.
 
@@ -65,12 +68,14 @@
     :param spans: the limits.
     """
     return tuple(
-        vm for vm in known.vms if is_lost(sighting_by_vm.get(vm), now, spans)
+        vm
+        for vm in group_record.vms
+        if is_lost(status_by_vm.get(vm), now, timings)
     )
 
 
 def is_formed(
-    known: record.GroupRecord, rank: int, held: holding.Holding
+    group_record: record.GroupRecord, rank: int, reported: holding.Holding
 ) -> bool:
     """Tell whether an engine knows its place in the group.
 
@@ -79,15 +84,15 @@
     :param held: its read-back.
     """
     return (
-        held.group == known.name
-        and held.vms == known.vms
-        and held.rank == rank
-        and held.fence <= known.fence
+        reported.group == group_record.name
+        and reported.vms == group_record.vms
+        and reported.rank == rank
+        and reported.fence <= group_record.fence
     )
 
 
 def is_ready(
-    known: record.GroupRecord, rank: int, held: holding.Holding
+    group_record: record.GroupRecord, rank: int, reported: holding.Holding
 ) -> bool:
     """Tell whether an engine holds all that the record says.
 
@@ -99,19 +104,19 @@
     :param held: its read-back.
     """
     return (
-        is_formed(known, rank, held)
-        and held.fence == known.fence
-        and held.state is holding.WeightsState.READY
-        and held.model == known.wanted.model
-        and held.version == known.wanted.version
+        is_formed(group_record, rank, reported)
+        and reported.fence == group_record.fence
+        and reported.state is holding.WeightsState.READY
+        and reported.model == group_record.wanted.model
+        and reported.version == group_record.wanted.version
     )
 
 
 def observe(
-    known: record.GroupRecord,
-    sighting_by_vm: dict[str, vmstatus.VmStatus],
+    group_record: record.GroupRecord,
+    status_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
-    spans: timing.Timing,
+    timings: timing.Timing,
 ) -> Observation:
     """Compare what the engines hold with a group's record.
 
@@ -120,52 +125,57 @@
     :param now: monotonic time in ms.
     :param spans: the limits.
     """
-    lost = lost_vms(known, sighting_by_vm, now, spans)
+    lost = lost_vms(group_record, status_by_vm, now, timings)
     if lost:
         return Observation(event.Event.LOST, f"missing: {', '.join(lost)}")
-    seen = [sighting_by_vm.get(vm) for vm in known.vms]
-    held = [each.holding for each in seen if each and each.holding]
-    if len(held) < len(known.vms):
+    statuses = [status_by_vm.get(vm) for vm in group_record.vms]
+    holdings = [each.holding for each in statuses if each and each.holding]
+    if len(holdings) < len(group_record.vms):
         return Observation(
             event.Event.WAITING, "not every VM was read back yet"
         )
-    return _compare(known, held)
+    return _compare(group_record, holdings)
 
 
 def _compare(
-    known: record.GroupRecord, held: list[holding.Holding]
+    group_record: record.GroupRecord, holdings: list[holding.Holding]
 ) -> Observation:
-    if known.phase is phase.Phase.FORMING:
-        ahead = [each.vm for each in held if each.fence > known.fence]
+    if group_record.phase is phase.Phase.FORMING:
+        ahead = [
+            each.vm for each in holdings if each.fence > group_record.fence
+        ]
         if ahead:
             reason = f"saw a higher fence: {', '.join(ahead)}"
             return Observation(event.Event.DIVERGED, reason)
-        short = [
+        unfinished = [
             each.vm
-            for rank, each in enumerate(held)
-            if each.fence != known.fence or not is_formed(known, rank, each)
+            for rank, each in enumerate(holdings)
+            if each.fence != group_record.fence
+            or not is_formed(group_record, rank, each)
         ]
-        return _waiting(short, "not formed yet")
-    strange = [
+        return _converged_or_waiting(unfinished, "not formed yet")
+    diverged = [
         each.vm
-        for rank, each in enumerate(held)
-        if not is_formed(known, rank, each)
+        for rank, each in enumerate(holdings)
+        if not is_formed(group_record, rank, each)
     ]
-    if strange:
-        reason = f"hold something else: {', '.join(strange)}"
+    if diverged:
+        reason = f"hold something else: {', '.join(diverged)}"
         return Observation(event.Event.DIVERGED, reason)
-    short = [
+    unfinished = [
         each.vm
-        for rank, each in enumerate(held)
-        if not is_ready(known, rank, each)
+        for rank, each in enumerate(holdings)
+        if not is_ready(group_record, rank, each)
     ]
-    if known.phase is phase.Phase.LOADING or not short:
-        return _waiting(short, "loading")
-    reason = f"not ready any more: {', '.join(short)}"
+    if group_record.phase is phase.Phase.LOADING or not unfinished:
+        return _converged_or_waiting(unfinished, "loading")
+    reason = f"not ready any more: {', '.join(unfinished)}"
     return Observation(event.Event.DIVERGED, reason)
 
 
-def _waiting(short: list[str], reason: str) -> Observation:
-    if not short:
+def _converged_or_waiting(unfinished: list[str], reason: str) -> Observation:
+    if not unfinished:
         return Observation(event.Event.CONVERGED, "all VMs match")
-    return Observation(event.Event.WAITING, f"{reason}: {', '.join(short)}")
+    return Observation(
+        event.Event.WAITING, f"{reason}: {', '.join(unfinished)}"
+    )
--- a/src/citronvalve/groups/orders.py
+++ b/src/citronvalve/groups/orders.py
@@ -17,11 +17,11 @@
 
     vm: str
     address: str
-    given: order.Order
+    order: order.Order
 
 
-def of_group(
-    known: record.GroupRecord, seen: observedstate.ObservedState
+def group_orders(
+    group_record: record.GroupRecord, observed: observedstate.ObservedState
 ) -> list[AddressedOrder]:
     """Return the orders that a group's row calls for.
 
@@ -32,71 +32,75 @@
     :param known: the group's record.
     :param seen: the situation.
     """
-    if known.phase not in (phase.Phase.FORMING, phase.Phase.LOADING):
+    if group_record.phase not in (phase.Phase.FORMING, phase.Phase.LOADING):
         return []
-    group = seen.declared_groups().get(known.declared)
+    group = observed.declared_groups().get(group_record.declared)
     if group is None:
         return []
-    if not group.refuses_old_fence and seen.now < seen.orders_settled_at:
+    if (
+        not group.refuses_old_fence
+        and observed.now < observed.orders_settled_at
+    ):
         return []
-    found = []
-    for rank, each in enumerate(known.members):
-        sighting = seen.status_by_vm.get(each.vm)
-        if sighting is None or sighting.holding is None:
+    due = []
+    for rank, each in enumerate(group_record.members):
+        status = observed.status_by_vm.get(each.vm)
+        if status is None or status.holding is None:
             continue
-        if observation.is_silent(sighting, seen.now, seen.timings):
+        if observation.is_unreachable(status, observed.now, observed.timings):
             continue
-        if _is_due(known, rank, sighting.holding):
-            given = _order(known, rank)
-            found.append(AddressedOrder(each.vm, each.address, given))
-    return found
+        if _is_due(group_record, rank, status.holding):
+            new_order = _build_order(group_record, rank)
+            due.append(AddressedOrder(each.vm, each.address, new_order))
+    return due
 
 
 def is_loading(
-    known: record.GroupRecord, seen: observedstate.ObservedState
+    group_record: record.GroupRecord, observed: observedstate.ObservedState
 ) -> bool:
     """Tell whether a VM of a group loads weights at this moment.
 
     :param known: the group's record.
     :param seen: the situation.
     """
-    if known.phase is not phase.Phase.LOADING:
+    if group_record.phase is not phase.Phase.LOADING:
         return False
-    found = (seen.status_by_vm.get(vm) for vm in known.vms)
-    held = [each.holding for each in found if each and each.holding]
+    statuses = (observed.status_by_vm.get(vm) for vm in group_record.vms)
+    holdings = [each.holding for each in statuses if each and each.holding]
     return any(
-        each.group == known.name and each.state is holding.WeightsState.LOADING
-        for each in held
+        each.group == group_record.name
+        and each.state is holding.WeightsState.LOADING
+        for each in holdings
     )
 
 
 def _is_due(
-    known: record.GroupRecord, rank: int, held: holding.Holding
+    group_record: record.GroupRecord, rank: int, reported: holding.Holding
 ) -> bool:
-    if held.fence != known.fence:
-        return held.fence < known.fence
-    if known.phase is phase.Phase.FORMING:
-        return not observation.is_formed(known, rank, held)
-    return held.state is holding.WeightsState.EMPTY
+    if reported.fence != group_record.fence:
+        return reported.fence < group_record.fence
+    if group_record.phase is phase.Phase.FORMING:
+        return not observation.is_formed(group_record, rank, reported)
+    return reported.state is holding.WeightsState.EMPTY
 
 
-def _order(known: record.GroupRecord, rank: int) -> order.Order:
+def _build_order(group_record: record.GroupRecord, rank: int) -> order.Order:
     return order.Order(
-        fence=known.fence,
-        attempt=known.attempt,
-        kind=known.kind,
-        group=known.name,
-        members=known.members,
+        fence=group_record.fence,
+        attempt=group_record.attempt,
+        kind=group_record.kind,
+        group=group_record.name,
+        members=group_record.members,
         rank=rank,
-        model=known.wanted.model,
-        version=known.wanted.version,
-        adapter=known.wanted.adapter,
-        role=known.wanted.role,
+        model=group_record.wanted.model,
+        version=group_record.wanted.version,
+        adapter=group_record.wanted.adapter,
+        role=group_record.wanted.role,
     )
 
 
 def strays(
-    seen: observedstate.ObservedState,
+    observed: observedstate.ObservedState,
 ) -> list[tuple[str, holding.Holding]]:
     """Return the VMs that nobody owns and that hold something.
 
@@ -105,22 +109,24 @@
 
     :param seen: the situation.
     """
-    found = []
-    for vm in seen.listed_by_vm:
-        sighting = seen.status_by_vm.get(vm)
-        if sighting is None or sighting.holding is None:
+    stray_holdings = []
+    for vm in observed.listed_by_vm:
+        status = observed.status_by_vm.get(vm)
+        if status is None or status.holding is None:
             continue
-        owned = seen.cache.owner_by_vm.get(vm)
-        if owned and owned.group:
+        owner_row = observed.cache.owner_by_vm.get(vm)
+        if owner_row and owner_row.group:
             continue
-        silent = observation.is_silent(sighting, seen.now, seen.timings)
-        if not silent and fleetbuilder.is_stray(sighting.holding):
-            found.append((vm, sighting.holding))
-    return found
+        unreachable = observation.is_unreachable(
+            status, observed.now, observed.timings
+        )
+        if not unreachable and fleetbuilder.is_stray(status.holding):
+            stray_holdings.append((vm, status.holding))
+    return stray_holdings
 
 
-def of_stray(
-    owned: owner.Owner | None, held: holding.Holding, address: str
+def stray_order(
+    owner_row: owner.Owner | None, reported: holding.Holding, address: str
 ) -> AddressedOrder | None:
     """Return the order that empties a stray VM.
 
@@ -129,7 +135,9 @@
     :param address: of its engine.
     :return: None when the row must be raised above the engine's fence first.
     """
-    if owned is None or owned.fence < held.fence:
+    if owner_row is None or owner_row.fence < reported.fence:
         return None
-    given = order.Order(owned.fence, owned.attempt, order.OrderKind.CLOSE)
-    return AddressedOrder(owned.vm, address, given)
+    close_order = order.Order(
+        owner_row.fence, owner_row.attempt, order.OrderKind.CLOSE
+    )
+    return AddressedOrder(owner_row.vm, address, close_order)
--- a/tests/groups/steps/closing_steps.py
+++ b/tests/groups/steps/closing_steps.py
@@ -182,12 +182,12 @@
 def step_unanswered(context, count):
     made = context.world
     context.leader = made.process_by_name["x"].leader
-    context.leader.watch()
+    context.leader.poll()
     context.answered_at = made.clock.now()
     made.engine(context.group.vms[1]).is_dark = True
     for _ in range(count):
         made.clock.advance(1_000)
-        context.leader.watch()
+        context.leader.poll()
 
 
 @behave.when("states are made {span:d} ms after its last answer")
--- a/tests/groups/steps/leading_steps.py
+++ b/tests/groups/steps/leading_steps.py
@@ -216,7 +216,7 @@
             made.clock.advance(world.SPANS.lease_duration + 1)
 
     process = made.process_by_name["x"]
-    process.leader._has = process.leader._has._replace(log=on_say)
+    process.leader._deps = process.leader._deps._replace(log=on_say)
     made.clock.advance(1_000)
     before = len(points.names)
     process.leader.step(made.clock.now())
--- a/tests/groups/steps/planning_steps.py
+++ b/tests/groups/steps/planning_steps.py
@@ -108,11 +108,11 @@
         used = [vm for each in plan.placements for vm in each.vms]
         used += [s for r in plan.repairs for s in r.spare_by_vm.values()]
         assert len(used) == len(set(used)), (seen, plan)
-        whole = [each for each in seen.standing if not each.lost]
+        whole = [each for each in seen.groups if not each.lost]
         given_up = [
             each for each in whole if each.group in plan.reason_by_dissolved
         ]
-        surplus = max(0, len(whole) - seen.needs[0].replicas)
+        surplus = max(0, len(whole) - seen.specs[0].replicas)
         assert len(given_up) == surplus, (seen, plan)
 
 
@@ -128,10 +128,10 @@
             left[each.domain] -= len(each.vms)
         for each in plan.repairs:
             domain = each and next(
-                s.domain for s in seen.standing if s.group == each.group
+                s.domain for s in seen.groups if s.group == each.group
             )
             left[domain] -= len(each.spare_by_vm)
-        kept = len(seen.standing) - len(plan.reason_by_dissolved)
-        is_short = kept + len(plan.placements) < seen.needs[0].replicas
+        kept = len(seen.groups) - len(plan.reason_by_dissolved)
+        is_short = kept + len(plan.placements) < seen.specs[0].replicas
         if is_short:
             assert all(count < _SIZE for count in left.values()), (seen, plan)
--- a/tests/groups/steps/rolling_steps.py
+++ b/tests/groups/steps/rolling_steps.py
@@ -37,7 +37,7 @@
         engine.load_time = 3 * _LOAD
     for each in made.process_by_name.values():
         slot = fixedloadslots.FixedLoadSlots(slots)
-        each.leader._has = each.leader._has._replace(load_slots=slot)
+        each.leader._deps = each.leader._deps._replace(load_slots=slot)
 
 
 @behave.when("the leader {fate} after 20 s")
--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -85,7 +85,7 @@
     def declare(self, **changed):
         self.group = self.group._replace(**changed)
         for each in self.process_by_name.values():
-            each.leader.declare(self.declared())
+            each.leader.update_declared(self.declared())
 
     def declared(self):
         return declared.Declared(
@@ -106,7 +106,7 @@
     def start(self, name):
         self.starts += 1
         process = Process(self, f"{name}/{self.starts}")
-        process.leader.declare(self.declared())
+        process.leader.update_declared(self.declared())
         self.process_by_name[name] = process
         return process
 
