--- a/src/citronvalve/groups/draintracker.py
+++ b/src/citronvalve/groups/draintracker.py
@@ -70,7 +70,7 @@
             return False
         if closed_for >= self._timings.drain_timeout:
             return True
-        load = engine_client.load(group_record.members[0].address)
+        load = engine_client.read_load(group_record.members[0].address)
         if not isinstance(load, engineload.EngineLoad):
             return False
         return load.running + load.queued == 0
--- a/src/citronvalve/groups/engines.py
+++ b/src/citronvalve/groups/engines.py
@@ -16,12 +16,12 @@
     | missing.Unavailable
     | missing.AnswerLost
 )
-Held = holding.Holding | missing.Unavailable | missing.AnswerLost
+ReadBack = holding.Holding | missing.Unavailable | missing.AnswerLost
 
 #: Named here, where ``order`` is still the module and not the method.
 Order = order.Order
 #: Address and order.
-Given = tuple[str, Order]
+AddressAndOrder = tuple[str, Order]
 
 
 class Engines(abc.ABC):
@@ -33,7 +33,7 @@
     """
 
     @abc.abstractmethod
-    def order(self, address: str, given: Order) -> Answer:
+    def send_order(self, address: str, new_order: Order) -> Answer:
         """Give an order.
 
         :param address: host:port of the engine.
@@ -41,14 +41,14 @@
         """
 
     @abc.abstractmethod
-    def holding(self, address: str) -> Held:
+    def read_holding(self, address: str) -> ReadBack:
         """Read back what an engine holds.
 
         :param address: host:port of the engine.
         """
 
     @abc.abstractmethod
-    def load(
+    def read_load(
         self, address: str
     ) -> engineload.EngineLoad | missing.Unavailable | missing.AnswerLost:
         """Read how busy an engine is.
@@ -56,16 +56,21 @@
         :param address: host:port of the engine.
         """
 
-    def holdings(self, addresses: Iterable[str]) -> dict[str, Held]:
+    def read_holdings(self, addresses: Iterable[str]) -> dict[str, ReadBack]:
         """Read back many engines; override it to ask them side by side.
 
         :param addresses: host:port of each.
         """
-        return {address: self.holding(address) for address in addresses}
+        return {address: self.read_holding(address) for address in addresses}
 
-    def orders(self, given: Iterable[Given]) -> tuple[Answer, ...]:
+    def send_orders(
+        self, addressed_orders: Iterable[AddressAndOrder]
+    ) -> tuple[Answer, ...]:
         """Give many orders; override it to give them side by side.
 
         :param given: address and order of each.
         """
-        return tuple(self.order(address, each) for address, each in given)
+        return tuple(
+            self.send_order(address, each)
+            for address, each in addressed_orders
+        )
--- a/src/citronvalve/groups/httpengines.py
+++ b/src/citronvalve/groups/httpengines.py
@@ -21,13 +21,13 @@
 #: An order is given up well before the bound that a new holder waits.
 _ORDER_TIMEOUT: clock.Ms = 1_500
 #: Names of 8 to 64 VMs fit many times; more is not an engine's answer.
-_LARGEST = 65_536
+_MAX_ANSWER_BYTES = 65_536
 #: One for read-backs and one for orders, which run side by side.
-_KEPT = 2
-_POOLS = 2_048
+_CONNECTIONS_PER_ENGINE = 2
+_MAX_POOLS = 2_048
 
-_LOST = (urllib3.exceptions.HTTPError, OSError, ValueError)
-_NOT_SENT = urllib3.exceptions.NewConnectionError
+_UNCERTAIN_ERRORS = (urllib3.exceptions.HTTPError, OSError, ValueError)
+_NOT_SENT_ERROR = urllib3.exceptions.NewConnectionError
 
 
 class _BadAnswerError(ValueError):
@@ -40,42 +40,58 @@
     :param each: ``map`` or a way to run it side by side.
     """
 
-    def __init__(self, each: Callable[..., Iterable] = map) -> None:
-        self._each = each
+    def __init__(self, map_function: Callable[..., Iterable] = map) -> None:
+        self._map = map_function
         self._pools = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=_KEPT, retries=False
+            num_pools=_MAX_POOLS,
+            maxsize=_CONNECTIONS_PER_ENGINE,
+            retries=False,
         )
 
-    def order(self, address: str, given: engines.Order) -> engines.Answer:
+    def send_order(
+        self, address: str, new_order: engines.Order
+    ) -> engines.Answer:
         url = f"http://{address}/orders"
-        body = wire.write(given)
-        return self._call("POST", url, _ORDER_TIMEOUT, self._answer, body)
+        body = wire.encode_order(new_order)
+        return self._call(
+            "POST", url, _ORDER_TIMEOUT, self._decode_answer, body
+        )
 
-    def holding(self, address: str) -> engines.Held:
+    def read_holding(self, address: str) -> engines.ReadBack:
         url = f"http://{address}/holding"
-        return self._call("GET", url, _READ_TIMEOUT, self._holding)
+        return self._call("GET", url, _READ_TIMEOUT, self._decode_holding)
 
-    def load(
+    def read_load(
         self, address: str
     ) -> engineload.EngineLoad | missing.Unavailable | missing.AnswerLost:
         url = f"http://{address}/load"
-        return self._call("GET", url, _READ_TIMEOUT, self._load)
-
-    def holdings(self, addresses: Iterable[str]) -> dict[str, engines.Held]:
-        asked = list(dict.fromkeys(addresses))
-        return dict(zip(asked, self._each(self.holding, asked), strict=True))
+        return self._call("GET", url, _READ_TIMEOUT, self._decode_load)
+
+    def read_holdings(
+        self, addresses: Iterable[str]
+    ) -> dict[str, engines.ReadBack]:
+        unique_addresses = list(dict.fromkeys(addresses))
+        return dict(
+            zip(
+                unique_addresses,
+                self._map(self.read_holding, unique_addresses),
+                strict=True,
+            )
+        )
 
-    def orders(
-        self, given: Iterable[engines.Given]
+    def send_orders(
+        self, addressed_orders: Iterable[engines.AddressAndOrder]
     ) -> tuple[engines.Answer, ...]:
-        return tuple(self._each(lambda pair: self.order(*pair), given))
+        return tuple(
+            self._map(lambda pair: self.send_order(*pair), addressed_orders)
+        )
 
     def _call(
         self,
         method: str,
         url: str,
-        span: clock.Ms,
-        read: Callable[[int, bytes], Any],
+        timeout: clock.Ms,
+        decode: Callable[[int, bytes], Any],
         body: bytes | None = None,
     ) -> Any:
         try:
@@ -84,37 +100,37 @@
                 url,
                 body=body,
                 redirect=False,
-                timeout=urllib3.Timeout(total=span / clock.SECOND),
+                timeout=urllib3.Timeout(total=timeout / clock.SECOND),
                 preload_content=False,
             )
-            found = response.read(_LARGEST + 1)
+            content = response.read(_MAX_ANSWER_BYTES + 1)
             response.release_conn()
-            if len(found) > _LARGEST:
-                raise _BadAnswerError(f"more than {_LARGEST} bytes")
-            return read(response.status, found)
-        except _NOT_SENT as error:
+            if len(content) > _MAX_ANSWER_BYTES:
+                raise _BadAnswerError(f"more than {_MAX_ANSWER_BYTES} bytes")
+            return decode(response.status, content)
+        except _NOT_SENT_ERROR as error:
             return missing.Unavailable(str(error), url)
-        except (*_LOST, msgspec.MsgspecError) as error:
+        except (*_UNCERTAIN_ERRORS, msgspec.MsgspecError) as error:
             return missing.AnswerLost(str(error), url)
 
     @staticmethod
-    def _answer(status: int, body: bytes) -> Any:
+    def _decode_answer(status: int, body: bytes) -> Any:
         if status not in (200, 409):
             raise _BadAnswerError(f"status {status}")
-        read = msgspec.json.decode(body, type=wire.WireAnswer)
-        if read.accepted and read.holding:
-            return accepted.Accepted(wire.read_holding(read.holding))
-        return refused.Refused(read.fence)
+        decoded = msgspec.json.decode(body, type=wire.WireAnswer)
+        if decoded.accepted and decoded.holding:
+            return accepted.Accepted(wire.decode_holding(decoded.holding))
+        return refused.Refused(decoded.fence)
 
     @staticmethod
-    def _holding(status: int, body: bytes) -> Any:
+    def _decode_holding(status: int, body: bytes) -> Any:
         if status != 200:
             raise _BadAnswerError(f"status {status}")
-        read = msgspec.json.decode(body, type=wire.WireHolding)
-        return wire.read_holding(read)
+        decoded = msgspec.json.decode(body, type=wire.WireHolding)
+        return wire.decode_holding(decoded)
 
     @staticmethod
-    def _load(status: int, body: bytes) -> Any:
+    def _decode_load(status: int, body: bytes) -> Any:
         if status != 200:
             raise _BadAnswerError(f"status {status}")
-        return wire.read_load(body)
+        return wire.decode_load(body)
--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -139,7 +139,9 @@
         for vm, listed in self._listed_by_vm.items():
             address_by_vm.setdefault(vm, listed.address)
         sent_at = self._deps.clock.now()
-        answer_by_address = self._deps.engines.holdings(address_by_vm.values())
+        answer_by_address = self._deps.engines.read_holdings(
+            address_by_vm.values()
+        )
         for vm, address in address_by_vm.items():
             self._vm_statuses.record_read_back(
                 vm, answer_by_address[address], sent_at
@@ -149,7 +151,7 @@
     def _publish(self) -> None:
         now = self._deps.clock.now()
         self.states = tuple(
-            routing.state_of(
+            routing.group_state(
                 each,
                 self._vm_statuses.status_by_vm,
                 now,
@@ -299,7 +301,7 @@
         due = [each for each in due if self._is_first_attempt(each)]
         if not due or not self._lease.is_held(sent_at):
             return 0
-        answers = self._deps.engines.orders(
+        answers = self._deps.engines.send_orders(
             [(each.address, each.order) for each in due]
         )
         for each, answer in zip(due, answers, strict=True):
--- a/src/citronvalve/groups/observedstate.py
+++ b/src/citronvalve/groups/observedstate.py
@@ -53,8 +53,8 @@
         :param vms: names of the VMs.
         """
         return all(
-            seen is not None
-            and seen.seen_at >= self.orders_settled_at
-            and seen.seen_at >= self.uncertain_until_by_vm.get(vm, 0)
-            for vm, seen in ((v, self.status_by_vm.get(v)) for v in vms)
+            status is not None
+            and status.seen_at >= self.orders_settled_at
+            and status.seen_at >= self.uncertain_until_by_vm.get(vm, 0)
+            for vm, status in ((v, self.status_by_vm.get(v)) for v in vms)
         )
--- a/src/citronvalve/groups/reconciler.py
+++ b/src/citronvalve/groups/reconciler.py
@@ -20,8 +20,8 @@
 _E = event.Event
 _P = phase.Phase
 #: Events that close a group which could go on serving.
-_BY_CHOICE = {_E.OUTDATED, _E.LEAVING, _E.UNWANTED}
-_NOTHING = observation.Observation(_E.WAITING, "")
+_VOLUNTARY_EVENTS = {_E.OUTDATED, _E.LEAVING, _E.UNWANTED}
+_NO_EVENT = observation.Observation(_E.WAITING, "")
 
 
 class Reconciler:
@@ -35,190 +35,211 @@
 
     def __init__(
         self,
-        seen: observedstate.ObservedState,
+        observed: observedstate.ObservedState,
         planned: plan.Plan,
-        attempt: Callable[[], str],
-        held: invariant.Invariants,
+        next_attempt: Callable[[], str],
+        invariants: invariant.Invariants,
     ) -> None:
-        self._seen = seen
+        self._observed = observed
         self._plan = planned
-        self._attempt = attempt
-        self._held = held
-        self._group_by_name = seen.declared_groups()
+        self._next_attempt = next_attempt
+        self._invariants = invariants
+        self._group_by_name = observed.declared_groups()
         self._repair_by_group = {r.group: r for r in planned.repairs}
-        self._closed_by_declared = self._count_closed()
+        self._closed_count_by_declared = self._count_closed()
 
     def _count_closed(self) -> dict[str, int]:
         # Every group that does not serve counts, whatever closed it: the
         # bound is for the callers, who are left with the rest.
-        seen = self._seen
-        closed: dict[str, int] = {}
-        for each in seen.cache.record_by_group.values():
-            found = observation.observe(
-                each, seen.status_by_vm, seen.now, seen.timings
+        observed = self._observed
+        closed_count_by_declared: dict[str, int] = {}
+        for each in observed.cache.record_by_group.values():
+            finding = observation.observe(
+                each, observed.status_by_vm, observed.now, observed.timings
             )
             is_closed = (
-                each.phase is not _P.SERVING or found.event is not _E.CONVERGED
+                each.phase is not _P.SERVING
+                or finding.event is not _E.CONVERGED
             )
-            count = closed.get(each.declared, 0)
-            closed[each.declared] = count + is_closed
-        return closed
+            count = closed_count_by_declared.get(each.declared, 0)
+            closed_count_by_declared[each.declared] = count + is_closed
+        return closed_count_by_declared
 
     def changes(self) -> list[change.Change]:
         """Return the changes that are due, new groups first."""
         new = self._new_groups()
-        records = sorted(self._seen.cache.record_by_group.items())
-        later = (self._next(each) for _, each in records)
-        return [*new, *(each for each in later if each)]
+        records = sorted(self._observed.cache.record_by_group.items())
+        transitions = (self._next_change(each) for _, each in records)
+        return [*new, *(each for each in transitions if each)]
 
     def _new_groups(self) -> list[change.Change]:
-        taken = set(self._seen.cache.record_by_group)
-        made = []
+        used_names = set(self._observed.cache.record_by_group)
+        changes = []
         for each in self._plan.placements:
             number = 0
-            while f"{each.declared}-{number}" in taken:
+            while f"{each.declared}-{number}" in used_names:
                 number += 1
             name = f"{each.declared}-{number}"
-            taken.add(name)
-            made.append(change.Change(None, self._placed(name, each)))
-        return made
+            used_names.add(name)
+            changes.append(change.Change(None, self._new_record(name, each)))
+        return changes
 
-    def _placed(
+    def _new_record(
         self, name: str, each: placement.Placement
     ) -> record.GroupRecord:
-        seen = self._seen
+        observed = self._observed
         return record.GroupRecord(
             name=name,
             declared=each.declared,
             domain=each.domain,
             members=tuple(self._member(vm) for vm in each.vms),
-            fence=self._fence(each.vms, None),
-            attempt=self._attempt(),
+            fence=self._next_fence(each.vms, None),
+            attempt=self._next_attempt(),
             phase=_P.FORMING,
             reason="newly placed",
-            since=seen.wall,
-            wanted=seen.wanted(self._group_by_name[each.declared]),
+            since=observed.wall,
+            wanted=observed.wanted(self._group_by_name[each.declared]),
         )
 
     def _member(self, vm: str) -> member.Member:
-        return member.Member(vm, self._seen.listed_by_vm[vm].address)
+        return member.Member(vm, self._observed.listed_by_vm[vm].address)
 
-    def _fence(
+    def _next_fence(
         self, vms: tuple[str, ...], before: record.GroupRecord | None
     ) -> int:
-        found = (self._seen.status_by_vm.get(vm) for vm in vms)
-        held = [f.holding.fence for f in found if f and f.holding]
-        known = self._seen.cache
-        return change.next_fence(known, before, max(held, default=0))
+        statuses = (self._observed.status_by_vm.get(vm) for vm in vms)
+        fences = [f.holding.fence for f in statuses if f and f.holding]
+        cache = self._observed.cache
+        return change.next_fence(cache, before, max(fences, default=0))
 
-    def _next(self, known: record.GroupRecord) -> change.Change | None:
-        found = self._look(known)
-        key = (known.phase, found.event)
+    def _next_change(
+        self, group_record: record.GroupRecord
+    ) -> change.Change | None:
+        finding = self._assess(group_record)
+        key = (group_record.phase, finding.event)
         if key not in transition.NEXT_BY_PHASE_AND_EVENT:
             return None
         after = transition.NEXT_BY_PHASE_AND_EVENT[key]
-        if not self._may_go_on(known, after):
+        if not self._may_transition(group_record, after):
             return None
-        if known.phase is _P.SERVING and found.event in _BY_CHOICE:
-            self._closed_by_declared[known.declared] += 1
+        if (
+            group_record.phase is _P.SERVING
+            and finding.event in _VOLUNTARY_EVENTS
+        ):
+            self._closed_count_by_declared[group_record.declared] += 1
         if after is None:
-            return change.Change(known, None)
-        return self._moved(known, after, found)
+            return change.Change(group_record, None)
+        return self._transition(group_record, after, finding)
 
-    def _may_go_on(
-        self, known: record.GroupRecord, after: phase.Phase | None
+    def _may_transition(
+        self, group_record: record.GroupRecord, after: phase.Phase | None
     ) -> bool:
         # An engine that ignores fencing numbers may take a late order of an
         # earlier holder, or one of ours that was not answered.  Intents may
         # be written at once, and their orders wait; serving waits for a
         # read-back made when no order could be in flight any more.
-        group = self._group_by_name.get(known.declared)
+        group = self._group_by_name.get(group_record.declared)
         if group is None or group.refuses_old_fence:
             return True
-        return after is not _P.SERVING or self._seen.is_settled(known.vms)
+        return after is not _P.SERVING or self._observed.is_settled(
+            group_record.vms
+        )
 
-    def _look(self, known: record.GroupRecord) -> observation.Observation:
-        seen = self._seen
-        if known.phase is _P.DISSOLVING:
-            return self._when_drained(known, _E.DRAINED, known.reason)
-        group = self._group_by_name.get(known.declared)
+    def _assess(
+        self, group_record: record.GroupRecord
+    ) -> observation.Observation:
+        observed = self._observed
+        if group_record.phase is _P.DISSOLVING:
+            return self._when_drained(
+                group_record, _E.DRAINED, group_record.reason
+            )
+        group = self._group_by_name.get(group_record.declared)
         if group is None:
             return observation.Observation(
                 _E.UNWANTED, "not declared any more"
             )
-        given_up = self._plan.reason_by_dissolved.get(known.name)
-        if given_up:
-            return observation.Observation(_E.UNWANTED, given_up)
-        found = observation.observe(
-            known, seen.status_by_vm, seen.now, seen.timings
+        dissolve_reason = self._plan.reason_by_dissolved.get(group_record.name)
+        if dissolve_reason:
+            return observation.Observation(_E.UNWANTED, dissolve_reason)
+        finding = observation.observe(
+            group_record, observed.status_by_vm, observed.now, observed.timings
         )
-        mend = self._repair_by_group.get(known.name)
-        if mend:
-            return self._mended(known, mend, found, group)
-        if found.event is _E.LOST:
-            return found
-        if len(known.members) != group.size:
-            return self._resized(known, group)
-        if known.wanted != seen.wanted(group):
-            return self._outdated(known, found, group)
-        return found
+        planned_repair = self._repair_by_group.get(group_record.name)
+        if planned_repair:
+            return self._assess_repair(
+                group_record, planned_repair, finding, group
+            )
+        if finding.event is _E.LOST:
+            return finding
+        if len(group_record.members) != group.size:
+            return self._assess_resized(group_record, group)
+        if group_record.wanted != observed.wanted(group):
+            return self._assess_outdated(group_record, finding, group)
+        return finding
 
-    def _mended(
+    def _assess_repair(
         self,
-        known: record.GroupRecord,
-        mend: repair.Repair,
-        found: observation.Observation,
+        group_record: record.GroupRecord,
+        planned_repair: repair.Repair,
+        finding: observation.Observation,
         group: declared.Group,
     ) -> observation.Observation:
-        spares = ", ".join(f"{v} by {s}" for v, s in mend.spare_by_vm.items())
+        spares = ", ".join(
+            f"{v} by {s}" for v, s in planned_repair.spare_by_vm.items()
+        )
         reason = f"replaced {spares}"
         if (
-            found.event is _E.LOST
-            or known.phase in transition.PHASES_WITH_ORDERS
+            finding.event is _E.LOST
+            or group_record.phase in transition.PHASES_WITH_ORDERS
         ):
             # It carries no work: nothing to wait for.
             return observation.Observation(_E.REPAIR, reason)
-        if known.phase is _P.CLOSED:
-            return self._when_drained(known, _E.REPAIR, reason)
-        reason = f"leaving: {', '.join(mend.spare_by_vm)}"
-        return self._rolling(known, group, _E.LEAVING, reason)
+        if group_record.phase is _P.CLOSED:
+            return self._when_drained(group_record, _E.REPAIR, reason)
+        reason = f"leaving: {', '.join(planned_repair.spare_by_vm)}"
+        return self._limit_closed(group_record, group, _E.LEAVING, reason)
 
-    def _outdated(
+    def _assess_outdated(
         self,
-        known: record.GroupRecord,
-        found: observation.Observation,
+        group_record: record.GroupRecord,
+        finding: observation.Observation,
         group: declared.Group,
     ) -> observation.Observation:
-        new = self._seen.wanted(group)
-        reason = " ".join(("change to", *filter(None, new)))
-        if known.phase is _P.SERVING and found.event is _E.CONVERGED:
-            return self._rolling(known, group, _E.OUTDATED, reason)
-        if found.event is _E.DIVERGED:
-            return found
-        if known.phase is _P.CLOSED:
-            return self._when_drained(known, _E.OUTDATED, reason)
-        if known.phase in transition.PHASES_WITH_ORDERS:
+        new_wanted = self._observed.wanted(group)
+        reason = " ".join(("change to", *filter(None, new_wanted)))
+        if group_record.phase is _P.SERVING and finding.event is _E.CONVERGED:
+            return self._limit_closed(group_record, group, _E.OUTDATED, reason)
+        if finding.event is _E.DIVERGED:
+            return finding
+        if group_record.phase is _P.CLOSED:
+            return self._when_drained(group_record, _E.OUTDATED, reason)
+        if group_record.phase in transition.PHASES_WITH_ORDERS:
             return observation.Observation(_E.OUTDATED, reason)
-        return found
+        return finding
 
-    def _resized(
-        self, known: record.GroupRecord, group: declared.Group
+    def _assess_resized(
+        self, group_record: record.GroupRecord, group: declared.Group
     ) -> observation.Observation:
         # Of a group given up nothing is left to count until the next one is
         # placed; without this the one after it would go in between.
-        records = self._seen.cache.record_by_group.values()
-        here = sum(each.declared == group.name for each in records)
-        closed = self._closed_by_declared.get(group.name, 0)
-        least = closed + max(0, group.replicas - here)
-        if known.phase is _P.SERVING and least >= group.most_closed:
-            return _NOTHING
-        return self._rolling(known, group, _E.UNWANTED, "another size")
+        records = self._observed.cache.record_by_group.values()
+        existing = sum(each.declared == group.name for each in records)
+        closed = self._closed_count_by_declared.get(group.name, 0)
+        unavailable = closed + max(0, group.replicas - existing)
+        if (
+            group_record.phase is _P.SERVING
+            and unavailable >= group.most_closed
+        ):
+            return _NO_EVENT
+        return self._limit_closed(
+            group_record, group, _E.UNWANTED, "another size"
+        )
 
-    def _rolling(
+    def _limit_closed(
         self,
-        known: record.GroupRecord,
+        group_record: record.GroupRecord,
         group: declared.Group,
-        then: event.Event,
+        next_event: event.Event,
         reason: str,
     ) -> observation.Observation:
         """Let a change of a serving group go on, if one more may close.
@@ -227,70 +248,77 @@
         replicas closed at once would leave callers with none for the time
         of a load.  The bound is what operators say the rest can carry.
         """
-        if known.phase is not _P.SERVING:
-            return observation.Observation(then, reason)
-        closed = self._closed_by_declared.get(known.declared, 0)
+        if group_record.phase is not _P.SERVING:
+            return observation.Observation(next_event, reason)
+        closed = self._closed_count_by_declared.get(group_record.declared, 0)
         if closed >= group.most_closed:
-            return _NOTHING
-        self._held.check(
+            return _NO_EVENT
+        self._invariants.check(
             "a change closes no more groups than declared",
             closed + 1 <= group.most_closed,
-            f"{known.name}: {closed} of {group.most_closed}",
+            f"{group_record.name}: {closed} of {group.most_closed}",
         )
-        return observation.Observation(then, reason)
+        return observation.Observation(next_event, reason)
 
     def _when_drained(
-        self, known: record.GroupRecord, then: event.Event, reason: str
+        self,
+        group_record: record.GroupRecord,
+        next_event: event.Event,
+        reason: str,
     ) -> observation.Observation:
-        if known.name not in self._seen.drained_groups:
-            return _NOTHING
-        return observation.Observation(then, reason)
+        if group_record.name not in self._observed.drained_groups:
+            return _NO_EVENT
+        return observation.Observation(next_event, reason)
 
-    def _moved(
+    def _transition(
         self,
-        known: record.GroupRecord,
+        group_record: record.GroupRecord,
         after: phase.Phase,
-        found: observation.Observation,
+        finding: observation.Observation,
     ) -> change.Change:
-        new = known._replace(
+        new = group_record._replace(
             phase=after,
-            reason=found.reason,
-            since=self._seen.wall,
-            attempt=self._attempt(),
+            reason=finding.reason,
+            since=self._observed.wall,
+            attempt=self._next_attempt(),
         )
         if after not in transition.PHASES_WITH_ORDERS:
-            return change.Change(known, new, has_orders=False)
-        new = self._intended(known, new, found)
-        vms = tuple(dict.fromkeys((*known.vms, *new.vms)))
-        new = new._replace(fence=self._fence(vms, known))
-        return change.Change(known, new)
+            return change.Change(group_record, new, has_orders=False)
+        new = self._with_intent(group_record, new, finding)
+        vms = tuple(dict.fromkeys((*group_record.vms, *new.vms)))
+        new = new._replace(fence=self._next_fence(vms, group_record))
+        return change.Change(group_record, new)
 
-    def _intended(
+    def _with_intent(
         self,
-        known: record.GroupRecord,
+        group_record: record.GroupRecord,
         new: record.GroupRecord,
-        found: observation.Observation,
+        finding: observation.Observation,
     ) -> record.GroupRecord:
-        wanted = self._seen.wanted(self._group_by_name[known.declared])
+        wanted = self._observed.wanted(
+            self._group_by_name[group_record.declared]
+        )
         if new.phase is _P.FORMING:
-            members = self._members(known, found)
+            members = self._members_after_repair(group_record, finding)
             kind = order.OrderKind.FORM
             return new._replace(members=members, wanted=wanted, kind=kind)
-        if found.event is not _E.OUTDATED:
+        if finding.event is not _E.OUTDATED:
             return new._replace(kind=order.OrderKind.LOAD)
-        only_role = known.wanted._replace(role=wanted.role) == wanted
+        only_role = group_record.wanted._replace(role=wanted.role) == wanted
         kind = order.OrderKind.ROLE if only_role else order.OrderKind.LOAD
         return new._replace(wanted=wanted, kind=kind)
 
-    def _members(
-        self, known: record.GroupRecord, found: observation.Observation
+    def _members_after_repair(
+        self,
+        group_record: record.GroupRecord,
+        finding: observation.Observation,
     ) -> tuple[member.Member, ...]:
-        if found.event is not _E.REPAIR:
-            return known.members
-        spare_by_vm = self._repair_by_group[known.name].spare_by_vm
+        if finding.event is not _E.REPAIR:
+            return group_record.members
+        spare_by_vm = self._repair_by_group[group_record.name].spare_by_vm
         return tuple(
             self._member(spare_by_vm[each.vm])
             if each.vm in spare_by_vm
             else each
-            for each in known.members
+            for each in group_record.members
         )
--- a/src/citronvalve/groups/routing.py
+++ b/src/citronvalve/groups/routing.py
@@ -12,12 +12,12 @@
 from citronvalve.model import missing
 
 
-def state_of(
-    known: record.GroupRecord,
-    sighting_by_vm: dict[str, vmstatus.VmStatus],
+def group_state(
+    group_record: record.GroupRecord,
+    status_by_vm: dict[str, vmstatus.VmStatus],
     now: clock.Ms,
-    spans: timing.Timing,
-    held: invariant.Invariants,
+    timings: timing.Timing,
+    invariants: invariant.Invariants,
 ) -> state.GroupState:
     """Return a group's state from its record and its VMs' own words.
 
@@ -33,37 +33,37 @@
     :param spans: the limits.
     :param held: where promises are asserted.
     """
-    found = observation.observe(known, sighting_by_vm, now, spans)
-    seen = [sighting_by_vm.get(vm) for vm in known.vms]
-    seen_at = min((each.seen_at for each in seen if each), default=0)
-    shown, reason = known.phase, known.reason
+    finding = observation.observe(group_record, status_by_vm, now, timings)
+    statuses = [status_by_vm.get(vm) for vm in group_record.vms]
+    seen_at = min((each.seen_at for each in statuses if each), default=0)
+    effective_phase, reason = group_record.phase, group_record.reason
     if (
-        shown is phase.Phase.SERVING
-        and found.event is not event.Event.CONVERGED
+        effective_phase is phase.Phase.SERVING
+        and finding.event is not event.Event.CONVERGED
     ):
-        shown, reason = phase.Phase.CLOSED, found.reason
-    if shown is phase.Phase.SERVING:
-        held.check(
+        effective_phase, reason = phase.Phase.CLOSED, finding.reason
+    if effective_phase is phase.Phase.SERVING:
+        invariants.check(
             "no group serves with a VM missing",
             all(
                 each
-                and not observation.is_lost(each, now, spans)
+                and not observation.is_lost(each, now, timings)
                 and each.holding
-                for each in seen
+                for each in statuses
             ),
-            f"{known.name}: {seen}",
+            f"{group_record.name}: {statuses}",
         )
     return state.GroupState(
-        group=known.name,
-        declared=known.declared,
-        model=known.wanted.model,
-        version=known.wanted.version,
-        vms=known.vms,
-        address=known.members[0].address,
-        fence=known.fence,
-        state=shown,
+        group=group_record.name,
+        declared=group_record.declared,
+        model=group_record.wanted.model,
+        version=group_record.wanted.version,
+        vms=group_record.vms,
+        address=group_record.members[0].address,
+        fence=group_record.fence,
+        state=effective_phase,
         reason=reason,
-        since=known.since,
+        since=group_record.since,
         seen_at=seen_at,
     )
 
@@ -74,19 +74,19 @@
     :param spans: the limits; ``fresh`` is how old a state may be.
     """
 
-    def __init__(self, spans: timing.Timing) -> None:
-        self._fresh = spans.max_state_age
+    def __init__(self, timings: timing.Timing) -> None:
+        self._max_state_age = timings.max_state_age
         self._state_by_group: dict[str, state.GroupState] = {}
 
-    def tell(self, told: state.GroupState) -> None:
+    def update(self, new_state: state.GroupState) -> None:
         """Take in a state, unless a later one is known.
 
         :param told: with ``seen_at`` in this daemon's monotonic time.
         """
-        known = self._state_by_group.get(told.group)
-        order = (told.fence, told.seen_at)
-        if known is None or (known.fence, known.seen_at) <= order:
-            self._state_by_group[told.group] = told
+        current = self._state_by_group.get(new_state.group)
+        recency = (new_state.fence, new_state.seen_at)
+        if current is None or (current.fence, current.seen_at) <= recency:
+            self._state_by_group[new_state.group] = new_state
 
     def group(
         self, name: str, now: clock.Ms
@@ -100,14 +100,14 @@
         :param name: of the group.
         :param now: monotonic time in ms.
         """
-        known = self._state_by_group.get(name)
-        if known is None:
+        current = self._state_by_group.get(name)
+        if current is None:
             return missing.NotFound("no such group", name)
-        if now - known.seen_at >= self._fresh:
+        if now - current.seen_at >= self._max_state_age:
             return missing.Stale("no VM of it was heard of lately", name)
-        if known.state is not phase.Phase.SERVING:
-            return missing.Stale(f"{known.state}: {known.reason}", name)
-        return known
+        if current.state is not phase.Phase.SERVING:
+            return missing.Stale(f"{current.state}: {current.reason}", name)
+        return current
 
     def serving(self, now: clock.Ms) -> tuple[state.GroupState, ...]:
         """Return all groups that may be given work now.
@@ -121,7 +121,7 @@
         """Return the last state of each group, for operators to read."""
         return tuple(self._state_by_group.values())
 
-    def forget(self, before: clock.Ms) -> None:
+    def remove_older(self, before: clock.Ms) -> None:
         """Drop groups that nobody told of for long.
 
         :param before: monotonic time in ms.
--- a/src/citronvalve/groups/vmstatustable.py
+++ b/src/citronvalve/groups/vmstatustable.py
@@ -26,7 +26,7 @@
         self._max_order_delay = timings.max_order_delay
 
     def record_read_back(
-        self, vm: str, answer: engines.Held, sent_at: clock.Ms
+        self, vm: str, answer: engines.ReadBack, sent_at: clock.Ms
     ) -> None:
         """Take in the answer to a read-back.
 
--- a/src/citronvalve/groups/wire.py
+++ b/src/citronvalve/groups/wire.py
@@ -51,54 +51,61 @@
     fence: int = 0
 
 
-def write(given: order.Order) -> bytes:
+def encode_order(engine_order: order.Order) -> bytes:
     """Return the body of an order.
 
     :param given: the order.
     """
     return msgspec.json.encode(
         WireOrder(
-            given.fence,
-            given.attempt,
-            given.kind,
-            given.group,
-            [WireMember(each.vm, each.address) for each in given.members],
-            given.rank,
-            given.model,
-            given.version,
-            given.adapter,
-            given.role,
+            engine_order.fence,
+            engine_order.attempt,
+            engine_order.kind,
+            engine_order.group,
+            [
+                WireMember(each.vm, each.address)
+                for each in engine_order.members
+            ],
+            engine_order.rank,
+            engine_order.model,
+            engine_order.version,
+            engine_order.adapter,
+            engine_order.role,
         )
     )
 
 
-def read_holding(held: WireHolding) -> holding.Holding:
+def decode_holding(wire_holding: WireHolding) -> holding.Holding:
     """Return a read-back.
 
     :param held: as it travelled.
     """
     return holding.Holding(
-        held.vm,
-        held.start_id,
-        held.fence,
-        held.group,
-        tuple(each.vm for each in held.vms),
-        held.rank,
-        held.model,
-        held.version,
-        held.state,
+        wire_holding.vm,
+        wire_holding.start_id,
+        wire_holding.fence,
+        wire_holding.group,
+        tuple(each.vm for each in wire_holding.vms),
+        wire_holding.rank,
+        wire_holding.model,
+        wire_holding.version,
+        wire_holding.state,
     )
 
 
-def read_load(body: bytes) -> engineload.EngineLoad:
+def decode_load(body: bytes) -> engineload.EngineLoad:
     """Return a load report.
 
     :param body: JSON.
     :raises msgspec.MsgspecError: when it is not one.
     """
-    read = msgspec.json.decode(body, type=_WireLoad)
+    decoded = msgspec.json.decode(body, type=_WireLoad)
     return engineload.EngineLoad(
-        read.start_id, read.running, read.queued, read.bears, read.vms_missing
+        decoded.start_id,
+        decoded.running,
+        decoded.queued,
+        decoded.bears,
+        decoded.vms_missing,
     )
 
 
--- a/standins/fakeengines.py
+++ b/standins/fakeengines.py
@@ -32,10 +32,12 @@
         self.hold_next = 0
         self.lose_next = 0
 
-    def order(self, address: str, given: engines.Order) -> engines.Answer:
-        self._points.point(f"before order {given.kind}")
-        answer = self._order(address, given)
-        self._points.point(f"after order {given.kind}")
+    def send_order(
+        self, address: str, new_order: engines.Order
+    ) -> engines.Answer:
+        self._points.point(f"before order {new_order.kind}")
+        answer = self._order(address, new_order)
+        self._points.point(f"after order {new_order.kind}")
         return answer
 
     def _order(self, address: str, given: engines.Order) -> engines.Answer:
@@ -60,13 +62,13 @@
             if isinstance(engine, fakeengine.FakeEngine):
                 engine.take(given, self._time.now())
 
-    def holding(self, address: str) -> engines.Held:
+    def read_holding(self, address: str) -> engines.ReadBack:
         engine = self._reach(address)
         if not isinstance(engine, fakeengine.FakeEngine):
             return engine
         return engine.holding(self._time.now())
 
-    def load(
+    def read_load(
         self, address: str
     ) -> engineload.EngineLoad | missing.Unavailable | missing.AnswerLost:
         engine = self._reach(address)
--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -124,7 +124,7 @@
             return
         process.is_paused = False
         for state in process.leader.states:
-            self.directory.tell(state)
+            self.directory.update(state)
 
     def tick(self, span=1_000):
         self.clock.advance(span)
