--- a/src/citronvalve/groups/__init__.py
+++ b/src/citronvalve/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Plan replica groups and carry the plan out."""
+"""Planning, forming and observing replica groups."""
--- a/src/citronvalve/groups/accepted.py
+++ b/src/citronvalve/groups/accepted.py
@@ -1,4 +1,4 @@
-"""The answer of an engine that took an order."""
+"""An engine's answer that accepts an order."""
 
 from typing import NamedTuple
 
@@ -6,6 +6,6 @@
 
 
 class Accepted(NamedTuple):
-    """The order was taken; ``holding`` is what the engine holds now."""
+    """The order was accepted; ``holding`` is the state after it."""
 
     holding: holding.Holding
--- a/src/citronvalve/groups/change.py
+++ b/src/citronvalve/groups/change.py
@@ -1,4 +1,4 @@
-"""One change of one group, as a transaction on its rows."""
+"""Changes of a group, written as transactions on its rows."""
 
 from typing import NamedTuple
 
@@ -10,10 +10,10 @@
 
 
 class Change(NamedTuple):
-    """From a group's record to the next; None is no group.
+    """A group's record before and after the change; None means no group.
 
-    ``ordering`` says that orders follow: the rows of the VMs are written
-    too, each on the condition that nobody wrote it since.
+    ``has_orders`` says that orders follow from the new record.  The rows of
+    the VMs are then written too, on condition that they are unchanged.
     """
 
     before: record.GroupRecord | None
@@ -27,7 +27,7 @@
 
     @property
     def vms(self) -> tuple[str, ...]:
-        """Return the VMs of before and after, each once."""
+        """Return the VMs of both records without duplicates."""
         names = [vm for r in (self.before, self.after) if r for vm in r.vms]
         return tuple(dict.fromkeys(names))
 
@@ -39,18 +39,18 @@
     attempt: str,
     invariants: invariant.Invariants,
 ) -> rows.Transaction:
-    """Write a change as a transaction.
-
-    The condition on each VM's own row is what makes it safe: of two leaders
-    that plan with one VM, the second finds the row changed and writes
-    nothing, whatever either believes of its lease.  The condition on the
-    lease stops a holder that was paused before it wrote its intent.
-
-    :param change: what is to change.
-    :param known: the rows that it was decided on.
-    :param leased: the leader's own lease row, as it wrote it.
-    :param attempt: id of this try.
-    :param held: where promises are asserted.
+    """Return a change as a transaction.
+
+    The condition on the row of each VM prevents double assignment: when two
+    leaders plan with the same VM, the second transaction fails, even if both
+    believe that they hold the lease.  The condition on the lease rejects a
+    write by a holder that was paused until its lease was taken over.
+
+    :param change: the change.
+    :param cache: the rows that the change was decided on.
+    :param lease_condition: that the lease row is as this leader wrote it.
+    :param attempt: id of this attempt.
+    :param invariants: where invariants are checked.
     """
     groups = rowcache.groups_table(cache.datacentre)
     after = change.after
@@ -92,16 +92,16 @@
     lease_condition: rows.Condition,
     attempt: str,
 ) -> rows.Transaction:
-    """Write the intent to empty a VM that nobody owns.
+    """Return a transaction that raises the fence of an unowned VM.
 
-    Its engine holds something under a fence that our row does not know: the
-    row is raised first, so that the order is not refused.
+    The VM's engine reports a higher fence than its row.  The row is raised
+    above it before the order to close, which the engine would refuse.
 
-    :param vm: its name.
-    :param seen: the fence read back from its engine.
-    :param known: the rows.
-    :param leased: the leader's own lease row.
-    :param attempt: id of this try.
+    :param vm: name of the VM.
+    :param engine_fence: the fence reported by its engine.
+    :param cache: the cached rows.
+    :param lease_condition: that the lease row is as this leader wrote it.
+    :param attempt: id of this attempt.
     """
     fence = next_fence(cache, reported_fence=engine_fence)
     table = rowcache.owners_table(cache.datacentre)
@@ -118,15 +118,15 @@
     before: record.GroupRecord | None = None,
     reported_fence: int = 0,
 ) -> int:
-    """Return a fence above all that were given in the data centre.
+    """Return a fence above all fences used in the data centre.
 
-    Above those of the VMs would do for the engines.  Routing compares the
-    fences of one group's states, and a name may be used again for other
-    VMs: their states would be taken for old ones.
+    For the engines, a fence above those of the group's VMs would do.  But
+    routing compares the fences of states by group name, and a name may be
+    reused for other VMs, whose states would then look outdated.
 
-    :param known: the rows, each of which keeps the highest fence of its VM.
+    :param cache: the rows, which keep the highest fence of each VM.
     :param before: the group's record, if it has one.
-    :param seen: the highest fence read back from the engines.
+    :param reported_fence: the highest fence reported by the engines.
     """
     fences = [each.fence for each in cache.owner_by_vm.values()]
     return 1 + max([reported_fence, before.fence if before else 0, *fences])
--- a/src/citronvalve/groups/compact.py
+++ b/src/citronvalve/groups/compact.py
@@ -1,4 +1,4 @@
-"""The planner in use: strands few accelerators and keeps spares spread."""
+"""A planner that minimizes stranded accelerators and spreads spares."""
 
 import collections
 
@@ -15,28 +15,28 @@
 
 
 class CompactPlanner(planner.Planner):
-    """Made for VMs lost one by one and whole domains going dark.
+    """Handles the loss of single VMs and of whole domains.
 
-    A broken group without a spare strands all its VMs.  Three ways out are
+    A broken group without a spare strands all its VMs.  Three remedies are
     tried, the cheapest first: a spare of the domain (one VM loads), giving
-    up another broken group of the domain for its VMs, and giving up the
-    group for one in a domain with room (all VMs load).  Serving groups are
-    never touched: moving one costs downtime and wins no VM.
+    up another broken group of the domain for its VMs, and replacing the
+    group by one in a domain with enough free VMs (all VMs load).  Serving
+    groups are never moved: that costs downtime and gains no VM.
     """
 
     def plan(self, current: fleet.Fleet) -> plan.Plan:
         dissolved = firstfit.surplus(current)
         free = {d: list(v) for d, v in sorted(current.free_by_domain.items())}
         kept = [each for each in current.groups if each.group not in dissolved]
-        # Groups that lack the fewest VMs first: most groups come back for
-        # the spares there are.
+        # Groups that lack the fewest VMs come first, so that the spares
+        # repair as many groups as possible.
         broken = sorted(
             (each for each in kept if each.lost or each.leaving),
             key=lambda s: (not s.lost, len(s.lost), s.group),
         )
         repaired = firstfit.repairs(broken, free)
         names = {each.group for each in repaired}
-        # A group that only has a VM about to leave serves until then.
+        # A group whose VMs are only leaving, not lost, is still serving.
         unrepaired = [
             each for each in broken if each.lost and each.group not in names
         ]
@@ -57,8 +57,8 @@
 def _groups_to_merge(
     broken: list[groupstatus.GroupStatus], free: dict[str, list[str]]
 ) -> set[str]:
-    # The VMs of a group given up are spare only after they were read back
-    # empty, so this plan gives it up and a later one uses them.
+    # The VMs of a dissolved group are free only once they were read back
+    # as empty, so this plan dissolves the group and a later one uses them.
     given_up = set()
     by_domain: dict[str, list[groupstatus.GroupStatus]] = {}
     for each in broken:
@@ -71,7 +71,7 @@
             spare_count += len(last.up)
             given_up.add(last.group)
         if remaining and spare_count < len(remaining[0].lost):
-            # Nothing is won: keep them all, and wait for their VMs.
+            # No group can be completed: keep all and wait for their VMs.
             given_up -= {each.group for each in groups}
     return given_up
 
@@ -86,7 +86,7 @@
         (e.declared, e.domain) for e in kept
     )
     count_by_declared = collections.Counter(e.declared for e in kept)
-    # The largest first: small groups fit into what large ones leave.
+    # The largest groups come first: small ones fit into the rest.
     for each in sorted(specs, key=lambda n: (-n.size, n.declared)):
         count = count_by_declared[each.declared]
         for _ in range(each.replicas - count):
@@ -110,9 +110,9 @@
 ) -> str | None:
     def cost(domain: str) -> tuple[int, int, int, str]:
         free_count = len(free[domain])
-        # First the room lost to larger groups, which would strand VMs; then
-        # replicas of the same group lost together with the domain; then
-        # how few spares each group of the domain would have.
+        # Compared in this order: larger groups that would no longer fit,
+        # which strands VMs; replicas of the same group in the domain, which
+        # would be lost with it; and how few spares the domain would keep.
         lost = sum(
             free_count // other.size - (free_count - spec.size) // other.size
             for other in specs
@@ -137,7 +137,7 @@
     count_by_declared_and_domain = collections.Counter(
         (e.declared, e.domain) for e in kept
     )
-    # Those that lack most VMs first: they are the last to come back.
+    # Groups that lack the most VMs come first: they take longest to return.
     for each in sorted(broken, key=lambda s: -len(s.lost)):
         spec = spec_by_name[each.declared]
         domain = _best_domain(spec, specs, count_by_declared_and_domain, free)
--- a/src/citronvalve/groups/dependencies.py
+++ b/src/citronvalve/groups/dependencies.py
@@ -1,4 +1,4 @@
-"""What a leader works with."""
+"""The dependencies of a leader."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 
 
 def _discard_line(_line: str) -> None:
-    """Take a line of the log and drop it."""
+    """Discard a log line."""
 
 
 class Dependencies(NamedTuple):
     """The platform, the engines, the planner and the settings of a leader.
 
-    ``holder`` names the process and this start of it; no two starts may
-    share it.  ``say`` takes one line for the log.
+    ``holder`` identifies the process and its start, and must be unique to
+    that start.  ``log`` is called with each log line.
     """
 
     datacentre: str
--- a/src/citronvalve/groups/draintracker.py
+++ b/src/citronvalve/groups/draintracker.py
@@ -1,4 +1,4 @@
-"""Which closed groups still have requests in progress."""
+"""Tracks which closed groups still have requests in progress."""
 
 from citronvalve.groups import engineload
 from citronvalve.groups import engines
@@ -14,9 +14,9 @@
 
 
 class DrainTracker:
-    """Times how long groups are closed, and asks whether they are idle.
+    """Tracks how long groups have been closed and whether they are idle.
 
-    :param spans: the limits.
+    :param timings: timeouts and intervals.
     """
 
     def __init__(self, timings: timing.Timing) -> None:
@@ -30,11 +30,14 @@
         engine_client: engines.Engines,
         now: clock.Ms,
     ) -> frozenset[str]:
-        """Return the closed groups that have nothing in progress.
+        """Return the closed groups that count as drained.
 
-        :param known: the rows.
-        :param sighting_by_vm: the last sightings.
-        :param asked: the engines.
+        These are idle groups, groups with a lost VM, and groups for which
+        the drain timeout has passed.
+
+        :param cache: the cached rows.
+        :param status_by_vm: last read-back of each VM.
+        :param engine_client: reads the load of engines.
         :param now: monotonic time in ms.
         """
         closed = {
@@ -64,8 +67,8 @@
         engine_client: engines.Engines,
         closed_for: clock.Ms,
     ) -> bool:
-        # Other daemons go on sending until the state they hold is stale:
-        # only then does an idle engine stay idle.
+        # Other daemons send requests until their copy of the state is
+        # stale; only then does an idle engine stay idle.
         if closed_for < self._timings.max_state_age:
             return False
         if closed_for >= self._timings.drain_timeout:
--- a/src/citronvalve/groups/engineload.py
+++ b/src/citronvalve/groups/engineload.py
@@ -1,12 +1,12 @@
-"""The load that an engine reports of itself."""
+"""The load reported by an engine."""
 
 from typing import NamedTuple
 
 
 class EngineLoad(NamedTuple):
-    """Requests held by an engine, and what it says that it bears.
+    """Requests held by an engine, and how many it can hold.
 
-    ``vms_missing`` names VMs of its group that it does not hear from.
+    ``vms_missing`` names VMs of its group that it cannot reach.
     """
 
     start_id: str
--- a/src/citronvalve/groups/engines.py
+++ b/src/citronvalve/groups/engines.py
@@ -1,4 +1,4 @@
-"""The order interface of the engines, as a leader sees it."""
+"""The interface through which a leader controls engines."""
 
 import abc
 from collections.abc import Iterable
@@ -18,31 +18,30 @@
 )
 ReadBack = holding.Holding | missing.Unavailable | missing.AnswerLost
 
-#: Named here, where ``order`` is still the module and not the method.
 Order = order.Order
-#: Address and order.
 AddressAndOrder = tuple[str, Order]
 
 
 class Engines(abc.ABC):
-    """Gives orders to engines and reads back what they hold.
+    """Sends orders to engines and reads back their state.
 
+    A read-back is an engine's report of the group and weights it holds.
     :class:`missing.Unavailable` means that the VM refused the connection:
-    nothing runs there.  :class:`missing.AnswerLost` means silence, and an
-    order may yet arrive.
+    nothing runs there.  :class:`missing.AnswerLost` means that there was no
+    valid answer, and an order may still arrive.
     """
 
     @abc.abstractmethod
     def send_order(self, address: str, new_order: Order) -> Answer:
-        """Give an order.
+        """Send an order.
 
         :param address: host:port of the engine.
-        :param given: what it is to do.
+        :param new_order: the order.
         """
 
     @abc.abstractmethod
     def read_holding(self, address: str) -> ReadBack:
-        """Read back what an engine holds.
+        """Read the group and weights that an engine holds.
 
         :param address: host:port of the engine.
         """
@@ -51,24 +50,24 @@
     def read_load(
         self, address: str
     ) -> engineload.EngineLoad | missing.Unavailable | missing.AnswerLost:
-        """Read how busy an engine is.
+        """Read the load of an engine.
 
         :param address: host:port of the engine.
         """
 
     def read_holdings(self, addresses: Iterable[str]) -> dict[str, ReadBack]:
-        """Read back many engines; override it to ask them side by side.
+        """Read back several engines, one by one unless overridden.
 
-        :param addresses: host:port of each.
+        :param addresses: host:port of each engine.
         """
         return {address: self.read_holding(address) for address in addresses}
 
     def send_orders(
         self, addressed_orders: Iterable[AddressAndOrder]
     ) -> tuple[Answer, ...]:
-        """Give many orders; override it to give them side by side.
+        """Send several orders, one by one unless overridden.
 
-        :param given: address and order of each.
+        :param addressed_orders: pairs of host:port and order.
         """
         return tuple(
             self.send_order(address, each)
--- a/src/citronvalve/groups/event.py
+++ b/src/citronvalve/groups/event.py
@@ -1,26 +1,26 @@
-"""What can happen to a group."""
+"""Events that drive the state machine of a group."""
 
 import enum
 
 
 class Event(enum.StrEnum):
-    """One look at a group, with what the plan says of it."""
+    """The outcome of comparing a group with its record and the plan."""
 
-    #: Every VM holds what the phase asks for.
-    CONVERGED = "whole"
-    #: A VM is missing.
+    #: Every VM holds what the phase requires.
+    CONVERGED = "converged"
+    #: A VM is lost.
     LOST = "lost"
-    #: A VM answers, and holds something else.
-    DIVERGED = "strange"
-    #: Nothing to act on yet.
+    #: A VM answers but holds something else.
+    DIVERGED = "diverged"
+    #: Nothing needs to be done yet.
     WAITING = "waiting"
-    #: The plan has a spare for each VM lost.
+    #: The plan has a spare for each lost VM.
     REPAIR = "repair"
-    #: Operators want another model, adapter, version or role.
+    #: The declared model, version, adapter or role has changed.
     OUTDATED = "outdated"
-    #: A VM is about to leave, and there is a spare.
+    #: A VM is leaving and there is a spare.
     LEAVING = "leaving"
-    #: Operators or the plan give the group up.
+    #: The declaration or the plan requires the group to be dissolved.
     UNWANTED = "unwanted"
-    #: The group that is given up has no request in progress.
-    DRAINED = "idle"
+    #: The group to be dissolved has no request in progress.
+    DRAINED = "drained"
--- a/src/citronvalve/groups/firstfit.py
+++ b/src/citronvalve/groups/firstfit.py
@@ -1,4 +1,4 @@
-"""The plain planner that the other is measured against."""
+"""A first-fit planner, the baseline for comparisons."""
 
 from citronvalve.groups import fleet
 from citronvalve.groups import groupstatus
@@ -9,11 +9,11 @@
 
 
 def surplus(current: fleet.Fleet) -> dict[str, str]:
-    """Return the groups beyond the replicas declared, with the reason.
+    """Return the groups in excess of the declared replicas, with the reason.
 
-    Broken groups go first, then those with the highest number.
+    Groups with the most lost VMs go first, then the last by name.
 
-    :param seen: the fleet.
+    :param current: the current fleet.
     """
     replicas_by_declared = {n.declared: n.replicas for n in current.specs}
     kept_by_declared: dict[str, int] = {}
@@ -30,10 +30,10 @@
 def repairs(
     broken: list[groupstatus.GroupStatus], free_by_domain: dict[str, list[str]]
 ) -> list[repair.Repair]:
-    """Repair groups in the given order, and take the spares used away.
+    """Return repairs of groups, in the given order.
 
-    :param broken: groups with VMs lost or leaving.
-    :param free_by_domain: spare VMs, changed in place.
+    :param broken: groups with lost or leaving VMs.
+    :param free_by_domain: spare VMs; those that are used are removed.
     """
     planned = []
     for each in broken:
@@ -47,7 +47,7 @@
 
 
 class FirstFitPlanner(planner.Planner):
-    """Takes the first domain with room, and waits for lost VMs."""
+    """Uses the first domain with enough free VMs; never moves a group."""
 
     def plan(self, current: fleet.Fleet) -> plan.Plan:
         dissolved = surplus(current)
--- a/src/citronvalve/groups/fixedloadslots.py
+++ b/src/citronvalve/groups/fixedloadslots.py
@@ -1,19 +1,19 @@
-"""A fixed number of slots for loads, kept by one process."""
+"""A fixed number of load slots, kept in memory."""
 
 from citronvalve.groups import loadslots
 from citronvalve.model import clock
 from citronvalve.model import missing
 
-#: How long a slot is lent without being renewed.  The leader renews it with
-#: every step while the load runs, so that this only has to outlast a few
-#: missed steps.
+#: Lifetime of a slot that is not renewed.  The leader renews it in every step
+#: while the load runs, so it only has to outlast a few missed steps.
 _SLOT_LEASE: clock.Ms = 10_000
 
 
 class FixedLoadSlots(loadslots.LoadSlots):
-    """Enough where only the holder of the lease starts loads.
+    """Sufficient as only the lease holder starts loads.
 
-    :param slots: loads at once; an edit of the table may change it.
+    :param slots: maximum number of concurrent loads.
+    :ivar slots: the same; may be changed at any time.
     """
 
     def __init__(self, slots: int) -> None:
@@ -25,7 +25,7 @@
     ) -> clock.Ms | missing.Unavailable:
         active = {k: t for k, t in self._expires_at_by_load.items() if t > now}
         if load not in active and len(active) >= self.slots:
-            return missing.Unavailable("all load slots are lent", load)
+            return missing.Unavailable("all load slots are in use", load)
         active[load] = now + _SLOT_LEASE
         self._expires_at_by_load = active
         return active[load]
--- a/src/citronvalve/groups/fleet.py
+++ b/src/citronvalve/groups/fleet.py
@@ -1,4 +1,4 @@
-"""All that a plan for one data centre depends on."""
+"""The planner's input for one data centre."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class Fleet(NamedTuple):
-    """Needs, groups and free VMs; a free VM is up and unowned."""
+    """Declared groups, existing groups, and free VMs (up and unowned)."""
 
     specs: tuple[groupspec.GroupSpec, ...]
     groups: tuple[groupstatus.GroupStatus, ...]
--- a/src/citronvalve/groups/fleetbuilder.py
+++ b/src/citronvalve/groups/fleetbuilder.py
@@ -1,4 +1,4 @@
-"""The fleet as the planner is to see it."""
+"""Builds the planner's input from the observed state."""
 
 from citronvalve.groups import fleet
 from citronvalve.groups import groupspec
@@ -12,9 +12,9 @@
 
 
 def is_stray(reported: holding.Holding) -> bool:
-    """Tell whether a VM that nobody owns holds something all the same.
+    """Tell whether an unowned VM still holds a group or weights.
 
-    :param held: its read-back.
+    :param reported: its read-back.
     """
     return (
         bool(reported.group)
@@ -23,9 +23,9 @@
 
 
 def build_fleet(observed: observedstate.ObservedState) -> fleet.Fleet:
-    """Return the needs, the groups and the free VMs.
+    """Return the declared groups, the existing groups and the free VMs.
 
-    :param seen: the situation.
+    :param observed: the observed state.
     """
     specs = tuple(
         groupspec.GroupSpec(each.name, each.size, each.replicas)
@@ -64,8 +64,8 @@
 
 
 def _is_leaving(vm: str, observed: observedstate.ObservedState) -> bool:
-    # A VM that the list does not show may be newer than the list, or a
-    # group's record older; only its engine's silence makes it missing.
+    # A VM that is not listed may be newer than the list, or the record of
+    # its group older.  Only an unreachable engine makes a VM lost.
     listed = observed.listed_by_vm.get(vm)
     return listed is not None and listed.state is vmlist.VmState.LEAVING
 
@@ -73,8 +73,8 @@
 def _free_by_domain(
     observed: observedstate.ObservedState,
 ) -> dict[str, tuple[str, ...]]:
-    # Engines that ignore fencing numbers may yet take an order of an
-    # earlier holder: until that is over, none of their VMs is given away.
+    # Engines that ignore fencing tokens may still accept an order of an
+    # earlier leader.  Until that is ruled out, no VM is assigned.
     groups = observed.declared_groups().values()
     late_orders_possible = any(not each.refuses_old_fence for each in groups)
     by_domain: dict[str, list[str]] = {}
@@ -95,7 +95,7 @@
     status = observed.status_by_vm.get(vm)
     if status is None or status.holding is None:
         return False
-    # What it may still hold of an old group goes with the first order.
+    # Leftovers of an old group are cleared by the first order.
     return not observation.is_unreachable(
         status, observed.now, observed.timings
     )
--- a/src/citronvalve/groups/groupspec.py
+++ b/src/citronvalve/groups/groupspec.py
@@ -1,10 +1,10 @@
-"""How many groups operators want."""
+"""A declared group, as input of the planner."""
 
 from typing import NamedTuple
 
 
 class GroupSpec(NamedTuple):
-    """``replicas`` groups of ``size`` VMs each."""
+    """``replicas`` replica groups of ``size`` VMs each."""
 
     declared: str
     size: int
--- a/src/citronvalve/groups/groupstatus.py
+++ b/src/citronvalve/groups/groupstatus.py
@@ -1,10 +1,10 @@
-"""A group that exists, as the planner sees it."""
+"""An existing group, as input of the planner."""
 
 from typing import NamedTuple
 
 
 class GroupStatus(NamedTuple):
-    """VMs of a group that are up, missing, or up and about to leave."""
+    """VMs of a group that are up, lost, or up but leaving."""
 
     group: str
     declared: str
--- a/src/citronvalve/groups/holding.py
+++ b/src/citronvalve/groups/holding.py
@@ -1,11 +1,11 @@
-"""What an engine says that it holds."""
+"""The group and weights that an engine reports."""
 
 import enum
 from typing import NamedTuple
 
 
 class WeightsState(enum.StrEnum):
-    """How far an engine has come with its part of the weights."""
+    """Load state of an engine's shard of the weights."""
 
     EMPTY = "empty"
     LOADING = "loading"
@@ -15,8 +15,8 @@
 class Holding(NamedTuple):
     """The read-back of one engine.
 
-    ``start_id`` changes with each start of the engine.  ``fence`` is that
-    of the last order it took.
+    ``start_id`` changes with each start of the engine.  ``fence`` is the
+    fencing token of the last order it accepted.
     """
 
     vm: str
--- a/src/citronvalve/groups/httpengines.py
+++ b/src/citronvalve/groups/httpengines.py
@@ -1,4 +1,4 @@
-"""The engines' order interface over HTTP."""
+"""Access to engines over HTTP."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 from citronvalve.model import clock
 from citronvalve.model import missing
 
-#: A read-back that takes longer counts as silence; two of them in a row,
-#: with the poll of a second, stay within the 3 s of detection.
+#: Two read-backs that time out in a row, one poll of 1 s apart, stay within
+#: the 3 s in which the loss of a VM must be detected.
 _READ_TIMEOUT: clock.Ms = 500
-#: An order is given up well before the bound that a new holder waits.
+#: Well below ``Timing.max_order_delay``, for which a new leader waits.
 _ORDER_TIMEOUT: clock.Ms = 1_500
-#: Names of 8 to 64 VMs fit many times; more is not an engine's answer.
+#: Several times the size of an answer that names 64 VMs.
 _MAX_ANSWER_BYTES = 65_536
-#: One for read-backs and one for orders, which run side by side.
+#: One for read-backs and one for orders, which run concurrently.
 _CONNECTIONS_PER_ENGINE = 2
 _MAX_POOLS = 2_048
 
@@ -31,13 +31,13 @@
 
 
 class _BadAnswerError(ValueError):
-    """The answer is not of this interface."""
+    """The answer does not conform to the interface."""
 
 
 class HttpEngines(engines.Engines):
-    """Asks engines by ``urllib3``; many side by side.
+    """Calls engines with ``urllib3``.
 
-    :param each: ``map`` or a way to run it side by side.
+    :param map_function: ``map``, or a concurrent replacement for it.
     """
 
     def __init__(self, map_function: Callable[..., Iterable] = map) -> None:
--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -1,4 +1,4 @@
-"""Keeps the replica groups of one data centre; the only part that acts."""
+"""The leader, which runs the replica groups of one data centre."""
 
 from citronvalve.groups import change
 from citronvalve.groups import dependencies
@@ -20,20 +20,20 @@
 from citronvalve.storage import rows
 from citronvalve.storage import vmlist
 
-#: Rounds of decisions and orders in one step: a group whose engines answer
-#: at once is formed, and its load begun, within the step that found a VM
-#: missing, instead of a poll later each.
+#: Rounds of decisions and orders in one step.  With several rounds, a group
+#: whose engines answer at once is formed and starts loading within the step
+#: that detected a lost VM, rather than one poll later for each phase.
 _MAX_ROUNDS = 4
 
 
 class Leader:
-    """Watches all VMs, and gives orders while it holds the lease.
+    """Polls all VMs, and sends orders while it holds the lease.
 
-    Every candidate watches, so that routing has fresh states also while
-    the holder changes or the platform is down.
+    Every candidate polls, so that routing has current states even while
+    the leader changes or the platform is down.
 
-    :param has: what it works with.
-    :ivar states: of each group, after the last step.
+    :param deps: the dependencies.
+    :ivar states: the state of each group after the last step.
     """
 
     def __init__(self, deps: dependencies.Dependencies) -> None:
@@ -52,9 +52,9 @@
         self._sent_orders: set[tuple[str, int]] = set()
 
     def update_declared(self, declared_table: declared.Declared) -> None:
-        """Take in a version of the operators' table.
+        """Replace the operators' table.
 
-        :param wanted: the whole table.
+        :param declared_table: a version of the whole table.
         """
         self._declared = declared_table
 
@@ -63,7 +63,7 @@
         return self._lease.is_held(self._deps.clock.now())
 
     def step(self, now: clock.Ms) -> None:
-        """Watch, then lead; about once a second.
+        """Poll, then lead; called about once a second.
 
         :param now: monotonic time in ms.
         """
@@ -71,16 +71,16 @@
         self.lead(now)
 
     def poll(self) -> None:
-        """Read back all VMs and renew the states for routing.
+        """Read back all VMs and update the states for routing.
 
-        Asks nothing of the platform, and may run while :meth:`lead` waits
-        for it: a slow store must not make the states go stale.
+        Does not access the platform, and may run while :meth:`lead` waits
+        for it, so that a slow store does not make the states stale.
         """
         self._poll_vms()
         self._publish()
 
     def lead(self, now: clock.Ms) -> None:
-        """Read the rows, keep the lease, and do what is due.
+        """Read the rows, renew the lease, and apply changes if it is held.
 
         :param now: monotonic time in ms.
         """
@@ -93,7 +93,7 @@
         self._publish()
 
     def stop(self) -> None:
-        """Free the lease, so that the next holder need not wait it out."""
+        """Release the lease, so that the next leader need not await its end."""
         attempt = self._next_attempt()
         release = self._lease.release(self._deps.clock.now(), attempt)
         if release:
@@ -133,8 +133,8 @@
     def _poll_vms(self) -> None:
         address_by_vm = {
             each.vm: each.address
-            for known in self._cache.record_by_group.values()
-            for each in known.members
+            for group_record in self._cache.record_by_group.values()
+            for each in group_record.members
         }
         for vm, listed in self._listed_by_vm.items():
             address_by_vm.setdefault(vm, listed.address)
@@ -243,18 +243,18 @@
             )
         )
         after = wanted_change.after
-        shown = f"{after.phase}: {after.reason}" if after else "given up"
+        shown = f"{after.phase}: {after.reason}" if after else "removed"
         self._deps.log(f"group {wanted_change.group} {shown}; {outcome!r}")
-        # Whether a lost answer was a success is read back with the rows,
-        # which carry the attempt, before any order is given.
+        # Whether a write without an answer took effect is found by reading
+        # the rows, which contain the attempt, before any order is sent.
         return not isinstance(outcome, rows.Conflict | missing.Unavailable)
 
     def _send_group_orders(self, observed: observedstate.ObservedState) -> int:
         if not self._read_tables():
             return 0
         records = self._cache.record_by_group.values()
-        # Loads in progress, of an earlier holder too, have their slots
-        # before any new one: the weight store bears them already.
+        # Loads in progress, also those of an earlier leader, get their slots
+        # before new ones, as they already use the weight store.
         for each in records:
             if orders.is_loading(each, observed):
                 self._may_load(each)
@@ -294,9 +294,9 @@
         return self._send_orders(due)
 
     def _send_orders(self, due: list[orders.AddressedOrder]) -> int:
-        # Read just before the orders go out: the writes above may have
-        # taken longer than the lease, and then another process may have
-        # taken these VMs.
+        # The clock is read just before the orders are sent: the writes may
+        # have taken longer than the lease, and another leader may have
+        # assigned these VMs by then.
         sent_at = self._deps.clock.now()
         due = [each for each in due if self._is_first_attempt(each)]
         if not due or not self._lease.is_held(sent_at):
@@ -309,8 +309,8 @@
         return len(due)
 
     def _is_first_attempt(self, each: orders.AddressedOrder) -> bool:
-        # One try a step: an engine that does not answer would otherwise
-        # hold up every round of it.
+        # One attempt per step: an engine that does not answer would
+        # otherwise delay every round.
         key = (each.vm, each.order.fence)
         first = key not in self._sent_orders
         self._sent_orders.add(key)
--- a/src/citronvalve/groups/lease.py
+++ b/src/citronvalve/groups/lease.py
@@ -1,13 +1,13 @@
-"""The stored row of a data centre's leader."""
+"""The stored row of a data centre's leader lease."""
 
 from typing import NamedTuple
 
 
 class Lease(NamedTuple):
-    """Who plans for a data centre; ``term`` rises with each new holder.
+    """The holder of a leader lease; ``term`` increases with each new holder.
 
-    It only saves work: what keeps two leaders from giving one VM away twice
-    is the condition on the VM's own row.
+    The lease only avoids duplicate work.  The condition on the row of a VM
+    is what keeps two leaders from assigning the VM twice.
     """
 
     datacentre: str
--- a/src/citronvalve/groups/leasemanager.py
+++ b/src/citronvalve/groups/leasemanager.py
@@ -1,4 +1,4 @@
-"""Holding the lease of a data centre, or waiting for it."""
+"""Acquisition and renewal of the leader lease of a data centre."""
 
 from citronvalve.groups import lease
 from citronvalve.groups import rowcache
@@ -8,15 +8,15 @@
 
 
 class LeaseManager:
-    """Decides when to write the lease row; the leader does the writing.
+    """Decides when to write the lease row; the leader writes it.
 
-    No wall clock is compared: a taker must see one version of the row for
-    a whole lease by its own clock.
+    Wall clocks are not compared: a new holder must observe the same version
+    of the row for a whole lease by its own monotonic clock.
 
-    :param datacentre: its name.
-    :param holder: name of this process and this start of it.
-    :param spans: the limits.
-    :ivar taken_at: when this process took the current term.
+    :param datacentre: name of the data centre.
+    :param holder: identifies this process and its start.
+    :param timings: timeouts and intervals.
+    :ivar acquired_at: monotonic ms when this process acquired its term.
     """
 
     def __init__(
@@ -36,20 +36,20 @@
 
     @property
     def condition(self) -> rows.Condition:
-        """Return the condition that the lease row is as this holder wrote."""
+        """Return the condition that the lease row is as last written here."""
         return rows.Condition(
             rowcache.LEASES_TABLE, self._datacentre, self._version
         )
 
     def is_held(self, now: clock.Ms) -> bool:
-        """Tell whether this process may give orders.
+        """Tell whether this process holds the lease and may send orders.
 
         :param now: monotonic time in ms, read just before the order.
         """
         return now < self._held_until
 
     def is_due(self, now: clock.Ms) -> bool:
-        """Tell whether the row should be read now.
+        """Tell whether the row is due to be read.
 
         :param now: monotonic time in ms.
         """
@@ -58,11 +58,11 @@
     def next_write(
         self, row: rows.Row | None, now: clock.Ms, attempt: str
     ) -> rows.Transaction | None:
-        """Return the write of the row that is due, if any.
+        """Return the due write that acquires or renews the lease, if any.
 
-        :param row: the row as just read; None when there is none.
+        :param row: the row as just read; None if it does not exist.
         :param now: monotonic time in ms, read after the row.
-        :param attempt: id of this try.
+        :param attempt: id of this attempt.
         """
         self._next_renewal_at = now + self._timings.renew_interval
         if row is None:
@@ -83,8 +83,8 @@
         return self._write(row.version, stored.term + 1, now, attempt)
 
     def _settle_lost_answer(self, version: int, stored: lease.Lease) -> None:
-        # The answer to our write was lost, and here it stands.  Its time
-        # counts from before it was sent.
+        # The write took effect although its answer was lost.  The lease
+        # counts from before the write was sent.
         sent_at = self._sent_at_by_attempt.get(stored.attempt)
         if sent_at is not None:
             self.record_granted(version, stored.term, sent_at)
@@ -113,11 +113,11 @@
     def record_granted(
         self, version: int, term: int, sent_at: clock.Ms
     ) -> None:
-        """Take in that a write of the row took effect.
+        """Record that a write of the row took effect.
 
-        :param version: of the row.
-        :param term: that was written.
-        :param sent_at: monotonic time in ms before it was sent.
+        :param version: new version of the row.
+        :param term: the term that was written.
+        :param sent_at: monotonic time in ms before the write was sent.
         """
         if term != self._term:
             self._term, self.acquired_at = term, sent_at
@@ -127,14 +127,14 @@
         )
 
     def record_lost(self) -> None:
-        """Take in that another process wrote the row."""
+        """Record that another process holds the lease."""
         self._held_until = -1
 
     def release(self, now: clock.Ms, attempt: str) -> rows.Transaction | None:
-        """Return the write that frees the row for the next holder.
+        """Return the write that releases the lease, if it is held.
 
         :param now: monotonic time in ms.
-        :param attempt: id of this try.
+        :param attempt: id of this attempt.
         """
         if not self.is_held(now):
             return None
--- a/src/citronvalve/groups/loadslots.py
+++ b/src/citronvalve/groups/loadslots.py
@@ -1,4 +1,4 @@
-"""Slots for loads from the weight store, shared by a data centre."""
+"""Slots that limit concurrent loads from the weight store."""
 
 import abc
 
@@ -7,15 +7,15 @@
 
 
 class LoadSlots(abc.ABC):
-    """Lends slots for a time; a slot not renewed is free again."""
+    """Grants slots for a limited time; a slot expires unless renewed."""
 
     @abc.abstractmethod
     def acquire(
         self, load: str, now: clock.Ms
     ) -> clock.Ms | missing.Unavailable:
-        """Borrow a slot, or renew the one this load holds.
+        """Acquire a slot, or renew the one that this load holds.
 
         :param load: name of the load; the same name gets the same slot.
         :param now: monotonic time in ms.
-        :return: until when the slot is lent, or why there is none.
+        :return: when the slot expires, in monotonic ms, or why there is none.
         """
--- a/src/citronvalve/groups/observation.py
+++ b/src/citronvalve/groups/observation.py
@@ -1,4 +1,4 @@
-"""What the read-backs of a group's VMs say, compared with its record."""
+"""Comparison of the read-backs of a group's VMs with its record."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 
 class Observation(NamedTuple):
-    """An event, with the reason as operators read it."""
+    """An event, with the reason as shown to operators."""
 
     event: event.Event
     reason: str
@@ -23,9 +23,9 @@
 ) -> bool:
     """Tell whether a VM's last read-back is too old to act on.
 
-    :param seen: its last sighting; None when it was never asked.
+    :param status: its status; None if it was never polled.
     :param now: monotonic time in ms.
-    :param spans: the limits.
+    :param timings: timeouts and intervals.
     """
     if status is None:
         return False
@@ -35,15 +35,15 @@
 def is_lost(
     status: vmstatus.VmStatus | None, now: clock.Ms, timings: timing.Timing
 ) -> bool:
-    """Tell whether a VM is missing.
+    """Tell whether a VM is lost.
 
-    A refused connection is certain.  Silence is not: a VM that left one
-    read-back without an answer may have lost one packet, and the next one
-    is not over when its last answer gets old.
+    A refused connection is conclusive; a timeout is not.  A single missed
+    read-back may be a lost packet, and the next one may still be in progress
+    when the last answer becomes too old.  Two must have been missed.
 
-    :param seen: its last sighting; None when it was never asked.
+    :param status: its status; None if it was never polled.
     :param now: monotonic time in ms.
-    :param spans: the limits.
+    :param timings: timeouts and intervals.
     """
     if status is None or status.is_down:
         return status is not None
@@ -60,12 +60,12 @@
     now: clock.Ms,
     timings: timing.Timing,
 ) -> tuple[str, ...]:
-    """Return the VMs of a group that are missing.
+    """Return the lost VMs of a group.
 
-    :param known: the group's record.
-    :param sighting_by_vm: the last sightings.
+    :param group_record: the group's stored record.
+    :param status_by_vm: last read-back of each VM.
     :param now: monotonic time in ms.
-    :param spans: the limits.
+    :param timings: timeouts and intervals.
     """
     return tuple(
         vm
@@ -77,11 +77,11 @@
 def is_formed(
     group_record: record.GroupRecord, rank: int, reported: holding.Holding
 ) -> bool:
-    """Tell whether an engine knows its place in the group.
+    """Tell whether an engine reports its place in the group.
 
-    :param known: the group's record.
+    :param group_record: the group's stored record.
     :param rank: the engine's rank.
-    :param held: its read-back.
+    :param reported: its read-back.
     """
     return (
         reported.group == group_record.name
@@ -94,14 +94,14 @@
 def is_ready(
     group_record: record.GroupRecord, rank: int, reported: holding.Holding
 ) -> bool:
-    """Tell whether an engine holds all that the record says.
+    """Tell whether an engine matches the record and is ready.
 
-    The fence must be the record's own: with it the adapter and the role,
-    which are not read back, are those of the last order.
+    The adapter and the role are not read back.  A fence equal to the
+    record's shows that the engine accepted the order that sets them.
 
-    :param known: the group's record.
+    :param group_record: the group's stored record.
     :param rank: the engine's rank.
-    :param held: its read-back.
+    :param reported: its read-back.
     """
     return (
         is_formed(group_record, rank, reported)
@@ -118,12 +118,12 @@
     now: clock.Ms,
     timings: timing.Timing,
 ) -> Observation:
-    """Compare what the engines hold with a group's record.
+    """Compare the read-backs of a group with its record.
 
-    :param known: the group's record.
-    :param sighting_by_vm: the last sightings.
+    :param group_record: the group's stored record.
+    :param status_by_vm: last read-back of each VM.
     :param now: monotonic time in ms.
-    :param spans: the limits.
+    :param timings: timeouts and intervals.
     """
     lost = lost_vms(group_record, status_by_vm, now, timings)
     if lost:
--- a/src/citronvalve/groups/observedstate.py
+++ b/src/citronvalve/groups/observedstate.py
@@ -1,4 +1,4 @@
-"""All that the decisions of one step depend on."""
+"""The input of the decisions of one step."""
 
 from typing import NamedTuple
 
@@ -12,11 +12,14 @@
 
 
 class ObservedState(NamedTuple):
-    """Rows, read-backs, the VM list and the operators' wishes.
-
-    ``settled_at`` is when orders of an earlier holder have all arrived.
-    ``drained`` names the closed groups without a request in progress.
-    ``now`` is monotonic, ``wall`` for the records; both in ms.
+    """Rows, read-backs, the VM list and the declared configuration.
+
+    ``uncertain_until_by_vm`` is the time until which an unanswered order may
+    still arrive at a VM.
+    ``orders_settled_at`` is the time from which no order of an earlier
+    leader can arrive.
+    ``drained_groups`` names the closed groups that count as drained.
+    ``now`` is monotonic time, ``wall`` is wall time for records; both in ms.
     """
 
     declared: declared.Declared
@@ -31,7 +34,7 @@
     wall: clock.Ms
 
     def declared_groups(self) -> dict[str, declared.Group]:
-        """Return what is declared for this data centre, by name."""
+        """Return the groups declared for this data centre, by name."""
         return {
             name: each
             for name, each in self.declared.group_by_name.items()
@@ -48,7 +51,7 @@
         return wanted.Wanted(group.model, version, group.adapter, group.role)
 
     def is_settled(self, vms: tuple[str, ...]) -> bool:
-        """Tell whether read-backs are later than any order in flight.
+        """Tell whether the read-backs are newer than any order in flight.
 
         :param vms: names of the VMs.
         """
--- a/src/citronvalve/groups/order.py
+++ b/src/citronvalve/groups/order.py
@@ -7,7 +7,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an engine is told to do."""
+    """The kind of an order."""
 
     FORM = "form"
     LOAD = "load"
@@ -16,7 +16,7 @@
 
 
 class Order(NamedTuple):
-    """One order to one VM; ``attempt`` is the same when it is repeated."""
+    """An order to one VM; repeats carry the same ``attempt``."""
 
     fence: int
     attempt: str
--- a/src/citronvalve/groups/orders.py
+++ b/src/citronvalve/groups/orders.py
@@ -1,4 +1,4 @@
-"""The orders that follow from the rows; pure."""
+"""Derives orders from the stored rows, without side effects."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class AddressedOrder(NamedTuple):
-    """An order, and the VM it goes to."""
+    """An order and the VM that receives it."""
 
     vm: str
     address: str
@@ -23,14 +23,14 @@
 def group_orders(
     group_record: record.GroupRecord, observed: observedstate.ObservedState
 ) -> list[AddressedOrder]:
-    """Return the orders that a group's row calls for.
+    """Return the orders that follow from a group's row.
 
-    They are worked out from the row alone and repeated with the same
-    attempt until the read-back shows them, so that any leader can carry on
-    where another was killed, and a late copy asks for what stands already.
+    Their content comes from the row alone, and they are repeated with the
+    same attempt until the read-back confirms them.  Any leader can therefore
+    continue where another was killed, and a late copy changes nothing.
 
-    :param known: the group's record.
-    :param seen: the situation.
+    :param group_record: the group's stored record.
+    :param observed: the observed state.
     """
     if group_record.phase not in (phase.Phase.FORMING, phase.Phase.LOADING):
         return []
@@ -58,10 +58,10 @@
 def is_loading(
     group_record: record.GroupRecord, observed: observedstate.ObservedState
 ) -> bool:
-    """Tell whether a VM of a group loads weights at this moment.
+    """Tell whether a VM of a group is loading weights.
 
-    :param known: the group's record.
-    :param seen: the situation.
+    :param group_record: the group's stored record.
+    :param observed: the observed state.
     """
     if group_record.phase is not phase.Phase.LOADING:
         return False
@@ -102,12 +102,12 @@
 def strays(
     observed: observedstate.ObservedState,
 ) -> list[tuple[str, holding.Holding]]:
-    """Return the VMs that nobody owns and that hold something.
+    """Return the unowned VMs that still hold a group or weights.
 
-    They come from a group that was given up while they were silent, or took
-    a late order.
+    They were unreachable when their group was dissolved, or accepted a late
+    order.
 
-    :param seen: the situation.
+    :param observed: the observed state.
     """
     stray_holdings = []
     for vm in observed.listed_by_vm:
@@ -128,11 +128,11 @@
 def stray_order(
     owner_row: owner.Owner | None, reported: holding.Holding, address: str
 ) -> AddressedOrder | None:
-    """Return the order that empties a stray VM.
+    """Return the order that clears a stray VM.
 
-    :param owned: its row, which is the intent.
-    :param held: its read-back.
-    :param address: of its engine.
+    :param owner_row: its row, which is the intent of the order.
+    :param reported: its read-back.
+    :param address: host:port of its engine.
     :return: None when the row must be raised above the engine's fence first.
     """
     if owner_row is None or owner_row.fence < reported.fence:
--- a/src/citronvalve/groups/owner.py
+++ b/src/citronvalve/groups/owner.py
@@ -1,13 +1,13 @@
-"""The stored row of a VM: which group it belongs to."""
+"""The stored row that assigns a VM to a group."""
 
 from typing import NamedTuple
 
 
 class Owner(NamedTuple):
-    """Who owns a VM; an empty ``group`` means nobody.
+    """The owner of a VM; an empty ``group`` means that it is unowned.
 
-    The row stays when the VM is given back, since ``fence`` must never
-    fall: it is the highest that any order to this VM may carry so far.
+    ``fence`` is the highest fencing token used for this VM.  It must never
+    decrease, so the row is kept when the VM is released.
     """
 
     vm: str
--- a/src/citronvalve/groups/phase.py
+++ b/src/citronvalve/groups/phase.py
@@ -4,13 +4,13 @@
 
 
 class Phase(enum.StrEnum):
-    """Where a group stands; only SERVING may be given work."""
+    """The phase of a group; only SERVING receives requests."""
 
-    #: Declared, but no domain has the VMs; shown to operators, not stored.
+    #: Declared, but no domain has enough free VMs; shown to operators only.
     PLANNED = "planned"
     FORMING = "forming"
     LOADING = "loading"
     SERVING = "serving"
-    #: Takes no work; a VM is missing, or a change waits for idle VMs.
+    #: Receives no requests: a VM is lost, or a change waits for the drain.
     CLOSED = "closed"
     DISSOLVING = "dissolving"
--- a/src/citronvalve/groups/placement.py
+++ b/src/citronvalve/groups/placement.py
@@ -1,10 +1,10 @@
-"""A new group of a plan."""
+"""A new group in a plan."""
 
 from typing import NamedTuple
 
 
 class Placement(NamedTuple):
-    """VMs of one domain that are to be a group."""
+    """VMs of one domain that are to form a group."""
 
     declared: str
     domain: str
--- a/src/citronvalve/groups/plan.py
+++ b/src/citronvalve/groups/plan.py
@@ -1,4 +1,4 @@
-"""What a planner decided."""
+"""The output of a planner."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class Plan(NamedTuple):
-    """New groups, repairs, and groups to give up with the reason."""
+    """New groups, repairs, and groups to dissolve with the reason."""
 
     placements: tuple[placement.Placement, ...] = ()
     repairs: tuple[repair.Repair, ...] = ()
--- a/src/citronvalve/groups/planner.py
+++ b/src/citronvalve/groups/planner.py
@@ -7,11 +7,11 @@
 
 
 class Planner(abc.ABC):
-    """Decides which VMs form groups; pure, and called with every step."""
+    """Assigns VMs to groups, without side effects; called in every step."""
 
     @abc.abstractmethod
     def plan(self, current: fleet.Fleet) -> plan.Plan:
         """Plan a data centre.
 
-        :param seen: the fleet as it is now.
+        :param current: the current fleet.
         """
--- a/src/citronvalve/groups/reconciler.py
+++ b/src/citronvalve/groups/reconciler.py
@@ -1,4 +1,4 @@
-"""Which groups change, and how; pure."""
+"""Decides which groups change, without side effects."""
 
 from collections.abc import Callable
 
@@ -19,18 +19,18 @@
 
 _E = event.Event
 _P = phase.Phase
-#: Events that close a group which could go on serving.
+#: Events that close a group that could continue to serve.
 _VOLUNTARY_EVENTS = {_E.OUTDATED, _E.LEAVING, _E.UNWANTED}
 _NO_EVENT = observation.Observation(_E.WAITING, "")
 
 
 class Reconciler:
-    """Decides one step of a data centre; made anew for each.
+    """Decides the changes of one step; each step creates a new one.
 
-    :param seen: the situation.
-    :param planned: what the planner said of it.
-    :param attempt: gives the id of the next try.
-    :param held: where promises are asserted.
+    :param observed: the observed state.
+    :param planned: the planner's output for that state.
+    :param next_attempt: returns the id of the next attempt.
+    :param invariants: where invariants are checked.
     """
 
     def __init__(
@@ -49,8 +49,8 @@
         self._closed_count_by_declared = self._count_closed()
 
     def _count_closed(self) -> dict[str, int]:
-        # Every group that does not serve counts, whatever closed it: the
-        # bound is for the callers, who are left with the rest.
+        # Every group that does not serve counts, whatever the cause: the
+        # limit ensures that enough groups remain for the callers.
         observed = self._observed
         closed_count_by_declared: dict[str, int] = {}
         for each in observed.cache.record_by_group.values():
@@ -66,7 +66,7 @@
         return closed_count_by_declared
 
     def changes(self) -> list[change.Change]:
-        """Return the changes that are due, new groups first."""
+        """Return the due changes, new groups first."""
         new = self._new_groups()
         records = sorted(self._observed.cache.record_by_group.items())
         transitions = (self._next_change(each) for _, each in records)
@@ -134,10 +134,10 @@
     def _may_transition(
         self, group_record: record.GroupRecord, after: phase.Phase | None
     ) -> bool:
-        # An engine that ignores fencing numbers may take a late order of an
-        # earlier holder, or one of ours that was not answered.  Intents may
-        # be written at once, and their orders wait; serving waits for a
-        # read-back made when no order could be in flight any more.
+        # An engine that ignores fencing tokens may accept a late order of
+        # an earlier leader, or one of this leader that was not answered.
+        # Intents may be written at once, as their orders wait; serving needs
+        # a read-back from after the last moment an order could arrive.
         group = self._group_by_name.get(group_record.declared)
         if group is None or group.refuses_old_fence:
             return True
@@ -192,7 +192,7 @@
             finding.event is _E.LOST
             or group_record.phase in transition.PHASES_WITH_ORDERS
         ):
-            # It carries no work: nothing to wait for.
+            # The group does not serve, so there is nothing to drain.
             return observation.Observation(_E.REPAIR, reason)
         if group_record.phase is _P.CLOSED:
             return self._when_drained(group_record, _E.REPAIR, reason)
@@ -220,8 +220,9 @@
     def _assess_resized(
         self, group_record: record.GroupRecord, group: declared.Group
     ) -> observation.Observation:
-        # Of a group given up nothing is left to count until the next one is
-        # placed; without this the one after it would go in between.
+        # A dissolved group has no record until its successor is placed.
+        # Counting the missing replicas keeps a further group from being
+        # dissolved in between.
         records = self._observed.cache.record_by_group.values()
         existing = sum(each.declared == group.name for each in records)
         closed = self._closed_count_by_declared.get(group.name, 0)
@@ -242,11 +243,11 @@
         next_event: event.Event,
         reason: str,
     ) -> observation.Observation:
-        """Let a change of a serving group go on, if one more may close.
+        """Allow a change of a serving group if one more group may close.
 
-        Made for a change of a whole declared group under full load: all its
-        replicas closed at once would leave callers with none for the time
-        of a load.  The bound is what operators say the rest can carry.
+        If all replicas of a declared group closed for a change at once,
+        callers would have none until the weights are loaded.  Operators set
+        the limit to what the remaining replicas can handle.
         """
         if group_record.phase is not _P.SERVING:
             return observation.Observation(next_event, reason)
--- a/src/citronvalve/groups/record.py
+++ b/src/citronvalve/groups/record.py
@@ -1,4 +1,4 @@
-"""The stored row of a group, which is also the intent of its orders."""
+"""The stored row of a group, which records the intent of its orders."""
 
 from typing import NamedTuple
 
@@ -10,15 +10,16 @@
 
 
 class GroupRecord(NamedTuple):
-    """A group as the platform's table holds it.
+    """A group as stored in the platform's table.
 
-    The row is written before any order that follows from it, and names
-    every order in full: whoever reads it can repeat them.  ``members`` are
-    in the order of their ranks.  ``fence`` rises with each write that
-    orders follow from.  ``attempt`` is the id of the transaction that wrote
-    the row, to settle a lost answer.  ``kind`` is the order that the phase
-    gives to each member.  ``since`` is wall time in ms, for
-    people to read.
+    The row is written before the orders that follow from it and defines
+    them completely, so that any leader can repeat them.
+    ``members`` are sorted by rank.
+    ``fence`` increases with each write that orders follow from.
+    ``attempt`` is the id of the transaction that wrote the row; it shows
+    whether a write without an answer took effect.
+    ``kind`` is the kind of order sent to each member.
+    ``since`` is wall time in ms, for display.
     """
 
     name: str
--- a/src/citronvalve/groups/refused.py
+++ b/src/citronvalve/groups/refused.py
@@ -1,9 +1,9 @@
-"""The answer of an engine that refuses an old order."""
+"""An engine's answer that refuses an outdated order."""
 
 from typing import NamedTuple
 
 
 class Refused(NamedTuple):
-    """The order was not taken; ``fence`` is the highest the engine saw."""
+    """The order was refused; ``fence`` is the highest the engine has seen."""
 
     fence: int
--- a/src/citronvalve/groups/routing.py
+++ b/src/citronvalve/groups/routing.py
@@ -1,4 +1,4 @@
-"""The state of each group as routing may use it."""
+"""Group states for routing."""
 
 from citronvalve.groups import event
 from citronvalve.groups import observation
@@ -19,19 +19,20 @@
     timings: timing.Timing,
     invariants: invariant.Invariants,
 ) -> state.GroupState:
-    """Return a group's state from its record and its VMs' own words.
+    """Return a group's state from its record and its VMs' read-backs.
 
-    The record alone never makes a group serve: a VM may have died, or taken
-    a late order, since it was written.  The engines alone neither: they may
-    not know yet that the group was given up.  Made for each poll, about
-    once a second, so that a group with a VM missing is out of routing
-    before its row is written, and also while the platform is down.
+    The record alone is not enough for a group to serve: since it was
+    written, a VM may have died or accepted a late order.  Read-backs alone
+    are not enough either: engines may not know yet that the group was
+    dissolved.  The state is computed after each poll, about once a second,
+    so that routing drops a group with a lost VM before its row is written,
+    and even while the platform is down.
 
-    :param known: the group's record.
-    :param sighting_by_vm: the last sightings.
+    :param group_record: the group's stored record.
+    :param status_by_vm: last read-back of each VM.
     :param now: monotonic time in ms.
-    :param spans: the limits.
-    :param held: where promises are asserted.
+    :param timings: timeouts and intervals.
+    :param invariants: where invariants are checked.
     """
     finding = observation.observe(group_record, status_by_vm, now, timings)
     statuses = [status_by_vm.get(vm) for vm in group_record.vms]
@@ -69,9 +70,9 @@
 
 
 class Directory:
-    """The group states that a daemon was told, each with its age.
+    """The last known group states, which expire by age.
 
-    :param spans: the limits; ``fresh`` is how old a state may be.
+    :param timings: timeouts and intervals.
     """
 
     def __init__(self, timings: timing.Timing) -> None:
@@ -79,9 +80,9 @@
         self._state_by_group: dict[str, state.GroupState] = {}
 
     def update(self, new_state: state.GroupState) -> None:
-        """Take in a state, unless a later one is known.
+        """Store a state unless a later one is known.
 
-        :param told: with ``seen_at`` in this daemon's monotonic time.
+        :param new_state: a state with ``seen_at`` in local monotonic time.
         """
         current = self._state_by_group.get(new_state.group)
         recency = (new_state.fence, new_state.seen_at)
@@ -91,26 +92,26 @@
     def group(
         self, name: str, now: clock.Ms
     ) -> state.GroupState | missing.NotFound | missing.Stale:
-        """Return a whole group that may be given work now.
+        """Return a group that may receive requests.
 
-        A remembered state is what sends work to half a group: the watcher
-        may have died just before a VM did.  So the state must be younger
-        than the bound on detection.
+        The state must be younger than the time limit for detecting a lost
+        VM.  An older one may route requests to an incomplete group, as the
+        polling process may have died just before a VM did.
 
-        :param name: of the group.
+        :param name: name of the group.
         :param now: monotonic time in ms.
         """
         current = self._state_by_group.get(name)
         if current is None:
             return missing.NotFound("no such group", name)
         if now - current.seen_at >= self._max_state_age:
-            return missing.Stale("no VM of it was heard of lately", name)
+            return missing.Stale("no recent read-back of its VMs", name)
         if current.state is not phase.Phase.SERVING:
             return missing.Stale(f"{current.state}: {current.reason}", name)
         return current
 
     def serving(self, now: clock.Ms) -> tuple[state.GroupState, ...]:
-        """Return all groups that may be given work now.
+        """Return all groups that may receive requests.
 
         :param now: monotonic time in ms.
         """
@@ -118,11 +119,11 @@
         return tuple(each for each in found if each)
 
     def all(self) -> tuple[state.GroupState, ...]:
-        """Return the last state of each group, for operators to read."""
+        """Return the last state of each group, for display."""
         return tuple(self._state_by_group.values())
 
     def remove_older(self, before: clock.Ms) -> None:
-        """Drop groups that nobody told of for long.
+        """Remove groups that were last seen before a given time.
 
         :param before: monotonic time in ms.
         """
--- a/src/citronvalve/groups/rowcache.py
+++ b/src/citronvalve/groups/rowcache.py
@@ -1,4 +1,4 @@
-"""The rows of a data centre's groups, as last read from the table."""
+"""A cache of the stored rows of a data centre's replica groups."""
 
 from typing import Any
 from typing import NamedTuple
@@ -16,25 +16,25 @@
 
 
 def groups_table(datacentre: str) -> str:
-    """Return the name of the table of a data centre's groups.
+    """Return the name of the table with a data centre's groups.
 
-    :param datacentre: its name.
+    :param datacentre: name of the data centre.
     """
     return f"groups.{datacentre}"
 
 
 def owners_table(datacentre: str) -> str:
-    """Return the name of the table of a data centre's VMs.
+    """Return the name of the table with the owners of a data centre's VMs.
 
-    :param datacentre: its name.
+    :param datacentre: name of the data centre.
     """
     return f"group_vms.{datacentre}"
 
 
 def encode(stored: NamedTuple) -> dict[str, Any]:
-    """Return the value of a row, with the fields named.
+    """Return a record as the value of a row, keyed by field name.
 
-    :param each: a record.
+    :param stored: the record.
     """
     return {
         field: msgspec.to_builtins(value)
@@ -43,11 +43,11 @@
 
 
 def decode(kind: type, row: rows.Row) -> Any:
-    """Return the record in a row.
+    """Return the record stored in a row.
 
-    :param kind: the record's type.
+    :param kind: type of the record.
     :param row: the row.
-    :raises errors.TableError: when the row was written by something else.
+    :raises errors.TableError: when the row does not fit the type.
     """
     try:
         return msgspec.convert([row.value[f] for f in kind._fields], kind)
@@ -60,7 +60,7 @@
 
 
 def read_lease(row: rows.Row) -> lease.Lease:
-    """Return the lease in a row.
+    """Return the lease stored in a row.
 
     :param row: the row.
     """
@@ -68,11 +68,14 @@
 
 
 class RowCache:
-    """Groups and owners with the versions of their rows.
-
-    :param datacentre: its name.
-    :param held: where promises are asserted.
-    :ivar revision: of the last scan.
+    """Caches groups and VM owners with the versions of their rows.
+
+    :param datacentre: name of the data centre.
+    :param invariants: where invariants are checked.
+    :ivar record_by_group: the stored groups.
+    :ivar owner_by_vm: the stored owners.
+    :ivar version_by_row: versions by table and key.
+    :ivar revision_by_table: revision of the last scan of each table.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
         self._invariants = invariants
 
     def apply_groups(self, scan: rows.Scan) -> None:
-        """Take in what changed in the table of groups.
+        """Apply changed rows of the table of groups.
 
         :param scan: rows changed since the last scan.
         """
@@ -99,7 +102,7 @@
         self._assert_disjoint()
 
     def apply_owners(self, scan: rows.Scan) -> None:
-        """Take in what changed in the table of VMs.
+        """Apply changed rows of the table of VM owners.
 
         :param scan: rows changed since the last scan.
         """
@@ -117,8 +120,8 @@
             self.version_by_row[(table, row.key)] = row.version
 
     def _assert_disjoint(self) -> None:
-        # One scan is one revision of the table, so that this can't be a
-        # matter of reading one group before and one after a change.
+        # A scan returns one revision of the table, so an overlap is not an
+        # artefact of reading two groups at different times.
         group_by_vm: dict[str, str] = {}
         for name, each in self.record_by_group.items():
             for vm in each.vms:
@@ -128,10 +131,10 @@
                 )
 
     def condition(self, table: str, key: str) -> rows.Condition:
-        """Return the condition that a row is as this book read it.
+        """Return the condition that a row still has its cached version.
 
         :param table: name of the table.
-        :param key: the row's key.
+        :param key: key of the row.
         """
         version = self.version_by_row.get((table, key), rows.NO_ROW)
         return rows.Condition(table, key, version)
--- a/src/citronvalve/groups/state.py
+++ b/src/citronvalve/groups/state.py
@@ -1,4 +1,4 @@
-"""The state of a group, as routing is told it."""
+"""The state of a group for routing."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,11 @@
 
 
 class GroupState(NamedTuple):
-    """One group, whole, at one moment.
+    """The state of a group at one moment.
 
-    ``address`` is that of rank 0, which takes the requests.  ``seen_at`` is
-    when the VM heard of longest ago was heard of, in monotonic ms of the
-    daemon that watched; between daemons its age travels.
+    ``address`` is that of rank 0, which receives the requests.  ``seen_at``
+    is the oldest ``seen_at`` of its VMs, in monotonic ms of the polling
+    daemon; daemons send each other its age instead.
     """
 
     group: str
--- a/src/citronvalve/groups/timing.py
+++ b/src/citronvalve/groups/timing.py
@@ -1,4 +1,4 @@
-"""The spans that group keeping is built on."""
+"""Timeouts and intervals for running replica groups."""
 
 from typing import NamedTuple
 
@@ -6,24 +6,26 @@
 
 
 class Timing(NamedTuple):
-    """Spans in ms; each leader of a data centre must use the same.
+    """Times in ms; all leaders of a data centre must use the same values.
 
-    ``lease``: a row unchanged for this long is up for the taking.  Its
-    holder counts from before its write was sent, a taker from when it saw
-    the row, so that the holder has stopped first.
-    ``drift``: added by the taker, for clocks that run at unlike rates.
-    ``renew``: three tries fit into a lease.
-    ``silent``: nothing is done by a read-back that is as old; a VM that was
-    silent for so long, and twice left a poll unanswered, is missing, and
-    with a poll a second detection stays within 3 s.
-    ``one_missed``: a poll that is later than this after the last answer is
-    the second one that was missed, or a further one.
-    ``fresh``: a group state older than this is not routed on.
-    ``order_bound``: longest time that an order sent may take to arrive; the
-    client gives up earlier.
-    ``drain``: how long a change waits for requests in progress; the
-    longest deadline that callers may state by default.
-    ``list_every``: the VM list lags by more than this anyway.
+    ``lease_duration``: a lease whose row is unchanged for this long may be
+    taken over.  The holder counts from before it sent its write, others from
+    when they read the row, so that the holder stops first.
+    ``max_clock_drift``: added before a takeover, for clocks that run at
+    different rates.
+    ``renew_interval``: short enough for three attempts within a lease.
+    ``unreachable_after``: age from which a read-back is not acted on.  A VM
+    with no answer for this long and two missed polls is lost; with one poll
+    per second, detection takes at most 3 s.
+    ``second_miss_after``: a poll sent later than this after the last answer
+    is at least the second one that was missed.
+    ``max_state_age``: older group states are not used for routing.
+    ``max_order_delay``: longest time that an order may take to arrive; the
+    client times out earlier.
+    ``drain_timeout``: how long a change waits for requests in progress; the
+    default maximum of callers' deadlines.
+    ``list_interval``: between reads of the VM list, which lags by more than
+    this anyway.
     """
 
     lease_duration: clock.Ms = 10_000
--- a/src/citronvalve/groups/transition.py
+++ b/src/citronvalve/groups/transition.py
@@ -1,4 +1,4 @@
-"""The state table of groups."""
+"""The state machine of groups."""
 
 from citronvalve.groups import event
 from citronvalve.groups import phase
@@ -6,8 +6,8 @@
 _E = event.Event
 _P = phase.Phase
 
-#: Phase and event to the next phase; what is not listed changes nothing.
-#: None gives the VMs back and removes the group.
+#: The next phase for a phase and an event; pairs not listed change nothing.
+#: None releases the VMs and removes the group.
 NEXT_BY_PHASE_AND_EVENT: dict[tuple[_P, _E], _P | None] = {
     (_P.FORMING, _E.CONVERGED): _P.LOADING,
     (_P.FORMING, _E.LOST): _P.CLOSED,
@@ -35,5 +35,5 @@
     (_P.DISSOLVING, _E.DRAINED): None,
 }
 
-#: Phases whose row is the intent of orders to every VM.
+#: Phases whose row records the intent of orders to every VM.
 PHASES_WITH_ORDERS = {_P.FORMING, _P.LOADING}
--- a/src/citronvalve/groups/vmstatus.py
+++ b/src/citronvalve/groups/vmstatus.py
@@ -1,4 +1,4 @@
-"""When a VM was last heard of, and what it held then."""
+"""The last known status of a VM."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,13 @@
 
 
 class VmStatus(NamedTuple):
-    """The last read-back of a VM.
+    """The last read-back of a VM and the result of later attempts.
 
-    ``seen_at`` is the monotonic time before the question was sent.
-    ``gone`` is set when the VM has refused a connection since.  ``asked_at``
-    is when this leader last tried.
+    ``seen_at`` is the monotonic time before the answered call was sent, or
+    before the first call if none was answered.
+    ``contacted_at`` is the monotonic time before the last call was sent.
+    ``is_down`` means that since then the VM refused a connection, or another
+    VM answered at its address.
     """
 
     holding: holding.Holding | None
--- a/src/citronvalve/groups/vmstatustable.py
+++ b/src/citronvalve/groups/vmstatustable.py
@@ -1,4 +1,4 @@
-"""The read-backs of a data centre's VMs."""
+"""The status of a data centre's VMs."""
 
 from citronvalve.groups import accepted
 from citronvalve.groups import engines
@@ -11,13 +11,13 @@
 
 
 class VmStatusTable:
-    """Remembers when each VM was heard of, and which orders are unsure.
+    """Keeps the status of each VM, and which orders may still arrive.
 
-    :param spans: the limits.
-    :ivar sighting_by_vm: the last sightings.
-    :ivar unsure_until_by_vm: until when an order without an answer may yet
-        arrive at a VM; a read-back made earlier proves nothing about an
-        engine that ignores fencing numbers.
+    :param timings: timeouts and intervals.
+    :ivar status_by_vm: last read-back of each VM.
+    :ivar uncertain_until_by_vm: monotonic ms until which an unanswered order
+        may still arrive at a VM.  An earlier read-back proves nothing about
+        an engine that ignores fencing tokens.
     """
 
     def __init__(self, timings: timing.Timing) -> None:
@@ -28,16 +28,16 @@
     def record_read_back(
         self, vm: str, answer: engines.ReadBack, sent_at: clock.Ms
     ) -> None:
-        """Take in the answer to a read-back.
+        """Record the answer to a read-back.
 
-        :param vm: name of the VM that was meant.
-        :param answer: what came back.
-        :param asked_at: monotonic time in ms before the question was sent;
-            the engine may change its state right after it answered.
+        :param vm: name of the VM that was called.
+        :param answer: the answer.
+        :param sent_at: monotonic time in ms before the call was sent; the
+            engine may change its state right after its answer.
         """
         last = self.status_by_vm.get(vm)
         if last and sent_at < last.contacted_at:
-            # An order was answered while this read-back was under way.
+            # An order was answered while this read-back was in progress.
             return
         if isinstance(answer, holding.Holding) and answer.vm == vm:
             new = vmstatus.VmStatus(answer, sent_at, sent_at)
@@ -47,18 +47,18 @@
         elif isinstance(answer, missing.AnswerLost):
             new = last._replace(contacted_at=sent_at)
         else:
-            # Refused, or another VM has the address by now.
+            # The connection was refused, or another VM has the address.
             new = last._replace(contacted_at=sent_at, is_down=True)
         self.status_by_vm[vm] = new
 
     def record_order_answer(
         self, vm: str, answer: engines.Answer, sent_at: clock.Ms
     ) -> None:
-        """Take in the answer to an order.
+        """Record the answer to an order.
 
         :param vm: name of the VM.
-        :param answer: what came back.
-        :param asked_at: monotonic time in ms before the order was sent.
+        :param answer: the answer.
+        :param sent_at: monotonic time in ms before the order was sent.
         """
         if isinstance(answer, accepted.Accepted):
             self.record_read_back(vm, answer.holding, sent_at)
@@ -67,9 +67,9 @@
             self.uncertain_until_by_vm[vm] = uncertain_until
 
     def retain(self, vms: set[str]) -> None:
-        """Forget all VMs but these.
+        """Remove all other VMs.
 
-        :param vms: names that are listed or belong to a group.
+        :param vms: names of the VMs that are listed or in a group.
         """
         for by_vm in (self.status_by_vm, self.uncertain_until_by_vm):
             for vm in set(by_vm) - vms:
--- a/src/citronvalve/groups/wanted.py
+++ b/src/citronvalve/groups/wanted.py
@@ -1,4 +1,4 @@
-"""What the engines of a group are to run."""
+"""The desired configuration of a group's engines."""
 
 from typing import NamedTuple
 
--- a/src/citronvalve/groups/wire.py
+++ b/src/citronvalve/groups/wire.py
@@ -1,4 +1,4 @@
-"""The records of the engines' order interface, as JSON."""
+"""JSON messages of the engines' interface."""
 
 import msgspec
 
@@ -44,7 +44,7 @@
 
 
 class WireAnswer(msgspec.Struct):
-    """The answer to ``POST /orders``: a holding, or the fence that stands."""
+    """The answer to ``POST /orders``: a holding, or the current fence."""
 
     accepted: bool
     holding: WireHolding | None = None
@@ -52,9 +52,9 @@
 
 
 def encode_order(engine_order: order.Order) -> bytes:
-    """Return the body of an order.
+    """Return an order as a request body.
 
-    :param given: the order.
+    :param engine_order: the order.
     """
     return msgspec.json.encode(
         WireOrder(
@@ -76,9 +76,9 @@
 
 
 def decode_holding(wire_holding: WireHolding) -> holding.Holding:
-    """Return a read-back.
+    """Return the holding in a message.
 
-    :param held: as it travelled.
+    :param wire_holding: the message.
     """
     return holding.Holding(
         wire_holding.vm,
@@ -94,10 +94,10 @@
 
 
 def decode_load(body: bytes) -> engineload.EngineLoad:
-    """Return a load report.
+    """Return the load report in a response body.
 
-    :param body: JSON.
-    :raises msgspec.MsgspecError: when it is not one.
+    :param body: the JSON body.
+    :raises msgspec.MsgspecError: when the body is not a load report.
     """
     decoded = msgspec.json.decode(body, type=_WireLoad)
     return engineload.EngineLoad(
