--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -93,7 +93,7 @@
         self._publish()
 
     def stop(self) -> None:
-        """Release the lease, so that the next leader need not await its end."""
+        """Release the lease, so that the next leader need not await expiry."""
         attempt = self._next_attempt()
         release = self._lease.release(self._deps.clock.now(), attempt)
         if release:
