--- a/src/citronvalve/groups/leader.py
+++ b/src/citronvalve/groups/leader.py
@@ -124,11 +124,11 @@
     def _read_vm_list(self, now: clock.Ms) -> None:
         if now < self._next_list_at:
             return
-        found = self._deps.vms.vms(self._deps.datacentre)
-        if isinstance(found, missing.Missing):
+        vm_records = self._deps.vms.vms(self._deps.datacentre)
+        if isinstance(vm_records, missing.Missing):
             return
         self._next_list_at = now + self._deps.timings.list_interval
-        self._listed_by_vm = {each.vm: each for each in found}
+        self._listed_by_vm = {each.vm: each for each in vm_records}
 
     def _poll_vms(self) -> None:
         address_by_vm = {
@@ -216,13 +216,13 @@
             planned = self._deps.planner.plan(
                 fleetbuilder.build_fleet(observed)
             )
-            decision = reconciler.Reconciler(
+            reconciliation = reconciler.Reconciler(
                 observed, planned, self._next_attempt, self._deps.invariants
             )
-            changed = [self._commit(each) for each in decision.changes()]
-            ordered = self._send_group_orders(observed)
-            ordered += self._empty_strays(observed)
-            if not any(changed) and not ordered:
+            changed = [self._commit(each) for each in reconciliation.changes()]
+            sent_count = self._send_group_orders(observed)
+            sent_count += self._clear_strays(observed)
+            if not any(changed) and not sent_count:
                 return
             if not self._read_tables():
                 return
@@ -260,9 +260,9 @@
                 self._may_load(each)
         due = []
         for each in records:
-            wanted = orders.group_orders(each, observed)
-            if wanted and self._may_load(each):
-                due += wanted
+            due_for_group = orders.group_orders(each, observed)
+            if due_for_group and self._may_load(each):
+                due += due_for_group
         return self._send_orders(due)
 
     def _may_load(self, group_record: record.GroupRecord) -> bool:
@@ -273,7 +273,7 @@
         )
         return not isinstance(slot, missing.Missing)
 
-    def _empty_strays(self, observed: observedstate.ObservedState) -> int:
+    def _clear_strays(self, observed: observedstate.ObservedState) -> int:
         due = []
         for vm, reported in orders.strays(observed):
             owner_row = self._cache.owner_by_vm.get(vm)
@@ -308,10 +308,10 @@
             self._vm_statuses.record_order_answer(each.vm, answer, sent_at)
         return len(due)
 
-    def _is_first_attempt(self, each: orders.AddressedOrder) -> bool:
+    def _is_first_attempt(self, addressed: orders.AddressedOrder) -> bool:
         # One attempt per step: an engine that does not answer would
         # otherwise delay every round.
-        key = (each.vm, each.order.fence)
+        key = (addressed.vm, addressed.order.fence)
         first = key not in self._sent_orders
         self._sent_orders.add(key)
         return first
--- a/src/citronvalve/groups/routing.py
+++ b/src/citronvalve/groups/routing.py
@@ -115,10 +115,10 @@
 
         :param now: monotonic time in ms.
         """
-        found = (self.group(name, now) for name in self._state_by_group)
-        return tuple(each for each in found if each)
+        states = (self.group(name, now) for name in self._state_by_group)
+        return tuple(each for each in states if each)
 
-    def all(self) -> tuple[state.GroupState, ...]:
+    def all_states(self) -> tuple[state.GroupState, ...]:
         """Return the last state of each group, for display."""
         return tuple(self._state_by_group.values())
 
--- a/src/citronvalve/groups/rowcache.py
+++ b/src/citronvalve/groups/rowcache.py
@@ -97,8 +97,8 @@
         for key in scan.deleted:
             self.record_by_group.pop(key, None)
         for row in scan.rows:
-            found = decode(record.GroupRecord, row)
-            self.record_by_group[row.key] = found
+            stored = decode(record.GroupRecord, row)
+            self.record_by_group[row.key] = stored
         self._assert_disjoint()
 
     def apply_owners(self, scan: rows.Scan) -> None:
