--- a/tests/groups/closing.feature
+++ b/tests/groups/closing.feature
@@ -1,125 +1,127 @@
-Feature: A group with a VM missing takes no work
-  Losing any one VM kills the whole replica.  The caller must see a refusal
-  or another group at once, never an answer that waits for a dead VM.
+Feature: A group with a lost VM receives no requests
+  A replica fails as a whole if one of its VMs is lost.  Without these checks
+  callers would wait for a dead VM instead of getting an answer of another
+  group, or a refusal, at once.
 
-  Scenario Outline: one VM goes, and a spare of its domain takes its place
-    The VM goes between two polls; the next ones find it refused or silent.
-    Routing loses the group before any row is written.  The spare loads its
-    part while the others keep theirs, and the group serves again.
-    Given domains "a" of <vms> VMs, serving groups of 4: 1
+  Scenario Outline: a lost VM is replaced by a spare of its domain
+    The VM is lost between two polls; the next ones are refused or time out.
+    Routing drops the group before any row is written.  The spare loads its
+    shard while the other VMs keep theirs, and the group serves again.
+    Given domains "a" of <vms> VMs each, and serving groups of 4 VMs: 1
     When one of its VMs is <lost>
-    Then routing loses the group within <detection> ms
+    Then routing drops the group within <detection> ms
     And the group serves again within <downtime> ms with <whom>
 
     Examples:
-      | vms | lost      | detection | downtime | whom         |
-      | 5   | killed    | 1000      | 22000    | a spare      |
-      | 5   | restarted | 1000      | 23000    | the same VMs |
-      | 5   | dark      | 3000      | 24000    | a spare      |
+      | vms | lost        | detection | downtime | whom         |
+      | 5   | killed      | 1000      | 22000    | a spare      |
+      | 5   | restarted   | 1000      | 23000    | the same VMs |
+      | 5   | unreachable | 3000      | 24000    | a spare      |
 
-  Scenario Outline: a VM goes and there is no spare
-    Without a spare the group stays closed.  The VM comes back as it was, or
-    empty, and the group reopens at once or after a load.
-    Given domains "a" of 4 VMs, serving groups of 4: 1
+  Scenario Outline: a VM is lost and there is no spare
+    The group stays closed until the VM returns.  If the VM kept its weights,
+    the group reopens at once, otherwise after a load.
+    Given domains "a" of 4 VMs each, and serving groups of 4 VMs: 1
     When one of its VMs is <lost>
     And 60 s pass
-    Then the groups that serve are 0
-    When its VM comes back
+    Then the number of serving groups is 0
+    When the lost VM returns
     Then the group serves again within <downtime> ms
 
     Examples:
-      | lost   | downtime |
-      | killed | 23000    |
-      | dark   | 2000     |
+      | lost        | downtime |
+      | killed      | 23000    |
+      | unreachable | 2000     |
 
-  Scenario: two broken groups of a domain make one
+  Scenario: one of two broken groups of a domain completes the other
     Each group lacks one VM, and their domain has no spare.  Waiting would
-    strand six VMs; one group gives up its VMs, and the other serves again.
-    Given domains "a" of 8 VMs, serving groups of 4: 2
+    strand six VMs, so one group is dissolved to repair the other.
+    Given domains "a" of 8 VMs each, and serving groups of 4 VMs: 2
     When one VM of each group is killed
     And 40 s pass
-    Then the groups that serve are 1
+    Then the number of serving groups is 1
 
-  Scenario: a whole domain goes dark and comes back
-    All VMs of the domain fall silent at once.  Its groups close within 3 s,
-    to be placed in the other domain; the VMs come back holding a group that
-    is not theirs any more, so they are emptied before they are spare.
-    Given domains "a,b" of 8 VMs, serving groups of 4: 2
-    When the domain of a group goes dark
-    Then routing loses the group within 3000 ms
+  Scenario: a whole domain is unreachable and returns
+    All VMs of the domain stop answering at once.  Its groups close within
+    3 s and are placed in the other domain.  The VMs return with weights of
+    an outdated group, and are cleared before they are free.
+    Given domains "a,b" of 8 VMs each, and serving groups of 4 VMs: 2
+    When the domain of a group becomes unreachable
+    Then routing drops the group within 3000 ms
     And the group serves again within 27000 ms
-    When the domain comes back
+    When the domain is reachable again
     And 40 s pass
-    Then the groups that serve are 2
+    Then the number of serving groups is 2
     And every other VM is empty
 
-  Scenario: the VM list lags behind
-    The list still shows a VM that is gone, and does not show one that
-    serves.  Neither is believed before the engine itself was read back.
-    Given domains "a" of 5 VMs, serving groups of 4: 1
-    When the spare is killed and the list still shows it
-    And the list loses a VM that serves
+  Scenario: the VM list is outdated
+    The list still contains a lost VM and lacks a serving one.  A VM counts
+    as up or lost only by the read-backs of its engine.
+    Given domains "a" of 5 VMs each, and serving groups of 4 VMs: 1
+    When the spare is killed but still listed
+    And the list lacks a serving VM
     And 30 s pass
-    Then the groups that serve are 1
+    Then the number of serving groups is 1
     When one of its VMs is killed
     And 30 s pass
-    Then the groups that serve are 0
+    Then the number of serving groups is 0
 
-  Scenario: a VM that is leaving is replaced after its requests ended
-    The platform says that a VM will leave.  The group takes no new work,
-    its requests end, and the spare takes the place: nothing is cut off.
-    Given domains "a" of 5 VMs, serving groups of 4: 1
+  Scenario: a leaving VM is replaced after its requests ended
+    The platform marks a VM as leaving.  The group accepts no new requests.
+    The VM is replaced only once those in progress have ended, so that none
+    is aborted.
+    Given domains "a" of 5 VMs each, and serving groups of 4 VMs: 1
     And its first VM has 1 request in progress
     When its last VM is marked as leaving
     And 10 s pass
-    Then no order was given to the group
+    Then no order was sent to the group
     When the request ends
     Then the group serves again within 24000 ms with a spare
 
   Scenario: the platform is down
-    Routing goes on with read-backs alone, and still closes a group that
-    loses a VM; nobody gives an order until the platform answers.
-    Given domains "a,b" of 5 VMs, serving groups of 4: 2
+    Routing continues with read-backs alone, and still drops a group that
+    loses a VM.  No orders are sent until the platform answers.
+    Given domains "a,b" of 5 VMs each, and serving groups of 4 VMs: 2
     When the platform is down
     And 60 s pass
-    Then the groups that serve are 2
+    Then the number of serving groups is 2
     When one VM of a group is killed
     And 60 s pass
-    Then the groups that serve are 1
+    Then the number of serving groups is 1
     When the platform is up
     And 40 s pass
-    Then the groups that serve are 2
+    Then the number of serving groups is 2
 
   Scenario Outline: a VM leaves <count> read-backs in a row unanswered
-    Guards against refusals for a whole group since one read-back was late.
+    Guards against closing a group because a single read-back was late.
 
-    Given domains "a" of 5 VMs, serving groups of 4: 1
+    Given domains "a" of 5 VMs each, and serving groups of 4 VMs: 1
     When <count> read-backs of one of its VMs get no answer
-    And states are made 2300 ms after its last answer
-    Then <serving> groups serve by these states
+    And states are computed 2300 ms after its last answer
+    Then these states show <serving> serving groups
 
     Examples:
       | count | serving |
       | 1     | 1       |
       | 2     | 0       |
 
-  Scenario: a remembered state is not routed on
-    The only watcher dies, and a VM with it.  What routing was told last
-    says that the group serves; three seconds later it says nothing.
-    Given domains "a" of 5 VMs, serving groups of 4: 1
-    When all leaders die, and one VM of the group
+  Scenario: an outdated state is not used for routing
+    All leaders are killed together with a VM.  The last known state says
+    that the group serves; it must expire after three seconds.
+    Given domains "a" of 5 VMs each, and serving groups of 4 VMs: 1
+    When all leaders and one VM of the group are killed
     And 3 s pass
-    Then the groups that serve are 0
+    Then the number of serving groups is 0
 
-  Scenario: a name is used again for other VMs
-    A group is given up, and later its name goes to VMs that never had an
-    order.  Its states must not be taken for old ones of the first group.
-    Given domains "a,b" of 5 VMs, serving groups of 4: 1
+  Scenario: the name of a dissolved group is reused for other VMs
+    The new VMs never had an order, so their own fences are low.  The new
+    group's states must not look older than those of the first group.
+    Given domains "a,b" of 5 VMs each, and serving groups of 4 VMs: 1
     When one of its VMs is killed
     And 30 s pass
-    And operators want 0 group
+    And the declared replicas are set to 0
     And 40 s pass
-    And the domain of a group goes dark
-    And operators want 1 group
+    And the domain of a group becomes unreachable
+    And the declared replicas are set to 1
     And 40 s pass
-    Then the groups that serve are 1
+    Then the number of serving groups is 1
--- a/tests/groups/machines.feature
+++ b/tests/groups/machines.feature
@@ -1,11 +1,12 @@
-Feature: Groups hold their promises under any order of failures
+Feature: Invariants of groups hold under random failures
   Three leaders, two domains of five VMs, three groups of two.  Leaders die
-  or sleep at any call, orders and answers are late or lost, the platform
-  goes away, VMs die, restart and go dark, and operators change the table.
+  or are paused at any call, orders and answers are late or lost, the
+  platform is down, VMs die, restart and become unreachable, and the
+  declaration changes.
 
   Scenario Outline: random walks
-    When the machine <machine> takes its walks
-    Then each promise of groups was looked at
+    When the state machine <machine> is run
+    Then each invariant of groups was checked
 
     Examples:
       | machine         |
--- a/tests/groups/machines.py
+++ b/tests/groups/machines.py
@@ -1,4 +1,4 @@
-"""State machines that put several leaders through random failures."""
+"""State machines that expose several leaders to random failures."""
 
 from hypothesis import stateful
 from hypothesis import strategies
@@ -13,19 +13,19 @@
 _vm = strategies.sampled_from(_VMS)
 _name = strategies.sampled_from(_NAMES)
 _point = strategies.integers(0, 40)
-_few = strategies.integers(1, 3)
+_small_count = strategies.integers(1, 3)
 
 
 class _Groups(stateful.RuleBasedStateMachine):
     """Two domains of five VMs, three groups of two, three leaders."""
 
     CHECKS = invariant.Invariants()
-    refuses = True
+    refuses_old_fence = True
 
     def __init__(self):
         super().__init__()
         self.world = world.World(
-            {"a": 5, "b": 5}, 2, 3, self.refuses, self.CHECKS
+            {"a": 5, "b": 5}, 2, 3, self.refuses_old_fence, self.CHECKS
         )
         for name in _NAMES:
             self.world.start(name)
@@ -58,7 +58,7 @@
         if process:
             process.points.arm(point, lambda: self.world.run(span * 1_000))
 
-    @stateful.rule(name=_name, count=_few)
+    @stateful.rule(name=_name, count=_small_count)
     def hold_orders(self, name, count):
         if self._process(name):
             self._process(name).engines.hold_next = count
@@ -68,12 +68,12 @@
         if self._process(name):
             self._process(name).engines.deliver()
 
-    @stateful.rule(name=_name, count=_few)
+    @stateful.rule(name=_name, count=_small_count)
     def lose_order_answers(self, name, count):
         if self._process(name):
             self._process(name).engines.lose_next = count
 
-    @stateful.rule(count=_few)
+    @stateful.rule(count=_small_count)
     def lose_table_answers(self, count):
         self.world.table.faults.order(faults.Fault.LOSE_ANSWER, count)
 
@@ -118,7 +118,7 @@
         self.world.declare(role=role)
 
     def teardown(self):
-        """Mend everything; then all groups must come back."""
+        """Clear all faults; then all groups must serve again."""
         self.world.table.faults.order(faults.Fault.DOWN, 0)
         self.world.table.faults.order(faults.Fault.LOSE_ANSWER, 0)
         self.light_all()
@@ -136,17 +136,17 @@
 
 
 class RefusingEngines(_Groups):
-    """Engines that refuse an old fencing number."""
+    """Engines that refuse an outdated fencing token."""
 
     CHECKS = invariant.Invariants()
 
 
 class IgnoringEngines(_Groups):
-    """Engines that take any order."""
+    """Engines that accept any order."""
 
     CHECKS = invariant.Invariants()
 
-    refuses = False
+    refuses_old_fence = False
 
 
 MACHINES = (RefusingEngines, IgnoringEngines)
--- a/tests/groups/rolling.feature
+++ b/tests/groups/rolling.feature
@@ -1,10 +1,11 @@
-Feature: Changes roll over the groups
-  Closing all replicas of a model for a change leaves its callers with none
-  for the time of a load.
+Feature: Changes are rolled out group by group
+  If all replicas of a model closed for a change at once, its callers would
+  have none until the weights are loaded.
 
-  Scenario Outline: a change of what the engines run
-    One group after the other takes no new work, ends its requests, gets its
-    orders and serves again, never more at once than the table allows.
+  Scenario Outline: the configuration of the engines changes
+    In turn, each group stops accepting requests, drains, receives its
+    orders, and serves again.  No more groups are closed at once than
+    declared.
     Given 4 serving groups of 2 VMs, of which <most> may be closed
     When operators change the <what>
     Then at no time are more than <most> closed
@@ -19,19 +20,19 @@
       | role    | 1    |
       | size    | 1    |
 
-  Scenario: a group that broke counts as closed
-    Two of four groups are down with no spare.  A change waits rather than
-    close a third.
+  Scenario: a broken group counts as closed
+    Two of four groups are down with no spare.  A change must wait and not
+    close a third one.
     Given 4 serving groups of 2 VMs, of which 1 may be closed
     When two groups lose a VM each
     And operators change the version
     And 60 s pass
-    Then the groups that serve are 2
+    Then the number of serving groups is 2
 
-  Scenario Outline: loads from the weight store share their slots
-    All groups want to load at once after a start; the store bears one, and
-    a load outlasts the time that a slot is lent for.  A new leader counts
-    the loads that the one before began.
+  Scenario Outline: loads from the weight store are limited by slots
+    After a start all groups have to load, but the store can handle one load
+    at a time, and a load takes longer than the lifetime of a slot.  A new
+    leader must count the loads that the previous one started.
     Given 4 groups of 2 VMs that start with 1 load slot
     When the leader <fate> after 20 s
     Then never more than 1 group loads at once
@@ -42,9 +43,9 @@
       | stays |
       | dies  |
 
-  Scenario: a group that is not declared any more gives its VMs back
+  Scenario: a group that is no longer declared releases its VMs
     Given 4 serving groups of 2 VMs, of which 1 may be closed
-    When operators want 1 group
+    When the declared replicas are set to 1
     And 40 s pass
-    Then the groups that serve are 1
+    Then the number of serving groups is 1
     And every other VM is empty
--- a/tests/groups/steps/closing_steps.py
+++ b/tests/groups/steps/closing_steps.py
@@ -1,4 +1,4 @@
-"""Steps about groups that close and come back."""
+"""Steps about groups that close and reopen."""
 
 import behave
 
@@ -12,7 +12,8 @@
 
 
 @behave.given(
-    'domains "{domains}" of {vms:d} VMs, serving groups of {size:d}: {count:d}'
+    'domains "{domains}" of {vms:d} VMs each, and serving groups of '
+    "{size:d} VMs: {count:d}"
 )
 def step_world(context, domains, vms, size, count):
     by_domain = dict.fromkeys(domains.split(","), vms)
@@ -29,40 +30,40 @@
     context.world.engine(context.group.vms[0]).running = count
 
 
-def _lose(context, vm, how):
+def _fail_vm(context, vm, how):
     engine = context.world.engine(vm)
     if how == "restarted":
         engine.restart()
     engine.is_up = how != "killed"
-    engine.is_dark = how == "dark"
+    engine.is_dark = how == "unreachable"
 
 
 @behave.when("one of its VMs is {how}")
-def step_lose(context, how):
+def step_fail_vm(context, how):
     context.lost = context.group.vms[1]
-    _lose(context, context.lost, how)
+    _fail_vm(context, context.lost, how)
 
 
 @behave.when("one VM of each group is killed")
-def step_lose_each(context):
+def step_fail_vm_of_each(context):
     for each in _serving(context):
-        _lose(context, each.vms[1], "killed")
+        _fail_vm(context, each.vms[1], "killed")
 
 
 @behave.when("one VM of a group is killed")
-def step_lose_of_one(context):
-    _lose(context, context.group.vms[0], "killed")
+def step_fail_vm_of_one(context):
+    _fail_vm(context, context.group.vms[0], "killed")
 
 
-@behave.when("the domain of a group goes dark")
-def step_dark(context):
+@behave.when("the domain of a group becomes unreachable")
+def step_domain_unreachable(context):
     context.domain = context.group.vms[0][0]
     for vm, engine in _of_domain(context):
         engine.is_dark = True
 
 
-@behave.when("the domain comes back")
-def step_light(context):
+@behave.when("the domain is reachable again")
+def step_domain_reachable(context):
     for vm, engine in _of_domain(context):
         engine.is_dark = False
 
@@ -72,7 +73,7 @@
     return [(e.vm, e) for e in engines if e.vm.startswith(context.domain)]
 
 
-@behave.when("its VM comes back")
+@behave.when("the lost VM returns")
 def step_back(context):
     engine = context.world.engine(context.lost)
     if not engine.is_up:
@@ -85,7 +86,7 @@
     context.world.run(seconds * 1_000)
 
 
-@behave.when("the spare is killed and the list still shows it")
+@behave.when("the spare is killed but still listed")
 def step_spare(context):
     used = set(context.group.vms)
     engines = context.world.engine_by_address.values()
@@ -93,7 +94,7 @@
     spare.is_up = False
 
 
-@behave.when("the list loses a VM that serves")
+@behave.when("the list lacks a serving VM")
 def step_unlisted(context):
     context.world.vms.remove(context.group.vms[3])
 
@@ -120,13 +121,13 @@
     context.world.vms.faults.order(faults.Fault.DOWN, calls)
 
 
-@behave.when("all leaders die, and one VM of the group")
+@behave.when("all leaders and one VM of the group are killed")
 def step_all_die(context):
     context.world.process_by_name.clear()
-    _lose(context, context.group.vms[0], "killed")
+    _fail_vm(context, context.group.vms[0], "killed")
 
 
-def _wait(context, bound, is_true):
+def _run_until(context, bound, is_true):
     start = context.world.clock.now()
     while not is_true():
         now = context.world.clock.now()
@@ -134,10 +135,10 @@
         context.world.tick(500)
 
 
-@behave.then("routing loses the group within {bound:d} ms")
-def step_routing_loses(context, bound):
+@behave.then("routing drops the group within {bound:d} ms")
+def step_routing_drops(context, bound):
     name = context.group.group
-    _wait(
+    _run_until(
         context,
         bound,
         lambda: name not in [each.group for each in _serving(context)],
@@ -147,7 +148,7 @@
 @behave.then("the group serves again within {bound:d} ms")
 def step_serves(context, bound):
     count = context.world.group.replicas
-    _wait(context, bound, lambda: len(_serving(context)) == count)
+    _run_until(context, bound, lambda: len(_serving(context)) == count)
 
 
 @behave.then("the group serves again within {bound:d} ms with {whom}")
@@ -158,7 +159,7 @@
     assert is_same == (whom == "the same VMs"), found
 
 
-@behave.then("the groups that serve are {count:d}")
+@behave.then("the number of serving groups is {count:d}")
 def step_count(context, count):
     assert len(_serving(context)) == count, context.world.log
 
@@ -171,7 +172,7 @@
         assert bool(held.group) == (engine.vm in used), held
 
 
-@behave.then("no order was given to the group")
+@behave.then("no order was sent to the group")
 def step_no_order(context):
     for vm in context.group.vms:
         held = context.world.engine(vm).holding(0)
@@ -180,24 +181,24 @@
 
 @behave.when("{count:d} read-backs of one of its VMs get no answer")
 def step_unanswered(context, count):
-    made = context.world
-    context.leader = made.process_by_name["x"].leader
+    cluster = context.world
+    context.leader = cluster.process_by_name["x"].leader
     context.leader.poll()
-    context.answered_at = made.clock.now()
-    made.engine(context.group.vms[1]).is_dark = True
+    context.answered_at = cluster.clock.now()
+    cluster.engine(context.group.vms[1]).is_dark = True
     for _ in range(count):
-        made.clock.advance(1_000)
+        cluster.clock.advance(1_000)
         context.leader.poll()
 
 
-@behave.when("states are made {span:d} ms after its last answer")
+@behave.when("states are computed {span:d} ms after its last answer")
 def step_states(context, span):
     clock = context.world.clock
     clock.advance(context.answered_at + span - clock.now())
     context.leader.lead(clock.now())
 
 
-@behave.then("{count:d} groups serve by these states")
+@behave.then("these states show {count:d} serving groups")
 def step_serve(context, count):
     serving = [s for s in context.leader.states if s.state == "serving"]
     assert len(serving) == count, context.leader.states
--- a/tests/groups/steps/drill_steps.py
+++ b/tests/groups/steps/drill_steps.py
@@ -1,4 +1,4 @@
-"""Steps on groups of real processes."""
+"""Steps about replica groups of real processes."""
 
 import json
 import signal
@@ -17,27 +17,27 @@
 
 _DC = "sapporo"
 
-#: Seconds for the lease to lapse (11), for requests in progress to end or
-#: the wait for them to run out (30), a poll, and a load.
-_TAKEOVER = 60
+#: Seconds for the lease to expire (11), for requests in progress to end or
+#: time out (30), for a poll, and for a load.
+_MAX_TAKEOVER = 60
 
 
 @behave.given(
     "{vms:d} VMs of one domain, 2 daemons, and a declared group of {size:d}"
 )
 def step_start(context, vms, size):
-    made = context.made = drill.open_in(context, (_DC,))
+    deployment = context.deployment = drill.open_in(context, (_DC,))
     context.address_by_vm = {}
     for number in range(vms):
         vm = f"vm-{number}"
-        address = made.fleet.start_engine(vm, "--load-time=600")
+        address = deployment.fleet.start_engine(vm, "--load-time=600")
         context.address_by_vm[vm] = address
         urllib3.request(
             "POST",
-            f"http://{made.fleet.platform}/vms",
+            f"http://{deployment.fleet.platform}/vms",
             json=[vm, _DC, "rack-1", address, 8, "live"],
         )
-    made.declaration["groups"] = {
+    deployment.declaration["groups"] = {
         "draft": {
             "datacentre": _DC,
             "model": deployments.MODEL,
@@ -45,41 +45,43 @@
             "replicas": 1,
         }
     }
-    made.daemons(2)
-    made.start()
-    context.left = [0, 1]
+    deployment.daemons(2)
+    deployment.start()
+    context.running_daemons = [0, 1]
 
 
-def _ask(context, daemon, deadline=10_000):
-    # Each its own: the same one again would be held back for a while, for
-    # the VM that died while it ran may have died of it.
-    context.asked = getattr(context, "asked", 0) + 1
-    return context.made.caller(daemon).chat(
+def _send_request(context, daemon, deadline=10_000):
+    # Each request differs.  A repeated one would be delayed, as it might be
+    # the cause of the loss of the VM that ran it.
+    context.request_count = getattr(context, "request_count", 0) + 1
+    return context.deployment.caller(daemon).chat(
         deployments.MODEL,
-        f"question {context.asked}",
+        f"question {context.request_count}",
         tokens=5,
         deadline=deadline,
     )
 
 
-def _answers(context):
-    context.last = [_ask(context, each) for each in context.left]
-    return all(answer.status == 200 for answer in context.last)
+def _all_answer(context):
+    context.last_answers = [
+        _send_request(context, each) for each in context.running_daemons
+    ]
+    return all(answer.status == 200 for answer in context.last_answers)
 
 
 @behave.then("each daemon answers from the group")
-@behave.then("the daemon that is left answers from the group again")
+@behave.then("the remaining daemon answers from the group again")
 def step_answers(context):
-    until = time.monotonic() + _TAKEOVER
-    while not _answers(context):
+    until = time.monotonic() + _MAX_TAKEOVER
+    while not _all_answer(context):
         rows_now = _scan(context, rowcache.groups_table(_DC))
-        assert time.monotonic() < until, (context.last, rows_now)
+        assert time.monotonic() < until, (context.last_answers, rows_now)
         time.sleep(0.1)
     context.group = _group(context)
 
 
 def _scan(context, table):
-    url = f"http://{context.made.fleet.platform}/rows/{table}"
+    url = f"http://{context.deployment.fleet.platform}/rows/{table}"
     answer = urllib3.request("GET", url).data
     return [r.value for r in msgspec.json.decode(answer, type=rows.Scan).rows]
 
@@ -93,75 +95,83 @@
 def step_kill(context):
     context.fence = context.group["fence"]
     vm = context.group["members"][1][0]
-    context.made.fleet.process_by_name[vm].send(signal.SIGKILL)
-    context.killed = vm
+    context.deployment.fleet.process_by_name[vm].send(signal.SIGKILL)
+    context.killed_vm = vm
     context.killed_at = time.monotonic()
 
 
-def _until_refused(context, is_renewed):
-    context.seen = []
-    waiting = set(context.left)
+def _wait_until_refused(context, is_renewed):
+    context.answers = []
+    waiting = set(context.running_daemons)
     while waiting:
-        spent = time.monotonic() - context.killed_at
+        elapsed = time.monotonic() - context.killed_at
         renewed = is_renewed()
         for daemon in sorted(waiting):
-            answer = _ask(context, daemon)
-            context.seen.append(answer)
-            # One that had reached rank 0 when the VM died is refused too,
-            # and its refusal can't say that it was not run.
+            answer = _send_request(context, daemon)
+            context.answers.append(answer)
+            # A request that had reached rank 0 when the VM was killed is
+            # refused too, but can't be reported as not run.
             unrun = answer.status == 503 and answer.problem["ran"] == "no"
             if unrun or (renewed and answer.whole):
                 waiting.discard(daemon)
-        assert not waiting or spent < 3, context.seen
+        assert not waiting or elapsed < 3, context.answers
 
 
-@behave.then("from 3 s on each daemon refuses and says that nothing was run")
+@behave.then("after 3 s each daemon refuses and reports that nothing was run")
 def step_refuses_only(context):
-    # What was sent before may have reached rank 0, and wait until its
-    # deadline for a group to run on again.
+    # Earlier requests may have reached rank 0, and then wait for a group
+    # until their deadline.
     while time.monotonic() - context.killed_at < 3:
-        for daemon in context.left:
-            assert _ask(context, daemon, 500).status in (200, 502, 503)
-    for daemon in context.left * 3:
-        answer = _ask(context, daemon, 500)
+        for daemon in context.running_daemons:
+            assert _send_request(context, daemon, 500).status in (
+                200,
+                502,
+                503,
+            )
+    for daemon in context.running_daemons * 3:
+        answer = _send_request(context, daemon, 500)
         assert answer.status == 503, answer
         assert answer.problem["ran"] == "no", answer
 
 
-@behave.then("within 3 s each daemon refuses unrun, or a new group answers")
+@behave.then(
+    "within 3 s each daemon refuses unrun work, or a new group answers"
+)
 def step_refuses_or_renews(context):
-    # A request may also have waited in the queue for the new group, which
-    # has a higher fence; that is no answer of the half group.
-    _until_refused(context, lambda: _group(context)["fence"] > context.fence)
+    # A request may also have been queued until the new group served, which
+    # has a higher fence; that answer is not one of the incomplete group.
+    _wait_until_refused(
+        context, lambda: _group(context)["fence"] > context.fence
+    )
 
 
-@behave.then("no answer was passed off as whole that half a group made")
+@behave.then("no answer of an incomplete group was reported as complete")
 def step_whole(context):
-    # Rank 0 answers only while it hears from all VMs of its group.  An
-    # answer under way when a VM dies breaks off; with no other group to
-    # resume on, its caller must be told so and see no clean end.
-    for each in context.seen:
+    # Rank 0 answers only while it reaches all VMs of its group.  An answer
+    # in progress when a VM is lost is aborted.  With no other group to
+    # resume on, the response must report that and not end cleanly.
+    for each in context.answers:
         assert each.status in (200, 502, 503), each
         if each.status == 200 and not each.whole:
             assert each.problem["ran"] == "yes", each
             assert not each.clean, each
 
 
-@behave.then("the platform's rows and the engines say the same")
+@behave.then("the platform's rows match the engines")
 def step_same(context):
     group = _group(context)
-    assert context.killed not in [vm for vm, _ in group["members"]]
+    assert context.killed_vm not in [vm for vm, _ in group["members"]]
     for rank, (_, address) in enumerate(group["members"]):
-        held = urllib3.request("GET", f"http://{address}/holding").json()
-        assert held["group"] == group["name"], held
-        assert held["fence"] == group["fence"], held
-        assert held["rank"] == rank, held
+        reported = urllib3.request("GET", f"http://{address}/holding").json()
+        assert reported["group"] == group["name"], reported
+        assert reported["fence"] == group["fence"], reported
+        assert reported["rank"] == rank, reported
 
 
 @behave.then("the operators' tool shows {count:d} serving group")
 def step_tool(context, count):
     command = (sys.executable, "-m", "citronvalve.cli.main", "groups")
-    platform = ("--platform", context.made.fleet.platform)
+    platform = ("--platform", context.deployment.fleet.platform)
     done = subprocess.run(
         [*command, "--json", *platform], capture_output=True, check=True
     )
@@ -174,13 +184,13 @@
     assert "serving" in text and shown[0]["group"] in text, text
 
 
-@behave.when("the daemon that leads is killed")
+@behave.when("the leader is killed")
 def step_kill_leader(context):
     (lease,) = _scan(context, rowcache.LEASES_TABLE)
     name = lease["holder"].partition("/")[0]
-    context.made.fleet.process_by_name[name].send(signal.SIGKILL)
+    context.deployment.fleet.process_by_name[name].send(signal.SIGKILL)
     number = int(name.rpartition("-")[2])
-    context.left = [each for each in (0, 1) if each != number]
+    context.running_daemons = [each for each in (0, 1) if each != number]
 
 
 @behave.when("the platform's services are {how}")
@@ -188,7 +198,7 @@
     for service in ("table", "vms"):
         urllib3.request(
             "POST",
-            f"http://{context.made.fleet.platform}/faults",
+            f"http://{context.deployment.fleet.platform}/faults",
             json={
                 "service": service,
                 "fault": "down",
@@ -201,4 +211,4 @@
 def step_answers_on(context, seconds):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        assert _answers(context), context.last
+        assert _all_answer(context), context.last_answers
--- a/tests/groups/steps/fencing_steps.py
+++ b/tests/groups/steps/fencing_steps.py
@@ -5,34 +5,36 @@
 from tests.groups import world
 
 
-@behave.given("a group whose first order is late, of engines that {fence} it")
+@behave.given(
+    "a group whose first order is late, on engines that {fence} old orders"
+)
 def step_late(context, fence):
-    made = context.world = world.World({"a": 5}, 4, 1, fence == "refuse")
-    for engine in made.engine_by_address.values():
+    cluster = context.world = world.World({"a": 5}, 4, 1, fence == "refuse")
+    for engine in cluster.engine_by_address.values():
         engine.load_time = 0
-    context.holder = made.start("x")
-    made.start("y")
-    made.tick()
+    context.holder = cluster.start("x")
+    cluster.start("y")
+    cluster.tick()
     context.holder.engines.hold_next = 1
     for _ in range(5):
         if not context.holder.engines.late:
-            made.tick()
-    context.late = context.holder.engines.late[0]
+            cluster.tick()
+    context.late_order = context.holder.engines.late[0]
 
 
-@behave.when("its holder is paused, and another makes the group serve")
+@behave.when("the leader is paused and another one forms the serving group")
 def step_paused(context):
-    made = context.world
+    cluster = context.world
     context.holder.is_paused = True
-    made.run(20_000)
-    # The VMs that took no order start anew, and the fence rises.
-    for vm in [v for s in made.records().values() for v in s.vms]:
-        made.engine(vm).restart()
-    made.run(20_000)
-    for engine in made.engine_by_address.values():
+    cluster.run(20_000)
+    # Restarted VMs need new orders, which raise the fence.
+    for vm in [v for s in cluster.records().values() for v in s.vms]:
+        cluster.engine(vm).restart()
+    cluster.run(20_000)
+    for engine in cluster.engine_by_address.values():
         engine.load_time = 5_000
-    (context.group,) = made.serving()
-    assert context.group.fence > context.late[1].fence
+    (context.group,) = cluster.serving()
+    assert context.group.fence > context.late_order[1].fence
 
 
 @behave.when("the late order arrives")
@@ -52,68 +54,79 @@
 
 @behave.then("the group serves as declared within {bound:d} ms")
 def step_declared(context, bound):
-    made = context.world
+    cluster = context.world
     context.holder.is_paused = False
-    made.run(bound)
-    assert len(made.serving()) == 1, made.log
-    assert made.is_whole(made.serving()[0])
+    cluster.run(bound)
+    assert len(cluster.serving()) == 1, cluster.log
+    assert cluster.is_complete(cluster.serving()[0])
 
 
-@behave.when("its holder dies")
+@behave.when("the leader dies")
 def step_dies(context):
     del context.world.process_by_name["x"]
 
 
 @behave.then(
-    "another orders no sooner than {wait:d} ms after taking the lease"
+    "another sends orders no sooner than {wait:d} ms after it acquires "
+    "the lease"
 )
 def step_waits(context, wait):
-    made = context.world
-    other = made.process_by_name["y"]
+    cluster = context.world
+    other = cluster.process_by_name["y"]
     while not other.leader.is_leading():
-        made.tick(100)
-    taken = made.clock.now()
+        cluster.tick(100)
+    taken = cluster.clock.now()
     while not any("order" in name for name in other.points.names):
-        made.tick(100)
-        assert made.clock.now() - taken <= 4_000, made.log
-    waited = made.clock.now() - taken
+        cluster.tick(100)
+        assert cluster.clock.now() - taken <= 4_000, cluster.log
+    waited = cluster.clock.now() - taken
     assert wait <= waited <= wait + 200, waited
 
 
-@behave.when("the late order arrives after {span:d} ms and empties the engine")
+@behave.when("the late order arrives after {span:d} ms and clears the engine")
 def step_empties(context, span):
-    made = context.world
-    context.half = []
+    cluster = context.world
+    context.incomplete_states = []
     for moment in range(0, 20_000, 200):
         if moment == span:
             context.holder.engines.deliver()
-            # What a request meets right then, before the next read-back.
-            context.half += [s for s in made.serving() if not made.is_whole(s)]
-        made.tick(200)
-        context.half += [s for s in made.serving() if not made.is_whole(s)]
+            # The state that a request meets before the next read-back.
+            context.incomplete_states += [
+                s for s in cluster.serving() if not cluster.is_complete(s)
+            ]
+        cluster.tick(200)
+        context.incomplete_states += [
+            s for s in cluster.serving() if not cluster.is_complete(s)
+        ]
 
 
-@behave.then("no half group was routed to for a moment")
+@behave.then("no incomplete group was ever in routing")
 def step_no_half(context):
-    assert not context.half, context.half
+    assert not context.incomplete_states, context.incomplete_states
 
 
-@behave.when("a VM of the group is dark until a spare has its place")
+@behave.when("a VM of the group is unreachable until a spare replaces it")
 def step_dark(context):
-    made = context.world
-    made.run(10_000)
-    (group,) = made.serving()
-    context.dark = made.engine(group.vms[1])
-    context.dark.is_dark = True
-    made.run(10_000)
-    assert context.dark.vm not in made.serving()[0].vms
-    assert context.dark.holding(made.clock.now()).group == group.group
-    context.dark.is_dark = False
-
-
-@behave.then("it is emptied and spare within {bound:d} ms")
+    cluster = context.world
+    cluster.run(10_000)
+    (group,) = cluster.serving()
+    context.unreachable_engine = cluster.engine(group.vms[1])
+    context.unreachable_engine.is_dark = True
+    cluster.run(10_000)
+    assert context.unreachable_engine.vm not in cluster.serving()[0].vms
+    assert (
+        context.unreachable_engine.holding(cluster.clock.now()).group
+        == group.group
+    )
+    context.unreachable_engine.is_dark = False
+
+
+@behave.then("it is cleared and free within {bound:d} ms")
 def step_spare(context, bound):
-    made = context.world
-    made.run(bound)
-    assert not context.dark.holding(made.clock.now()).group
-    assert made.rows().owner_by_vm[context.dark.vm].group == ""
+    cluster = context.world
+    cluster.run(bound)
+    assert not context.unreachable_engine.holding(cluster.clock.now()).group
+    assert (
+        cluster.stored_rows().owner_by_vm[context.unreachable_engine.vm].group
+        == ""
+    )
--- a/tests/groups/steps/leading_steps.py
+++ b/tests/groups/steps/leading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about leaders that die, sleep and race."""
+"""Steps about leaders that die, are paused, or race."""
 
 import behave
 
@@ -31,28 +31,30 @@
 
 
 @behave.given("two leaders that read the same rows and the same lease")
-def step_two_books(context):
+def step_two_caches(context):
     context.store = memorytable.MemoryTable()
-    held = invariant.Invariants()
-    context.books = [
-        rowcache.RowCache("a", held),
-        rowcache.RowCache("a", held),
+    invariants = invariant.Invariants()
+    context.caches = [
+        rowcache.RowCache("a", invariants),
+        rowcache.RowCache("a", invariants),
     ]
-    context.held = held
+    context.invariants = invariants
 
 
 @behave.when("one writes group {first} and then the other {second}")
 def step_both_write(context, first, second):
     lease = rows.Condition(rowcache.LEASES_TABLE, "a", rows.NO_ROW)
     context.answers = []
-    for known, text in zip(context.books, (first, second), strict=True):
+    for cache, text in zip(context.caches, (first, second), strict=True):
         name, _, vms = text.partition(":")
-        wish = change.Change(None, _record(name, vms.split(",")))
-        made = change.transaction(wish, known, lease, name, context.held)
-        context.answers.append(context.store.commit(made))
+        new_change = change.Change(None, _record(name, vms.split(",")))
+        transaction = change.transaction(
+            new_change, cache, lease, name, context.invariants
+        )
+        context.answers.append(context.store.commit(transaction))
 
 
-@behave.then("the second is told of the row {row}")
+@behave.then("the second write conflicts with the row {row}")
 def step_conflict(context, row):
     first, second = context.answers
     assert isinstance(first, rows.Committed)
@@ -60,39 +62,39 @@
     assert second.where == row, second
 
 
-def _silent(context):
-    made = _world(context, "nothing")
-    made.run(2_000)
-    group = made.serving()[0]
-    made.engine(group.vms[1]).is_dark = True
-    made.tick()
-    made.clock.advance(1_000)
-    return made, group
+def _world_with_silent_vm(context):
+    cluster = _world(context, "nothing")
+    cluster.run(2_000)
+    state = cluster.serving()[0]
+    cluster.engine(state.vms[1]).is_dark = True
+    cluster.tick()
+    cluster.clock.advance(1_000)
+    return cluster, state
 
 
 @behave.when(
-    "a leader sleeps before it writes a replacement that nobody needs"
+    "a leader is paused before it writes a replacement no longer needed"
 )
 def step_old_decision(context):
-    # A first time, to find the call.
-    made, _ = _silent(context)
-    points = made.process_by_name["x"].points
+    # The first run finds the call at which to pause.
+    cluster, _ = _world_with_silent_vm(context)
+    points = cluster.process_by_name["x"].points
     before = len(points.names)
-    made.step("x")
+    cluster.step("x")
     names = points.names[before:]
-    assert any("replaced" in line for line in made.log), made.log
-    # The lease may be renewed first; the intent to load comes last.
+    assert any("replaced" in line for line in cluster.log), cluster.log
+    # The lease may be renewed first; the intent to load is written last.
     at = [n for n, name in enumerate(names) if name == "before commit"][-2]
-    made, context.group = _silent(context)
+    cluster, context.group = _world_with_silent_vm(context)
 
-    def sleep():
-        made.engine(context.group.vms[1]).is_dark = False
-        made.run(16_000)
+    def pause():
+        cluster.engine(context.group.vms[1]).is_dark = False
+        cluster.run(16_000)
 
-    made.process_by_name["x"].points.arm(at, sleep)
-    made.step("x")
-    made.run(3_000)
-    context.world = made
+    cluster.process_by_name["x"].points.arm(at, pause)
+    cluster.step("x")
+    cluster.run(3_000)
+    context.world = cluster
 
 
 @behave.then("the group serves with the same VMs and the same fence")
@@ -111,126 +113,128 @@
 
 @behave.given("engines that {fence} old orders")
 def step_engines(context, fence):
-    context.refuses = fence == "refuse"
-    context.made = []
+    context.refuses_old_fence = fence == "refuse"
+    context.runs = []
 
 
 def _world(context, change):
-    """Make a world whose next steps carry out a change of its group."""
-    made = world.World({"a": 5}, 4, 1, context.refuses)
-    for engine in made.engine_by_address.values():
+    """Return a world whose next steps carry out a change of its group."""
+    cluster = world.World({"a": 5}, 4, 1, context.refuses_old_fence)
+    for engine in cluster.engine_by_address.values():
         engine.load_time = 4_000
-    made.start("x")
-    made.start("y")
-    made.tick()
+    cluster.start("x")
+    cluster.start("y")
+    cluster.tick()
     if change == "new group":
-        return made
-    made.run(20_000)
-    assert len(made.serving()) == 1, made.log
+        return cluster
+    cluster.run(20_000)
+    assert len(cluster.serving()) == 1, cluster.log
     if change == "replacement":
-        made.engine(made.serving()[0].vms[1]).is_up = False
+        cluster.engine(cluster.serving()[0].vms[1]).is_up = False
     if change == "new version":
-        made.model = made.model._replace(version="2")
-        made.declare()
-    return made
+        cluster.model = cluster.model._replace(version="2")
+        cluster.declare()
+    return cluster
 
 
-#: Long enough to take the lease over, drain, and load twice.
-_SETTLES = 45_000
+#: Long enough to take over the lease, drain, and load twice.
+_SETTLE_TIME = 45_000
 
 
-def _points(context, change):
-    """Return how many calls the leader makes until the change is done."""
-    made = _world(context, change)
-    points = made.process_by_name["x"].points
+def _count_calls(context, change):
+    """Return the number of calls that the leader makes for a change."""
+    cluster = _world(context, change)
+    points = cluster.process_by_name["x"].points
     before = points.calls
-    made.run(6_000)
+    cluster.run(6_000)
     return points.calls - before
 
 
-def _each_point(context, change, strike):
-    count = _points(context, change)
+def _inject_at_each_call(context, change, inject):
+    count = _count_calls(context, change)
     assert count > 20, count
     for point in range(count):
-        made = _world(context, change)
-        strike(made, made.process_by_name["x"].points, point)
-        made.run(_SETTLES)
-        context.made.append((point, made))
+        cluster = _world(context, change)
+        inject(cluster, cluster.process_by_name["x"].points, point)
+        cluster.run(_SETTLE_TIME)
+        context.runs.append((point, cluster))
 
 
-@behave.when("a leader dies at each call while a {change} is made")
-def step_die(context, change):
-    _each_point(context, change, lambda made, points, n: points.kill(n))
+@behave.when("a leader dies at each call during a {change}")
+def step_kill(context, change):
+    _inject_at_each_call(
+        context, change, lambda cluster, points, n: points.kill(n)
+    )
 
 
-@behave.when("a leader sleeps at each call while a {change} is made")
-def step_sleep(context, change):
-    def strike(made, points, point):
-        def sleep():
-            made.run(8_000)
-            # The other takes over in the middle of this, and the group
-            # changes under the sleeper.
-            for vm in [v for s in made.serving() for v in s.vms[:1]]:
-                made.engine(vm).restart()
-            made.run(12_000)
+@behave.when("a leader is paused at each call during a {change}")
+def step_pause(context, change):
+    def inject(cluster, points, point):
+        def pause():
+            cluster.run(8_000)
+            # The other leader takes over in the meantime, and the group
+            # changes while this one is paused.
+            for vm in [v for s in cluster.serving() for v in s.vms[:1]]:
+                cluster.engine(vm).restart()
+            cluster.run(12_000)
 
-        points.arm(point, sleep)
+        points.arm(point, pause)
 
-    _each_point(context, change, strike)
+    _inject_at_each_call(context, change, inject)
 
 
 @behave.when("the answer of each write is lost in turn")
 def step_lose(context):
     for write in range(16):
-        made = _world(context, "new group")
-        first = made.table.writes
-        while made.table.writes < first + write:
-            made.tick(200)
-        made.table.faults.order(faults.Fault.LOSE_ANSWER, 1)
-        made.run(_SETTLES)
-        context.made.append((write, made))
+        cluster = _world(context, "new group")
+        first = cluster.table.writes
+        while cluster.table.writes < first + write:
+            cluster.tick(200)
+        cluster.table.faults.order(faults.Fault.LOSE_ANSWER, 1)
+        cluster.run(_SETTLE_TIME)
+        context.runs.append((write, cluster))
 
 
-@behave.then("each time the groups serve, and no VM was given away twice")
+@behave.then("each time the groups serve, and no VM was assigned twice")
 def step_serve(context):
-    for point, made in context.made:
-        # World.check looked at the owners after every tick.
-        where = (point, made.log, made.records())
-        assert len(made.serving()) == 1, where
-        assert made.held.count_by_name["one group a VM"] > 100
+    for point, cluster in context.runs:
+        # World.check has compared the owners after every tick.
+        detail = (point, cluster.log, cluster.records())
+        assert len(cluster.serving()) == 1, detail
+        assert cluster.invariants.count_by_name["one group a VM"] > 100
         name = "no half group is routed to for longer than detection takes"
-        looked = made.held.count_by_name.get(name, 0)
-        context.looked = getattr(context, "looked", 0) + looked
+        checked = cluster.invariants.count_by_name.get(name, 0)
+        context.check_count = getattr(context, "check_count", 0) + checked
 
 
-@behave.when("a leader sleeps in the write of an intent and wakes alone")
-def step_wake(context):
-    made = context.world = _world(context, "new group")
-    points = made.process_by_name["x"].points
-    made.process_by_name.pop("y")
-    writes = made.table.writes
+@behave.when("a leader's write of an intent outlasts its lease")
+def step_pause_in_write(context):
+    cluster = context.world = _world(context, "new group")
+    points = cluster.process_by_name["x"].points
+    cluster.process_by_name.pop("y")
+    writes = cluster.table.writes
     points.arm(0, lambda: None)
 
     def on_say(line):
-        if "forming" in line and made.table.writes > writes:
-            made.clock.advance(world.SPANS.lease_duration + 1)
+        if "forming" in line and cluster.table.writes > writes:
+            cluster.clock.advance(world.TIMINGS.lease_duration + 1)
 
-    process = made.process_by_name["x"]
+    process = cluster.process_by_name["x"]
     process.leader._deps = process.leader._deps._replace(log=on_say)
-    made.clock.advance(1_000)
+    cluster.clock.advance(1_000)
     before = len(points.names)
-    process.leader.step(made.clock.now())
-    context.names = points.names[before:]
+    process.leader.step(cluster.clock.now())
+    context.call_names = points.names[before:]
 
 
-@behave.then("it gave no order after its lease had lapsed")
+@behave.then("it sent no order after its lease had expired")
 def step_no_order(context):
-    assert "after commit" in context.names, context.names
-    orders = [name for name in context.names if "order" in name]
+    assert "after commit" in context.call_names, context.call_names
+    orders = [name for name in context.call_names if "order" in name]
     assert not orders, orders
 
 
-def _holder(context):
+def _leading_names(context):
     return [
         name
         for name, each in context.world.process_by_name.items()
@@ -241,22 +245,24 @@
 @behave.when("the holder of the lease {how}")
 def step_holder(context, how):
     context.world = _world(context, "nothing")
-    (name,) = _holder(context)
+    (name,) = _leading_names(context)
     gone = context.world.process_by_name.pop(name)
-    if how == "stops in order":
+    if how == "stops gracefully":
         gone.leader.stop()
-    context.since = context.world.clock.now()
+    context.started_at = context.world.clock.now()
 
 
 @behave.then("another holds the lease within {bound:d} ms")
 def step_holds(context, bound):
-    while not _holder(context):
+    while not _leading_names(context):
         context.world.tick(500)
-        context.waited = context.world.clock.now() - context.since
-        assert context.waited <= bound, context.waited
+        context.elapsed = context.world.clock.now() - context.started_at
+        assert context.elapsed <= bound, context.elapsed
 
 
-@behave.then("it did not before {bound:d} ms")
+@behave.then("it did not hold it before {bound:d} ms")
 def step_not_before(context, bound):
-    # The lease counts from its last renewal, up to one renewal before.
-    assert context.waited >= bound - world.SPANS.renew_interval, context.waited
+    # The lease counts from its last renewal, up to one interval earlier.
+    assert context.elapsed >= bound - world.TIMINGS.renew_interval, (
+        context.elapsed
+    )
--- a/tests/groups/steps/machines_steps.py
+++ b/tests/groups/steps/machines_steps.py
@@ -6,7 +6,7 @@
 
 from tests.groups import machines
 
-_PROMISES = {
+_INVARIANTS = {
     "one group a VM",
     "no VM is taken from another group",
     "no group serves with a VM missing",
@@ -15,7 +15,7 @@
     "no half group is routed to for longer than detection takes",
 }
 
-#: Each walk ends with two minutes of calm, which takes most of the time.
+#: Each walk ends with 150 s without failures, which take most of the time.
 _SETTINGS = hypothesis.settings(
     derandomize=True,
     database=None,
@@ -26,14 +26,14 @@
 )
 
 
-@behave.when("the machine {name} takes its walks")
+@behave.when("the state machine {name} is run")
 def step_walk(context, name):
     context.machine = getattr(machines, name)
     stateful.run_state_machine_as_test(context.machine, settings=_SETTINGS)
 
 
-@behave.then("each promise of groups was looked at")
-def step_looked(context):
-    looked = context.machine.CHECKS.count_by_name
-    unseen = {name for name in _PROMISES if not looked.get(name)}
-    assert not unseen, unseen
+@behave.then("each invariant of groups was checked")
+def step_checked(context):
+    count_by_name = context.machine.CHECKS.count_by_name
+    unchecked = {name for name in _INVARIANTS if not count_by_name.get(name)}
+    assert not unchecked, unchecked
--- a/tests/groups/steps/planning_steps.py
+++ b/tests/groups/steps/planning_steps.py
@@ -14,47 +14,48 @@
     "compact": compact.CompactPlanner(),
     "firstfit": firstfit.FirstFitPlanner(),
 }
-_SIZE = 4
+_GROUP_SIZE = 4
 
 
-def _words(text):
+def _split(text):
     return [] if text == "none" else text.split()
 
 
-@behave.given("free VMs {free} and needs {needs}")
-def step_free(context, free, needs):
-    pairs = [word.split(":") for word in _words(free)]
+@behave.given("free VMs {free} and declared groups {declared}")
+def step_free(context, free, declared):
+    pairs = [word.split(":") for word in _split(free)]
     context.free = {
         domain: tuple(f"{domain}{n}" for n in range(int(count)))
         for domain, count in pairs
     }
-    sizes = [word.split("x") for word in needs.split()]
-    context.needs = tuple(
+    sizes = [word.split("x") for word in declared.split()]
+    context.specs = tuple(
         groupspec.GroupSpec(f"of{size}", int(size), int(count))
         for size, count in sizes
     )
-    context.standing = ()
+    context.groups = ()
 
 
-@behave.given("groups {groups}")
+@behave.given("existing groups {groups}")
 def step_groups(context, groups):
-    context.standing = tuple(
-        _standing(number, word) for number, word in enumerate(groups.split())
+    context.groups = tuple(
+        _group_status(number, word)
+        for number, word in enumerate(groups.split())
     )
 
 
-def _standing(number, word):
+def _group_status(number, word):
     domain, counts = word.split(":")
     up, lost = (int(each) for each in counts.split("-"))
     vms = tuple(f"{domain}-{number}-{n}" for n in range(up + lost))
     return groupstatus.GroupStatus(
-        str(number), f"of{_SIZE}", domain, vms[:up], vms[up:]
+        str(number), f"of{_GROUP_SIZE}", domain, vms[:up], vms[up:]
     )
 
 
 @behave.when("{planner} plans")
 def step_plan(context, planner):
-    seen = fleet.Fleet(context.needs, context.standing, context.free)
+    seen = fleet.Fleet(context.specs, context.groups, context.free)
     context.plan = _PLANNERS[planner].plan(seen)
 
 
@@ -64,14 +65,14 @@
     assert found == ([] if placed == "nowhere" else placed.split()), found
 
 
-@behave.then("repaired are {repaired}, given up are {given_up}")
-def step_repaired(context, repaired, given_up):
+@behave.then("repaired are {repaired}, dissolved are {dissolved}")
+def step_repaired(context, repaired, dissolved):
     found = [each.group for each in context.plan.repairs]
     wanted = [] if repaired == "none" else [repaired]
-    # The table writes "0" for a group that lacks one VM of its own.
+    # Groups are named by their position in the list of existing groups.
     assert found == wanted, context.plan
     found = sorted(context.plan.reason_by_dissolved)
-    assert found == _words(given_up), context.plan
+    assert found == _split(dissolved), context.plan
 
 
 def _random_fleet(chance):
@@ -81,12 +82,18 @@
         for domain in domains
     }
     groups = tuple(
-        _standing(number, f"{chance.choice(domains)}:{_SIZE - lost}-{lost}")
+        _group_status(
+            number, f"{chance.choice(domains)}:{_GROUP_SIZE - lost}-{lost}"
+        )
         for number, lost in enumerate(
             chance.choice([0, 0, 1, 2]) for _ in range(chance.randint(0, 5))
         )
     )
-    needs = (groupspec.GroupSpec(f"of{_SIZE}", _SIZE, chance.randint(0, 8)),)
+    needs = (
+        groupspec.GroupSpec(
+            f"of{_GROUP_SIZE}", _GROUP_SIZE, chance.randint(0, 8)
+        ),
+    )
     return fleet.Fleet(needs, groups, free)
 
 
@@ -101,7 +108,7 @@
 
 
 @behave.then(
-    "no VM is used twice, and no serving group is given up needlessly"
+    "no VM is used twice, and no serving group is dissolved needlessly"
 )
 def step_once(context):
     for _, seen, plan in context.planned:
@@ -117,7 +124,7 @@
 
 
 @behave.then("the compact planner forms as many groups as fit")
-def step_many(context):
+def step_maximal(context):
     for name, seen, plan in context.planned:
         if name != "compact":
             continue
@@ -134,4 +141,7 @@
         kept = len(seen.groups) - len(plan.reason_by_dissolved)
         is_short = kept + len(plan.placements) < seen.specs[0].replicas
         if is_short:
-            assert all(count < _SIZE for count in left.values()), (seen, plan)
+            assert all(count < _GROUP_SIZE for count in left.values()), (
+                seen,
+                plan,
+            )
--- a/tests/groups/steps/rolling_steps.py
+++ b/tests/groups/steps/rolling_steps.py
@@ -1,4 +1,4 @@
-"""Steps about changes that roll over the groups."""
+"""Steps about changes that are rolled out group by group."""
 
 import behave
 
@@ -6,17 +6,17 @@
 from citronvalve.groups import phase
 from tests.groups import world
 
-_LOAD = 5_000
+_LOAD_TIME = 5_000
 
 
 def _world(replicas, most=1):
-    # Two VMs more than the groups need, so that a change of size fits.
-    made = world.World({"a": 9, "b": 3}, 2, replicas)
-    made.declare(most_closed=most)
-    for engine in made.engine_by_address.values():
-        engine.load_time = _LOAD
-    made.start("x")
-    return made
+    # More VMs than the groups need, so that a change of size fits.
+    cluster = world.World({"a": 9, "b": 3}, 2, replicas)
+    cluster.declare(most_closed=most)
+    for engine in cluster.engine_by_address.values():
+        engine.load_time = _LOAD_TIME
+    cluster.start("x")
+    return cluster
 
 
 @behave.given(
@@ -30,33 +30,33 @@
 
 @behave.given("{count:d} groups of 2 VMs that start with {slots:d} load slot")
 def step_slots(context, count, slots):
-    context.world = made = _world(count)
-    made.start("y")
-    context.seen = 0
-    for engine in made.engine_by_address.values():
-        engine.load_time = 3 * _LOAD
-    for each in made.process_by_name.values():
+    context.world = cluster = _world(count)
+    cluster.start("y")
+    context.max_loading = 0
+    for engine in cluster.engine_by_address.values():
+        engine.load_time = 3 * _LOAD_TIME
+    for each in cluster.process_by_name.values():
         slot = fixedloadslots.FixedLoadSlots(slots)
         each.leader._deps = each.leader._deps._replace(load_slots=slot)
 
 
 @behave.when("the leader {fate} after 20 s")
-def step_fate(context, fate):
-    _look_at_loads(context, 20)
+def step_leader(context, fate):
+    _run_counting_loads(context, 20)
     if fate == "dies":
         del context.world.process_by_name["x"]
 
 
-def _change(made, what):
+def _change(cluster, what):
     if what == "version":
-        made.model = made.model._replace(version="2")
+        cluster.model = cluster.model._replace(version="2")
     values = {
         "model": {"model": "coins"},
         "adapter": {"adapter": "stamps"},
         "role": {"role": "prefill"},
         "size": {"size": 3},
     }
-    made.declare(**values.get(what, {}))
+    cluster.declare(**values.get(what, {}))
 
 
 @behave.when("operators change the {what}")
@@ -64,67 +64,71 @@
     _change(context.world, what)
 
 
-@behave.when("operators want {count:d} group")
-def step_want(context, count):
+@behave.when("the declared replicas are set to {count:d}")
+def step_replicas(context, count):
     context.world.declare(replicas=count)
 
 
 @behave.when("two groups lose a VM each")
 def step_break(context):
-    made = context.world
-    for engine in made.engine_by_address.values():
-        used = [s for s in made.serving() if engine.vm in s.vms]
+    cluster = context.world
+    for engine in cluster.engine_by_address.values():
+        used = [s for s in cluster.serving() if engine.vm in s.vms]
         engine.is_up = bool(used)
-    for group in made.serving()[:2]:
-        made.engine(group.vms[0]).is_up = False
+    for group in cluster.serving()[:2]:
+        cluster.engine(group.vms[0]).is_up = False
 
 
 @behave.then("at no time are more than {most:d} closed")
 def step_never_more(context, most):
-    made = context.world
-    least = len(made.serving())
+    cluster = context.world
+    least = len(cluster.serving())
     for _ in range(150):
-        made.tick()
-        least = min(least, len(made.serving()))
-    assert least == 4 - most, (least, made.log)
+        cluster.tick()
+        least = min(least, len(cluster.serving()))
+    assert least == 4 - most, (least, cluster.log)
 
 
 @behave.then("never more than {most:d} group loads at once")
 def step_loads(context, most):
-    _look_at_loads(context, 60)
-    assert context.seen == most, context.seen
+    _run_counting_loads(context, 60)
+    assert context.max_loading == most, context.max_loading
 
 
-def _look_at_loads(context, seconds):
-    made = context.world
+def _run_counting_loads(context, seconds):
+    cluster = context.world
     for _ in range(seconds):
-        made.tick()
+        cluster.tick()
         loading = {
-            held.group
-            for engine in made.engine_by_address.values()
-            if (held := engine.holding(made.clock.now())).state == "loading"
+            reported.group
+            for engine in cluster.engine_by_address.values()
+            if (reported := engine.holding(cluster.clock.now())).state
+            == "loading"
         }
-        context.seen = max(context.seen, len(loading))
+        context.max_loading = max(context.max_loading, len(loading))
 
 
 @behave.then("within {seconds:d} s all {count:d} serve with the change")
 def step_all(context, seconds, count):
-    made = context.world
-    start = made.clock.now()
-    while not _is_changed(made, count):
-        assert made.clock.now() - start < seconds * 1_000, made.log
-        made.tick()
+    cluster = context.world
+    start = cluster.clock.now()
+    while not _is_changed(cluster, count):
+        assert cluster.clock.now() - start < seconds * 1_000, cluster.log
+        cluster.tick()
 
 
-def _is_changed(made, count):
-    wanted = (made.group.model, made.model.version)
+def _is_changed(cluster, count):
+    wanted = (cluster.group.model, cluster.model.version)
     done = [
         each
-        for each in made.serving()
+        for each in cluster.serving()
         if each.state is phase.Phase.SERVING
-        and len(each.vms) == made.group.size
-        and made.records()[each.group].wanted[:2] == wanted
-        and made.records()[each.group].wanted.adapter == made.group.adapter
-        and all(made.engine(vm).role == made.group.role for vm in each.vms)
+        and len(each.vms) == cluster.group.size
+        and cluster.records()[each.group].wanted[:2] == wanted
+        and cluster.records()[each.group].wanted.adapter
+        == cluster.group.adapter
+        and all(
+            cluster.engine(vm).role == cluster.group.role for vm in each.vms
+        )
     ]
     return len(done) == count
--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -1,4 +1,4 @@
-"""A data centre in memory: VMs, engines, table and several leaders."""
+"""A simulated data centre: VMs, engines, table and several leaders."""
 
 from citronvalve.groups import compact
 from citronvalve.groups import dependencies
@@ -21,12 +21,12 @@
 from standins import trip
 from standins import triptable
 
-SPANS = timing.Timing()
+TIMINGS = timing.Timing()
 DC = "sapporo"
 
 
 class Process:
-    """One daemon's leader, with its own ways to table and engines."""
+    """One daemon's leader, with its own connections to table and engines."""
 
     def __init__(self, world, name):
         self.points = trip.Trip()
@@ -44,46 +44,49 @@
                 load_slots=fixedloadslots.FixedLoadSlots(4),
                 planner=compact.CompactPlanner(),
                 clock=world.clock,
-                invariants=world.held,
-                timings=SPANS,
+                invariants=world.invariants,
+                timings=TIMINGS,
                 log=world.log.append,
             )
         )
 
 
 class World:
-    """Everything outside the leaders, and the leaders."""
+    """A simulated data centre and its leaders."""
 
-    def __init__(self, domains, size, replicas, refuses=True, held=None):
+    def __init__(
+        self, domains, size, replicas, refuses_old_fence=True, invariants=None
+    ):
         self.clock = manualclock.ManualClock(1_000)
         self.table = memorytable.MemoryTable()
         self.vms = memoryvms.MemoryVms(self.clock)
-        self.held = held or invariant.Invariants()
+        self.invariants = invariants or invariant.Invariants()
         self.log = []
         self.engine_by_address = {}
-        self.directory = routing.Directory(SPANS)
-        self.broken_since = {}
+        self.directory = routing.Directory(TIMINGS)
+        self.incomplete_since = {}
         self.process_by_name = {}
-        self.starts = 0
+        self.start_count = 0
         self.group = declared.Group(
-            *("draft", DC, "bags", size, replicas), refuses_old_fence=refuses
+            *("draft", DC, "bags", size, replicas),
+            refuses_old_fence=refuses_old_fence,
         )
         self.model = declared.Model("bags")
         for domain, count in domains.items():
             for number in range(count):
-                self.add_vm(f"{domain}{number}", domain, refuses)
+                self.add_vm(f"{domain}{number}", domain, refuses_old_fence)
 
-    def add_vm(self, vm, domain, refuses):
+    def add_vm(self, vm, domain, refuses_old_fence):
         record = vmlist.VmRecord(vm, DC, domain, f"{vm}:1", 8)
         self.vms.put(record)
-        engine = fakeengine.FakeEngine(vm, refuses)
+        engine = fakeengine.FakeEngine(vm, refuses_old_fence)
         self.engine_by_address[record.address] = engine
 
     def engine(self, vm):
         return self.engine_by_address[f"{vm}:1"]
 
-    def declare(self, **changed):
-        self.group = self.group._replace(**changed)
+    def declare(self, **changes):
+        self.group = self.group._replace(**changes)
         for each in self.process_by_name.values():
             each.leader.update_declared(self.declared())
 
@@ -104,8 +107,8 @@
         )
 
     def start(self, name):
-        self.starts += 1
-        process = Process(self, f"{name}/{self.starts}")
+        self.start_count += 1
+        process = Process(self, f"{name}/{self.start_count}")
         process.leader.update_declared(self.declared())
         self.process_by_name[name] = process
         return process
@@ -114,8 +117,8 @@
         process = self.process_by_name.get(name)
         if process is None or process.is_paused:
             return
-        # It counts as paused for the steps that an armed pause lets the
-        # others make in the middle of its own.
+        # An armed pause runs steps of the other processes in the middle of
+        # this step; this process counts as paused in them.
         process.is_paused = True
         try:
             process.leader.step(self.clock.now())
@@ -126,67 +129,70 @@
         for state in process.leader.states:
             self.directory.update(state)
 
-    def tick(self, span=1_000):
-        self.clock.advance(span)
+    def tick(self, duration=1_000):
+        self.clock.advance(duration)
         for name in sorted(self.process_by_name):
             self.step(name)
         self.check()
 
-    def run(self, span):
-        for _ in range(span // 1_000):
+    def run(self, duration):
+        for _ in range(duration // 1_000):
             self.tick()
 
     def serving(self):
         return self.directory.serving(self.clock.now())
 
     def records(self):
-        return self.rows().record_by_group
-
-    def rows(self):
-        """Read the table as it is, past the faults set for the leaders."""
-        known = rowcache.RowCache(DC, self.held)
-        kept, self.table.faults = self.table.faults, faults.Faults()
-        known.apply_groups(self.table.scan(rowcache.groups_table(DC)))
-        known.apply_owners(self.table.scan(rowcache.owners_table(DC)))
-        self.table.faults = kept
-        return known
-
-    def is_whole(self, state):
+        return self.stored_rows().record_by_group
+
+    def stored_rows(self):
+        """Read the table without the faults that are set for the leaders."""
+        cache = rowcache.RowCache(DC, self.invariants)
+        saved_faults, self.table.faults = self.table.faults, faults.Faults()
+        cache.apply_groups(self.table.scan(rowcache.groups_table(DC)))
+        cache.apply_owners(self.table.scan(rowcache.owners_table(DC)))
+        self.table.faults = saved_faults
+        return cache
+
+    def is_complete(self, state):
         for rank, vm in enumerate(state.vms):
             engine = self.engine(vm)
-            held = engine.holding(self.clock.now())
+            reported = engine.holding(self.clock.now())
             if not engine.is_up or engine.is_dark:
                 return False
-            if (held.group, held.fence, held.rank, held.vms) != (
-                *(state.group, state.fence, rank, state.vms),
-            ):
+            if (
+                reported.group,
+                reported.fence,
+                reported.rank,
+                reported.vms,
+            ) != (*(state.group, state.fence, rank, state.vms),):
                 return False
-            if held.state is not holding.WeightsState.READY:
+            if reported.state is not holding.WeightsState.READY:
                 return False
         return True
 
     def check(self):
-        """Compare what routing may use with what the engines hold."""
+        """Compare the states for routing with the state of the engines."""
         now = self.clock.now()
-        broken = [s for s in self.serving() if not self.is_whole(s)]
-        names = {(s.group, s.fence) for s in broken}
-        self.broken_since = {
-            key: self.broken_since.get(key, now) for key in names
+        incomplete = [s for s in self.serving() if not self.is_complete(s)]
+        names = {(s.group, s.fence) for s in incomplete}
+        self.incomplete_since = {
+            key: self.incomplete_since.get(key, now) for key in names
         }
-        for key, since in self.broken_since.items():
-            self.held.check(
+        for key, since in self.incomplete_since.items():
+            self.invariants.check(
                 "no half group is routed to for longer than detection takes",
-                now - since < SPANS.max_state_age,
+                now - since < TIMINGS.max_state_age,
                 f"{key} broken for {now - since} ms",
             )
         self._check_owners()
 
     def _check_owners(self):
-        known = self.rows()
-        for each in known.record_by_group.values():
+        cache = self.stored_rows()
+        for each in cache.record_by_group.values():
             for vm in each.vms:
-                owner = known.owner_by_vm[vm]
-                self.held.check(
+                owner = cache.owner_by_vm[vm]
+                self.invariants.check(
                     "a group's VMs are its own in their rows",
                     owner.group == each.name and owner.fence == each.fence,
                     f"{each} {owner}",
