--- a/src/citronvalve/daemon/grouptask.py
+++ b/src/citronvalve/daemon/grouptask.py
@@ -7,14 +7,14 @@
 from citronvalve.entry import environment as environments
 from citronvalve.entry import grouproute
 from citronvalve.entry import view as views
-from citronvalve.groups import book
 from citronvalve.groups import compact
-from citronvalve.groups import fixedloads
+from citronvalve.groups import dependencies
+from citronvalve.groups import fixedloadslots
 from citronvalve.groups import httpengines
 from citronvalve.groups import leader
-from citronvalve.groups import means
 from citronvalve.groups import phase
 from citronvalve.groups import record
+from citronvalve.groups import rowcache
 from citronvalve.groups import state
 from citronvalve.model import clock
 from citronvalve.model import declared
@@ -53,23 +53,25 @@
         self._env = env
         self._view = view
         self._table = table
-        self._loads = fixedloads.FixedLoads(declared.Switches().weight_loads)
-        self._far_by_name: dict[str, book.Book] = {}
+        self._loads = fixedloadslots.FixedLoadSlots(
+            declared.Switches().weight_loads
+        )
+        self._far_by_name: dict[str, rowcache.RowCache] = {}
         self._log = logbook.Logger("citronvalve.groups")
         pool = eventlet.GreenPool(_SIDE_BY_SIDE)
         start = f"{env.chance.getrandbits(64):016x}"
         self.leader = leader.Leader(
-            means.Means(
+            dependencies.Dependencies(
                 datacentre=settings.datacentre,
                 holder=f"{settings.name}/{start}",
                 table=table,
                 vms=vms,
                 engines=httpengines.HttpEngines(pool.imap),
-                loads=self._loads,
-                planner=compact.Compact(),
-                time=env.clock,
-                held=env.invariants,
-                say=self._log.info,
+                load_slots=self._loads,
+                planner=compact.CompactPlanner(),
+                clock=env.clock,
+                invariants=env.invariants,
+                log=self._log.info,
             )
         )
 
@@ -95,7 +97,7 @@
 
     def watch(self) -> None:
         """Read back the VMs here, and renew the routes."""
-        self.leader.watch()
+        self.leader.poll()
         self._route()
 
     def lead(self) -> None:
@@ -104,7 +106,7 @@
         if not table:
             return
         self._loads.slots = table.switches.weight_loads
-        self.leader.declare(table)
+        self.leader.update_declared(table)
         self.leader.lead(self._env.clock.now())
         for name in table.datacentre_by_name:
             if name != self._env.datacentre:
@@ -117,13 +119,13 @@
 
     def _read_far(self, name: str) -> None:
         known = self._far_by_name.setdefault(
-            name, book.Book(name, self._env.invariants)
+            name, rowcache.RowCache(name, self._env.invariants)
         )
-        place = book.groups_table(name)
+        place = rowcache.groups_table(name)
         after = known.revision_by_table.get(place, 0)
         scan = self._table.scan(place, after)
         if isinstance(scan, rows.Scan):
-            known.read_groups(scan)
+            known.apply_groups(scan)
 
     def _route(self) -> None:
         table = self._view.table
--- a/src/citronvalve/groups/means.py
+++ b/src/citronvalve/groups/dependencies.py
@@ -1,27 +1,27 @@
-"""What a leader works with."""
+"""The dependencies of a leader."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 from citronvalve.groups import engines
+from citronvalve.groups import loadslots
 from citronvalve.groups import planner
 from citronvalve.groups import timing
-from citronvalve.groups import weightloads
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.storage import tableservice
 from citronvalve.storage import vmlist
 
 
-def _say_nothing(_line: str) -> None:
-    """Take a line of the log and drop it."""
+def _discard_line(_line: str) -> None:
+    """Discard a log line."""
 
 
-class Means(NamedTuple):
+class Dependencies(NamedTuple):
     """The platform, the engines, the planner and the settings of a leader.
 
-    ``holder`` names the process and this start of it; no two starts may
-    share it.  ``say`` takes one line for the log.
+    ``holder`` identifies the process and its start, and must be unique to
+    that start.  ``log`` is called with each log line.
     """
 
     datacentre: str
@@ -29,9 +29,9 @@
     table: tableservice.TableService
     vms: vmlist.VmList
     engines: engines.Engines
-    loads: weightloads.WeightLoads
+    load_slots: loadslots.LoadSlots
     planner: planner.Planner
-    time: clock.Clock
-    held: invariant.Invariants
-    spans: timing.Timing = timing.Timing()
-    say: Callable[[str], None] = _say_nothing
+    clock: clock.Clock
+    invariants: invariant.Invariants
+    timings: timing.Timing = timing.Timing()
+    log: Callable[[str], None] = _discard_line
--- a/src/citronvalve/groups/fleet.py
+++ b/src/citronvalve/groups/fleet.py
@@ -1,14 +1,14 @@
-"""All that a plan for one data centre depends on."""
+"""The planner's input for one data centre."""
 
 from typing import NamedTuple
 
-from citronvalve.groups import need
-from citronvalve.groups import standing
+from citronvalve.groups import groupspec
+from citronvalve.groups import groupstatus
 
 
 class Fleet(NamedTuple):
-    """Needs, groups and free VMs; a free VM is up and unowned."""
+    """Declared groups, existing groups, and free VMs (up and unowned)."""
 
-    needs: tuple[need.Need, ...]
-    standing: tuple[standing.Standing, ...]
+    specs: tuple[groupspec.GroupSpec, ...]
+    groups: tuple[groupstatus.GroupStatus, ...]
     free_by_domain: dict[str, tuple[str, ...]]
--- a/src/citronvalve/groups/holding.py
+++ b/src/citronvalve/groups/holding.py
@@ -1,11 +1,11 @@
-"""What an engine says that it holds."""
+"""The group and weights that an engine reports."""
 
 import enum
 from typing import NamedTuple
 
 
-class Weights(enum.StrEnum):
-    """How far an engine has come with its part of the weights."""
+class WeightsState(enum.StrEnum):
+    """Load state of an engine's shard of the weights."""
 
     EMPTY = "empty"
     LOADING = "loading"
@@ -15,8 +15,8 @@
 class Holding(NamedTuple):
     """The read-back of one engine.
 
-    ``start_id`` changes with each start of the engine.  ``fence`` is that
-    of the last order it took.
+    ``start_id`` changes with each start of the engine.  ``fence`` is the
+    fencing token of the last order it accepted.
     """
 
     vm: str
@@ -27,4 +27,4 @@
     rank: int = 0
     model: str = ""
     version: str = ""
-    state: Weights = Weights.EMPTY
+    state: WeightsState = WeightsState.EMPTY
--- a/src/citronvalve/groups/book.py
+++ b/src/citronvalve/groups/rowcache.py
@@ -1,4 +1,4 @@
-"""The rows of a data centre's groups, as last read from the table."""
+"""A cache of the stored rows of a data centre's replica groups."""
 
 from typing import Any
 from typing import NamedTuple
@@ -12,42 +12,42 @@
 from citronvalve.model import invariant
 from citronvalve.storage import rows
 
-LEASES = "group_leases"
+LEASES_TABLE = "group_leases"
 
 
 def groups_table(datacentre: str) -> str:
-    """Return the name of the table of a data centre's groups.
+    """Return the name of the table with a data centre's groups.
 
-    :param datacentre: its name.
+    :param datacentre: name of the data centre.
     """
     return f"groups.{datacentre}"
 
 
 def owners_table(datacentre: str) -> str:
-    """Return the name of the table of a data centre's VMs.
+    """Return the name of the table with the owners of a data centre's VMs.
 
-    :param datacentre: its name.
+    :param datacentre: name of the data centre.
     """
     return f"group_vms.{datacentre}"
 
 
-def encode(each: NamedTuple) -> dict[str, Any]:
-    """Return the value of a row, with the fields named.
+def encode(stored: NamedTuple) -> dict[str, Any]:
+    """Return a record as the value of a row, keyed by field name.
 
-    :param each: a record.
+    :param stored: the record.
     """
     return {
         field: msgspec.to_builtins(value)
-        for field, value in each._asdict().items()
+        for field, value in stored._asdict().items()
     }
 
 
 def decode(kind: type, row: rows.Row) -> Any:
-    """Return the record in a row.
+    """Return the record stored in a row.
 
-    :param kind: the record's type.
+    :param kind: type of the record.
     :param row: the row.
-    :raises errors.TableError: when the row was written by something else.
+    :raises errors.TableError: when the row does not fit the type.
     """
     try:
         return msgspec.convert([row.value[f] for f in kind._fields], kind)
@@ -60,76 +60,81 @@
 
 
 def read_lease(row: rows.Row) -> lease.Lease:
-    """Return the lease in a row.
+    """Return the lease stored in a row.
 
     :param row: the row.
     """
     return decode(lease.Lease, row)
 
 
-class Book:
-    """Groups and owners with the versions of their rows.
+class RowCache:
+    """Caches groups and VM owners with the versions of their rows.
 
-    :param datacentre: its name.
-    :param held: where promises are asserted.
-    :ivar revision: of the last scan.
+    :param datacentre: name of the data centre.
+    :param invariants: where invariants are checked.
+    :ivar record_by_group: the stored groups.
+    :ivar owner_by_vm: the stored owners.
+    :ivar version_by_row: versions by table and key.
+    :ivar revision_by_table: revision of the last scan of each table.
     """
 
-    def __init__(self, datacentre: str, held: invariant.Invariants) -> None:
+    def __init__(
+        self, datacentre: str, invariants: invariant.Invariants
+    ) -> None:
         self.datacentre = datacentre
         self.record_by_group: dict[str, record.GroupRecord] = {}
         self.owner_by_vm: dict[str, owner.Owner] = {}
-        self.version_by_place: dict[tuple[str, str], int] = {}
+        self.version_by_row: dict[tuple[str, str], int] = {}
         self.revision_by_table: dict[str, int] = {}
-        self._held = held
+        self._invariants = invariants
 
-    def read_groups(self, scan: rows.Scan) -> None:
-        """Take in what changed in the table of groups.
+    def apply_groups(self, scan: rows.Scan) -> None:
+        """Apply changed rows of the table of groups.
 
         :param scan: rows changed since the last scan.
         """
-        self._read(scan, groups_table(self.datacentre))
+        self._apply_versions(scan, groups_table(self.datacentre))
         for key in scan.deleted:
             self.record_by_group.pop(key, None)
         for row in scan.rows:
-            found = decode(record.GroupRecord, row)
-            self.record_by_group[row.key] = found
+            stored = decode(record.GroupRecord, row)
+            self.record_by_group[row.key] = stored
         self._assert_disjoint()
 
-    def read_owners(self, scan: rows.Scan) -> None:
-        """Take in what changed in the table of VMs.
+    def apply_owners(self, scan: rows.Scan) -> None:
+        """Apply changed rows of the table of VM owners.
 
         :param scan: rows changed since the last scan.
         """
-        self._read(scan, owners_table(self.datacentre))
+        self._apply_versions(scan, owners_table(self.datacentre))
         for key in scan.deleted:
             self.owner_by_vm.pop(key, None)
         for row in scan.rows:
             self.owner_by_vm[row.key] = decode(owner.Owner, row)
 
-    def _read(self, scan: rows.Scan, table: str) -> None:
+    def _apply_versions(self, scan: rows.Scan, table: str) -> None:
         self.revision_by_table[table] = scan.revision
         for key in scan.deleted:
-            self.version_by_place.pop((table, key), None)
+            self.version_by_row.pop((table, key), None)
         for row in scan.rows:
-            self.version_by_place[(table, row.key)] = row.version
+            self.version_by_row[(table, row.key)] = row.version
 
     def _assert_disjoint(self) -> None:
-        # One scan is one revision of the table, so that this can't be a
-        # matter of reading one group before and one after a change.
+        # A scan returns one revision of the table, so an overlap is not an
+        # artefact of reading two groups at different times.
         group_by_vm: dict[str, str] = {}
         for name, each in self.record_by_group.items():
             for vm in each.vms:
                 other = group_by_vm.setdefault(vm, name)
-                self._held.check(
+                self._invariants.check(
                     "one group a VM", other == name, f"{vm}: {other}, {name}"
                 )
 
     def condition(self, table: str, key: str) -> rows.Condition:
-        """Return the condition that a row is as this book read it.
+        """Return the condition that a row still has its cached version.
 
         :param table: name of the table.
-        :param key: the row's key.
+        :param key: key of the row.
         """
-        version = self.version_by_place.get((table, key), rows.NO_ROW)
+        version = self.version_by_row.get((table, key), rows.NO_ROW)
         return rows.Condition(table, key, version)
