--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -1,8 +1,8 @@
 """A message as a full-size data centre sends it."""
 
-from citronvalve.peers import beat
 from citronvalve.peers import gossip
-from citronvalve.peers import loadrumor
+from citronvalve.peers import heartbeat
+from citronvalve.peers import loadupdate
 
 _BEATS = 14
 _LOADS = 12
@@ -18,11 +18,13 @@
         40,
         0x1122334455667788,
         beats=tuple(
-            beat.Beat(f"dc00-entry-{i:02}", 1_700_000_000, number, 40)
+            heartbeat.Heartbeat(
+                f"dc00-entry-{i:02}", 1_700_000_000, number, 40
+            )
             for i in range(_BEATS)
         ),
         loads=tuple(
-            loadrumor.LoadRumor(
+            loadupdate.LoadUpdate(
                 f"engine-{i:04}", "sender", number, f"s-{i}", 4, 1, 8, 100
             )
             for i in range(_LOADS)
--- a/src/citronvalve/daemon/loadnews.py
+++ b/src/citronvalve/daemon/loadnews.py
@@ -7,8 +7,8 @@
 
 from citronvalve.forward import environment as environments
 from citronvalve.model import clock
-from citronvalve.peers import news
-from citronvalve.peers import spreading as spreadings
+from citronvalve.peers import distributor as distributors
+from citronvalve.peers import messages
 from citronvalve.policy import upstreamchoice
 
 #: How often a daemon tells its own requests.  A replica gets one every
@@ -41,8 +41,8 @@
         self,
         env: environments.Environment,
         book: upstreamchoice.LoadBook,
-        spreading: spreadings.Spreading,
-        send: Callable[[Iterable[spreadings.Outgoing]], None],
+        spreading: distributors.Distributor,
+        send: Callable[[Iterable[distributors.Outgoing]], None],
     ) -> None:
         self._env = env
         self._book = book
@@ -57,7 +57,7 @@
 
     def _tell_own(self) -> None:
         told_at = -_LOADS_SAME
-        last: news.Counts = {}
+        last: messages.RequestCounts = {}
         while True:
             eventlet.sleep(self._pause() / clock.SECOND)
             now = self._env.clock.now()
--- a/src/citronvalve/daemon/newstask.py
+++ b/src/citronvalve/daemon/newstask.py
@@ -10,11 +10,11 @@
 from citronvalve.forward import environment as environments
 from citronvalve.model import clock
 from citronvalve.model import missing
-from citronvalve.peers import news
-from citronvalve.peers import newscodec
+from citronvalve.peers import distributor as distributors
+from citronvalve.peers import messagecodec
+from citronvalve.peers import messages
 from citronvalve.peers import peersettings
 from citronvalve.peers import sockets as sockets_
-from citronvalve.peers import spreading as spreadings
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import lease as leases
 from citronvalve.storage import rows
@@ -73,22 +73,24 @@
             ),
             env.clock,
         )
-        self._codec = newscodec.NewsCodec()
+        self._codec = messagecodec.MessageCodec()
         self.tables = tablenews.TableNews(env, lease)
         self._handler_by_type: dict[type, Callable] = {
-            news.Hello: self._on_hello,
-            news.Beat: self.tables.on_beat,
-            news.Changes: self.tables.on_changes,
-            news.WholeRequest: self.tables.on_whole_request,
-            news.Crash: self._on_crash,
-            news.Standstill: self._on_standstill,
-            news.Loads: self._on_loads,
-            news.Totals: self._on_totals,
-            news.Digest: self._on_digest,
-            news.Passed: self._on_passed,
+            messages.Hello: self._on_hello,
+            messages.Heartbeat: self.tables.on_beat,
+            messages.TableChanges: self.tables.on_changes,
+            messages.FullTableRequest: self.tables.on_whole_request,
+            messages.Crash: self._on_crash,
+            messages.Stall: self._on_standstill,
+            messages.DaemonLoads: self._on_loads,
+            messages.DatacentreLoads: self._on_totals,
+            messages.OtherLoads: self._on_digest,
+            messages.Relayed: self._on_passed,
         }
         self.on_crash: Callable[[str, str], None] = lambda *_: None
-        self._spreading = spreadings.Spreading(env.name, env.datacentre, book)
+        self._spreading = distributors.Distributor(
+            env.name, env.datacentre, book
+        )
         self.loads = loadnews.LoadNews(
             env, book, self._spreading, self._send_all
         )
@@ -151,7 +153,7 @@
         """
         if self._lease.held:
             self.on_standstill(upstream)
-        self._tell_all(news.Standstill(upstream))
+        self._tell_all(messages.Stall(upstream))
 
     def request_whole(self, table: str) -> None:
         """Ask the leader to tell a whole table.
@@ -159,8 +161,8 @@
         :param table: its name.
         """
         if self._lease.hears_leader:
-            wanted = news.WholeRequest(self._env.name, table)
-            self._send_all([spreadings.Outgoing(self._lease.leader, wanted)])
+            wanted = messages.FullTableRequest(self._env.name, table)
+            self._send_all([distributors.Outgoing(self._lease.leader, wanted)])
 
     def tell_crash(self, fingerprint: str, upstream: str) -> None:
         """Tell all daemons of an upstream that was lost with a request.
@@ -168,7 +170,7 @@
         :param fingerprint: the request's.
         :param upstream: its id.
         """
-        self._tell_all(news.Crash(fingerprint, upstream))
+        self._tell_all(messages.Crash(fingerprint, upstream))
 
     def has_company(self) -> bool:
         """Tell whether most of the other daemons were heard of just now."""
@@ -207,18 +209,20 @@
         if self._hellos_due:
             self._hellos_due -= 1
             self._tell_all(
-                news.Hello(self._env.name, self._address, self._env.datacentre)
+                messages.Hello(
+                    self._env.name, self._address, self._env.datacentre
+                )
             )
 
-    def _tell_all(self, item: news.Item) -> None:
+    def _tell_all(self, item: messages.Broadcast) -> None:
         now = self._env.clock.now()
         self._send_all(self._spreading.tell(item, now))
 
-    def _tell_near(self, item: news.Item) -> None:
+    def _tell_near(self, item: messages.Broadcast) -> None:
         now = self._env.clock.now()
         self._send_all(self._spreading.tell_near(item, now))
 
-    def _send_all(self, out: Iterable[spreadings.Outgoing]) -> None:
+    def _send_all(self, out: Iterable[distributors.Outgoing]) -> None:
         peers = self._lease.peer_by_name
         last, data = None, b""
         for name, message in out:
@@ -229,30 +233,30 @@
             if peer is not None and len(data) <= _MOST_BYTES:
                 self._sockets.send(f"tcp://{peer.address}", data)
 
-    def _on_hello(self, message: news.Hello) -> None:
+    def _on_hello(self, message: messages.Hello) -> None:
         peer = leases.Peer(message.address, message.datacentre)
         self._lease.greet(message.name, peer)
 
-    def _on_crash(self, message: news.Crash) -> None:
+    def _on_crash(self, message: messages.Crash) -> None:
         self.on_crash(message.fingerprint, message.upstream)
 
-    def _on_standstill(self, message: news.Standstill) -> None:
+    def _on_standstill(self, message: messages.Stall) -> None:
         self.on_standstill(message.upstream)
 
-    def _on_loads(self, message: news.Loads) -> None:
+    def _on_loads(self, message: messages.DaemonLoads) -> None:
         self._spreading.loads(message, self._env.clock.now())
 
-    def _on_totals(self, message: news.Totals) -> None:
+    def _on_totals(self, message: messages.DatacentreLoads) -> None:
         now = self._env.clock.now()
         self._send_all(self._spreading.totals(message, now))
 
-    def _on_digest(self, message: news.Digest) -> None:
+    def _on_digest(self, message: messages.OtherLoads) -> None:
         self._spreading.digest(message, self._env.clock.now())
 
-    def _on_passed(self, message: news.Passed) -> None:
+    def _on_passed(self, message: messages.Relayed) -> None:
         now = self._env.clock.now()
         onward = self._spreading.passed(message, now)
         if onward is None:
             return
         self._send_all(onward)
-        self._handler_by_type[type(message.item)](message.item)
+        self._handler_by_type[type(message.message)](message.message)
--- a/src/citronvalve/daemon/tablenews.py
+++ b/src/citronvalve/daemon/tablenews.py
@@ -3,7 +3,7 @@
 from citronvalve.forward import environment as environments
 from citronvalve.model import clock
 from citronvalve.peers import delays
-from citronvalve.peers import news
+from citronvalve.peers import messages
 from citronvalve.replicas import lease as leases
 from citronvalve.storage import rows
 from citronvalve.storage import tail as tails
@@ -30,7 +30,7 @@
 
     def changes(
         self, lease: int, table: str, base: int, scan: rows.Scan
-    ) -> news.Changes:
+    ) -> messages.TableChanges:
         """Return the message that tells a reading.
 
         :param lease: version by which this daemon leads, or 0.
@@ -38,7 +38,7 @@
         :param base: revision after which the rows changed.
         :param scan: what was read.
         """
-        return news.Changes(
+        return messages.TableChanges(
             lease,
             table,
             base,
@@ -48,13 +48,13 @@
             self._env.name,
         )
 
-    def beat(self, lease: int) -> news.Beat:
+    def beat(self, lease: int) -> messages.Heartbeat:
         """Return the message that states how far the tables are known.
 
         :param lease: version by which this daemon leads, or 0.
         """
         states = (tail.state() for tail in self.tail_by_table.values())
-        return news.Beat(
+        return messages.Heartbeat(
             self._env.name,
             lease,
             self._lease.daemons,
@@ -62,7 +62,7 @@
             self._env.clock.now(),
         )
 
-    def on_beat(self, message: news.Beat) -> None:
+    def on_beat(self, message: messages.Heartbeat) -> None:
         """Take what another daemon states of the tables.
 
         :param message: as it came.
@@ -78,7 +78,7 @@
             if tail is not None:
                 tail.confirm(told._replace(age=told.age + late), message.name)
 
-    def on_changes(self, message: news.Changes) -> None:
+    def on_changes(self, message: messages.TableChanges) -> None:
         """Take what another daemon has read.
 
         :param message: as it came.
@@ -89,11 +89,11 @@
             return
         tail.apply_update(
             message.base,
-            rows.Scan(message.revision, message.rows, message.gone),
+            rows.Scan(message.revision, message.rows, message.removed),
             message.reader,
         )
 
-    def on_whole_request(self, message: news.WholeRequest) -> None:
+    def on_whole_request(self, message: messages.FullTableRequest) -> None:
         """Read the whole table for a daemon that can't, if this one leads.
 
         :param message: as it came.
@@ -106,7 +106,7 @@
         )
         tail.request_full_update()
 
-    def _late(self, message: news.Beat) -> clock.Ms:
+    def _late(self, message: messages.Heartbeat) -> clock.Ms:
         if message.sent_at is None:
             return 0
         now = self._env.clock.now()
--- a/src/citronvalve/peers/gatekeeper.py
+++ b/src/citronvalve/peers/authenticator.py
@@ -10,7 +10,7 @@
 _ENDPOINT = "inproc://zeromq.zap.01"
 
 
-class Gatekeeper:
+class Authenticator:
     """Answers libzmq's question whether a client's key is known.
 
     CURVE alone lets anyone in who knows the server's public key, which is
--- a/src/citronvalve/peers/standing.py
+++ b/src/citronvalve/peers/authority.py
@@ -6,7 +6,7 @@
 from citronvalve.peers import timing as timings
 
 
-class Standing:
+class Authority:
     """A life that others know of may act; a paused or buried one may not.
 
     A process that was stopped wakes with its old view: it takes itself for
--- a/src/citronvalve/peers/borrower.py
+++ b/src/citronvalve/peers/borrower.py
@@ -3,10 +3,10 @@
 from typing import NamedTuple
 
 from citronvalve.model import clock
-from citronvalve.peers import ask as asks
-from citronvalve.peers import lent
 from citronvalve.peers import loan as loans
 from citronvalve.peers import loankey
+from citronvalve.peers import loanrequest as asks
+from citronvalve.peers import loanresponse
 from citronvalve.peers import timing as timings
 
 
@@ -50,7 +50,7 @@
         keepers: dict[loankey.LoanKey, str],
         now: clock.Ms,
         most: int,
-    ) -> list[tuple[str, asks.Ask]]:
+    ) -> list[tuple[str, asks.LoanRequest]]:
         """Return the asks to send now, one a keeper.
 
         :param keepers: the keeper of each wanted limit.
@@ -76,7 +76,7 @@
         return list(self._slots_by_key)
 
     def take(
-        self, answer: lent.Lent, keeper: str, now: clock.Ms
+        self, answer: loanresponse.LoanResponse, keeper: str, now: clock.Ms
     ) -> list[loans.Loan]:
         """Take an answer in; return the loans that it gave.
 
@@ -90,11 +90,11 @@
         if pending is None or pending.serial != answer.serial:
             return []
         self._pending_by_keeper[keeper] = pending._replace(serial=0)
-        span = min(answer.span, self._timing.loan) - self._timing.slack
+        span = min(answer.duration, self._timing.loan) - self._timing.slack
         until = pending.sent_at + span
         taken = [
             loans.Loan(granted.key, granted.slots, until)
-            for granted in answer.loans
+            for granted in answer.grants
             if granted.key in self._slots_by_key and until > now
         ]
         for loan in taken:
@@ -143,13 +143,15 @@
 
     def _ask(
         self, keeper: str, keys: list[loankey.LoanKey], now: clock.Ms
-    ) -> asks.Ask:
+    ) -> asks.LoanRequest:
         self._serial += 1
         self._pending_by_keeper[keeper] = _Pending(self._serial, now)
         self._unasked.difference_update(keys)
-        return asks.Ask(
+        return asks.LoanRequest(
             self._serial,
-            tuple(asks.Want(key, self._slots_by_key[key]) for key in keys),
+            tuple(
+                asks.SlotRequest(key, self._slots_by_key[key]) for key in keys
+            ),
         )
 
     def _asked_at(self, keeper: str) -> clock.Ms:
--- a/src/citronvalve/peers/codec.py
+++ b/src/citronvalve/peers/codec.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from citronvalve.peers import ask
 from citronvalve.peers import envelope
 from citronvalve.peers import gossip
-from citronvalve.peers import junk
-from citronvalve.peers import lent
+from citronvalve.peers import invalidmessage
+from citronvalve.peers import loanrequest
+from citronvalve.peers import loanresponse
 from citronvalve.peers import notice
-from citronvalve.peers import tableask
 from citronvalve.peers import tablepage
+from citronvalve.peers import tablerequest
 
 #: Bytes of the largest message.  A full page of the table is 48 KiB and a
 #: row at most 16 KiB; anything larger is not ours, and would hold up the
@@ -22,11 +22,11 @@
 
 _TYPE_BY_KIND = {
     envelope.Kind.GOSSIP: gossip.Gossip,
-    envelope.Kind.TABLE_ASK: tableask.TableAsk,
+    envelope.Kind.TABLE_ASK: tablerequest.TableRequest,
     envelope.Kind.TABLE_PAGE: tablepage.TablePage,
-    envelope.Kind.NOTICE: notice.Notice,
-    envelope.Kind.ASK: ask.Ask,
-    envelope.Kind.LENT: lent.Lent,
+    envelope.Kind.NOTICE: notice.DeathNotice,
+    envelope.Kind.ASK: loanrequest.LoanRequest,
+    envelope.Kind.LENT: loanresponse.LoanResponse,
 }
 
 _KIND_BY_TYPE = {type_: kind for kind, type_ in _TYPE_BY_KIND.items()}
@@ -69,7 +69,7 @@
             )
         )
 
-    def decode(self, data: bytes) -> Received | junk.Junk:
+    def decode(self, data: bytes) -> Received | invalidmessage.InvalidMessage:
         """Decode a message, whoever sent it.
 
         :param data: as received.
@@ -89,6 +89,6 @@
             return self._junk(f"bad {opened.kind.name.lower()}")
         return Received(opened.sender, body)
 
-    def _junk(self, reason: str) -> junk.Junk:
+    def _junk(self, reason: str) -> invalidmessage.InvalidMessage:
         self.junk_by_reason[reason] += 1
-        return junk.Junk(reason)
+        return invalidmessage.InvalidMessage(reason)
--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -5,14 +5,14 @@
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.model import load
-from citronvalve.peers import ask as asks
 from citronvalve.peers import codec
 from citronvalve.peers import confirmation as confirmations
 from citronvalve.peers import envelope
 from citronvalve.peers import gossip as gossips
-from citronvalve.peers import gossiper
-from citronvalve.peers import lent as lents
+from citronvalve.peers import gossipbuilder
 from citronvalve.peers import listener as listeners
+from citronvalve.peers import loanrequest as asks
+from citronvalve.peers import loanresponse as lents
 from citronvalve.peers import member as members
 from citronvalve.peers import notice as notices
 from citronvalve.peers import outgoing
@@ -20,9 +20,9 @@
 from citronvalve.peers import replier
 from citronvalve.peers import schedule
 from citronvalve.peers import state as states
-from citronvalve.peers import tableask
 from citronvalve.peers import tabledelta
 from citronvalve.peers import tablepage
+from citronvalve.peers import tablerequest
 from citronvalve.peers import tablesync
 
 _Out = list[outgoing.Outgoing]
@@ -54,7 +54,7 @@
     ) -> None:
         self.state = states.State(settings, clock_, rng, invariants)
         self._listener = listener
-        self._gossiper = gossiper.Gossiper(self.state)
+        self._gossiper = gossipbuilder.GossipBuilder(self.state)
         self.schedule = schedule.Schedule(self.state, self._gossiper)
         self._life = self.state.standing.incarnation
         self._beat_at = clock_.now()
@@ -68,11 +68,11 @@
         self.state.live(clock_.now())
         self._handler_by_type = {
             gossips.Gossip: self._on_gossip,
-            tableask.TableAsk: self._sync.on_ask,
+            tablerequest.TableRequest: self._sync.on_ask,
             tablepage.TablePage: self._sync.on_page,
-            notices.Notice: self._on_notice,
-            asks.Ask: self._on_ask,
-            lents.Lent: self._on_lent,
+            notices.DeathNotice: self._on_notice,
+            asks.LoanRequest: self._on_ask,
+            lents.LoanResponse: self._on_lent,
         }
 
     @property
@@ -110,11 +110,11 @@
         state = self.state
         out = []
         for asked in state.grants.due(state.membership.alive(), now):
-            if asked.keeper == state.settings.name:
-                self._lend_to_self(asked.ask, now)
+            if asked.lender == state.settings.name:
+                self._lend_to_self(asked.request, now)
                 continue
-            keeper = state.membership.member_by_name[asked.keeper]
-            out.append(outgoing.Outgoing(keeper.address, asked.ask))
+            keeper = state.membership.member_by_name[asked.lender]
+            out.append(outgoing.Outgoing(keeper.address, asked.request))
         return out
 
     def handle(self, received: codec.Received) -> _Out:
@@ -128,7 +128,7 @@
             return []
         near = sender.datacentre == state.settings.datacentre
         state.standing.met = True
-        if near and type(received.message) is not notices.Notice:
+        if near and type(received.message) is not notices.DeathNotice:
             if state.membership.is_dead(sender.name, sender.incarnation):
                 return self._replier.notify(sender)
             self._introduce(sender, now)
@@ -207,7 +207,7 @@
             if summary.datacentre == state.settings.datacentre:
                 self.schedule.add_seeds([c.address for c in summary.contacts])
         for rumor in message.loads:
-            far = rumor.keeper not in state.membership.member_by_name
+            far = rumor.coordinator not in state.membership.member_by_name
             if state.loads.hear(rumor, now, far):
                 self._listener.on_load(state.loads.report(rumor.upstream))
         for fact in message.crashes:
@@ -242,13 +242,13 @@
             standing.buried(record.incarnation)
 
     def _on_notice(
-        self, sender: envelope.Sender, message: notices.Notice, now: int
+        self, sender: envelope.Sender, message: notices.DeathNotice, now: int
     ) -> _Out:
         self.state.standing.buried(message.incarnation)
         return []
 
     def _on_ask(
-        self, sender: envelope.Sender, message: asks.Ask, now: clock.Ms
+        self, sender: envelope.Sender, message: asks.LoanRequest, now: clock.Ms
     ) -> _Out:
         answer = self.state.grants.answer(
             message, sender.name, sender.incarnation, now
@@ -258,13 +258,16 @@
         return [outgoing.Outgoing(sender.address, answer)]
 
     def _on_lent(
-        self, sender: envelope.Sender, message: lents.Lent, now: clock.Ms
+        self,
+        sender: envelope.Sender,
+        message: lents.LoanResponse,
+        now: clock.Ms,
     ) -> _Out:
         for loan in self.state.grants.take(message, sender.name, now):
             self._listener.on_loan(loan)
         return []
 
-    def _lend_to_self(self, ask: asks.Ask, now: clock.Ms) -> None:
+    def _lend_to_self(self, ask: asks.LoanRequest, now: clock.Ms) -> None:
         own = self.sender
         answer = self.state.grants.answer(ask, own.name, own.incarnation, now)
         if answer is not None:
--- a/src/citronvalve/peers/crashfact.py
+++ b/src/citronvalve/peers/crashreport.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 
 
-class CrashFact(NamedTuple):
+class CrashReport(NamedTuple):
     """An upstream was lost while it ran a request.
 
     ``fingerprint`` names the request's content; facts about one fingerprint
--- a/src/citronvalve/peers/crashbook.py
+++ b/src/citronvalve/peers/crashtable.py
@@ -1,8 +1,8 @@
 """Which requests took which upstreams down, in every data centre."""
 
 from citronvalve.model import clock
-from citronvalve.peers import crashfact
-from citronvalve.peers import rumors
+from citronvalve.peers import crashreport
+from citronvalve.peers import updatequeue
 
 #: Tellings of a fact: missing one may cost another upstream.
 _TELLINGS = 7
@@ -12,7 +12,7 @@
 _MOST = 4_096
 
 
-class CrashBook:
+class CrashTable:
     """Facts by request, upstream and start.
 
     :param keep: ms that a fact stays.
@@ -21,9 +21,9 @@
     def __init__(self, keep: clock.Ms = 600_000) -> None:
         self._keep = keep
         self._at_by_fact: dict[tuple[str, str, str], clock.Ms] = {}
-        self.rumors = rumors.Rumors(most=_MOST)
+        self.rumors = updatequeue.UpdateQueue(most=_MOST)
 
-    def hear(self, fact: crashfact.CrashFact, now: clock.Ms) -> bool:
+    def hear(self, fact: crashreport.CrashReport, now: clock.Ms) -> bool:
         """Take in a fact; tell whether it was new.
 
         :param fact: an own one or one told by a peer.
@@ -39,7 +39,7 @@
         self.rumors.put(key, _TELLINGS, urgent=True)
         return True
 
-    def facts(self, now: clock.Ms) -> tuple[crashfact.CrashFact, ...]:
+    def facts(self, now: clock.Ms) -> tuple[crashreport.CrashReport, ...]:
         """Return every fact that still stands.
 
         :param now: monotonic time in ms.
@@ -49,7 +49,7 @@
 
     def rumor(
         self, key: tuple[str, str, str], now: clock.Ms
-    ) -> crashfact.CrashFact | None:
+    ) -> crashreport.CrashReport | None:
         """Return a fact in the form in which it travels.
 
         :param key: fingerprint, upstream and start.
@@ -68,5 +68,7 @@
 
     def _fact(
         self, key: tuple[str, str, str], now: clock.Ms
-    ) -> crashfact.CrashFact:
-        return crashfact.CrashFact(*key, max(0, now - self._at_by_fact[key]))
+    ) -> crashreport.CrashReport:
+        return crashreport.CrashReport(
+            *key, max(0, now - self._at_by_fact[key])
+        )
--- a/src/citronvalve/peers/spreading.py
+++ b/src/citronvalve/peers/distributor.py
@@ -4,8 +4,8 @@
 
 from citronvalve.model import clock
 from citronvalve.peers import loadsums
-from citronvalve.peers import neighbourhood as neighbourhoods
-from citronvalve.peers import news
+from citronvalve.peers import messages
+from citronvalve.peers import topology as neighbourhoods
 from citronvalve.policy import upstreamchoice
 from citronvalve.policy import upstreamload
 
@@ -22,10 +22,10 @@
     """A message and the daemon that it goes to."""
 
     name: str
-    message: news.News
+    message: messages.Message
 
 
-class Spreading:
+class Distributor:
     """Decides who is told what; sends nothing itself.
 
     With few daemons each tells all others.  With many, each tells one
@@ -49,8 +49,8 @@
         self._daemons_heard = 0
         self._digest_at: clock.Ms | None = None
         self._names: list[str] = []
-        self._passed_at: dict[news.Item, clock.Ms] = {}
-        self.neighbourhood = neighbourhoods.Neighbourhood(name, datacentre)
+        self._passed_at: dict[messages.Broadcast, clock.Ms] = {}
+        self.neighbourhood = neighbourhoods.Topology(name, datacentre)
 
     def settle(self, datacentre_by_name: dict[str, str]) -> None:
         """Take in which daemons there are.
@@ -71,7 +71,7 @@
         lately = now - self._digest_at < neighbourhoods.IN_SIGHT
         return max(direct, self._daemons_heard if lately else 0)
 
-    def tell(self, item: news.Item, now: clock.Ms) -> list[Outgoing]:
+    def tell(self, item: messages.Broadcast, now: clock.Ms) -> list[Outgoing]:
         """Return the messages that bring an item to all daemons.
 
         :param item: the news.
@@ -79,9 +79,11 @@
         """
         if self.neighbourhood.is_direct:
             return [Outgoing(name, item) for name in self._names]
-        return self._pass_on(news.Stage.UP, item, "", now)
+        return self._pass_on(messages.Stage.UP, item, "", now)
 
-    def tell_near(self, item: news.Item, now: clock.Ms) -> list[Outgoing]:
+    def tell_near(
+        self, item: messages.Broadcast, now: clock.Ms
+    ) -> list[Outgoing]:
         """Return the messages that bring an item to the same data centre.
 
         :param item: the news.
@@ -90,10 +92,10 @@
         near = self.neighbourhood
         if near.is_direct:
             return [Outgoing(name, item) for name in near.fellows]
-        return self._to(near.reporters(now), news.Stage.DOWN, item)
+        return self._to(near.reporters(now), messages.Stage.DOWN, item)
 
     def passed(
-        self, message: news.Passed, now: clock.Ms
+        self, message: messages.Relayed, now: clock.Ms
     ) -> list[Outgoing] | None:
         """Return how news go on, or None for what was passed on just now.
 
@@ -101,17 +103,21 @@
         :param now: monotonic ms.
         """
         self.neighbourhood.heard(message.sender, now)
-        if self._is_repeated(message.item, now):
+        if self._is_repeated(message.message, now):
             return None
-        return self._pass_on(message.stage, message.item, message.sender, now)
+        return self._pass_on(
+            message.stage, message.message, message.sender, now
+        )
 
-    def report(self, counts: news.Counts, now: clock.Ms) -> list[Outgoing]:
+    def report(
+        self, counts: messages.RequestCounts, now: clock.Ms
+    ) -> list[Outgoing]:
         """Return the messages that tell this daemon's own requests.
 
         :param counts: its requests.
         :param now: monotonic ms.
         """
-        loads = news.Loads(self._name, counts)
+        loads = messages.DaemonLoads(self._name, counts)
         if self.neighbourhood.is_direct:
             return [Outgoing(name, loads) for name in self._names]
         self._sums.put(self._name, counts, now)
@@ -129,18 +135,23 @@
             return []
         out = [
             Outgoing(
-                name, news.Digest(self._name, *self._sums.without(name, now))
+                name,
+                messages.OtherLoads(
+                    self._name, *self._sums.without(name, now)
+                ),
             )
             for name in near.reporters(now)
         ]
         if near.is_keeper(now):
             count, counts = self._sums.here(now)
-            totals = news.Totals(self._name, self._datacentre, count, counts)
+            totals = messages.DatacentreLoads(
+                self._name, self._datacentre, count, counts
+            )
             out += [Outgoing(name, totals) for name in near.across(now)]
             self._take_sums(now)
         return out
 
-    def loads(self, message: news.Loads, now: clock.Ms) -> None:
+    def loads(self, message: messages.DaemonLoads, now: clock.Ms) -> None:
         """Take in another daemon's own requests.
 
         :param message: as it came.
@@ -154,7 +165,9 @@
         near.reported(message.name, now)
         self._sums.put(message.name, message.by_upstream, now)
 
-    def totals(self, message: news.Totals, now: clock.Ms) -> list[Outgoing]:
+    def totals(
+        self, message: messages.DatacentreLoads, now: clock.Ms
+    ) -> list[Outgoing]:
         """Take in another data centre's requests.
 
         :param message: as it came; goes on to the keeper if that is another.
@@ -166,7 +179,7 @@
         keeper = near.keeper(now)
         return [] if keeper == self._name else [Outgoing(keeper, message)]
 
-    def digest(self, message: news.Digest, now: clock.Ms) -> None:
+    def digest(self, message: messages.OtherLoads, now: clock.Ms) -> None:
         """Take in the sum of the others' requests.
 
         :param message: as it came.
@@ -186,7 +199,9 @@
         self._digest_at = now
         self._put(_OTHERS, counts, now)
 
-    def _put(self, name: str, counts: news.Counts, now: clock.Ms) -> None:
+    def _put(
+        self, name: str, counts: messages.RequestCounts, now: clock.Ms
+    ) -> None:
         known = self._book.load_by_upstream.keys()
         for upstream in known | counts.keys():
             count, late = counts.get(upstream, (0, 0))
@@ -194,30 +209,34 @@
             shares[name] = upstreamload.Share(count, late, now)
 
     def _pass_on(
-        self, stage: news.Stage, item: news.Item, sender: str, now: clock.Ms
+        self,
+        stage: messages.Stage,
+        item: messages.Broadcast,
+        sender: str,
+        now: clock.Ms,
     ) -> list[Outgoing]:
         near = self.neighbourhood
         keeper = near.keeper(now)
         out = []
-        if stage is not news.Stage.DOWN:
+        if stage is not messages.Stage.DOWN:
             if keeper != self._name:
                 # Who sent it takes this daemon for the keeper.
                 out += self._to([keeper], stage, item)
-            elif stage is news.Stage.UP:
+            elif stage is messages.Stage.UP:
                 across = near.across(now)
-                out += self._to(across, news.Stage.ACROSS, item)
+                out += self._to(across, messages.Stage.ACROSS, item)
             below = [n for n in near.reporters(now) if n != sender]
-            out += self._to(below, news.Stage.DOWN, item)
+            out += self._to(below, messages.Stage.DOWN, item)
         return out
 
     def _to(
-        self, names: list[str], stage: news.Stage, item: news.Item
+        self, names: list[str], stage: messages.Stage, item: messages.Broadcast
     ) -> list[Outgoing]:
-        passed = news.Passed(self._name, stage, item)
+        passed = messages.Relayed(self._name, stage, item)
         return [Outgoing(name, passed) for name in names]
 
-    def _is_repeated(self, item: news.Item, now: clock.Ms) -> bool:
-        if not isinstance(item, news.Standstill | news.Crash):
+    def _is_repeated(self, item: messages.Broadcast, now: clock.Ms) -> bool:
+        if not isinstance(item, messages.Stall | messages.Crash):
             return False
         for key in [
             k for k, at in self._passed_at.items() if now - at >= _ONCE
--- a/src/citronvalve/peers/gossip.py
+++ b/src/citronvalve/peers/gossip.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from citronvalve.model import clock
-from citronvalve.peers import beat
-from citronvalve.peers import crashfact
-from citronvalve.peers import loadrumor
+from citronvalve.peers import crashreport
+from citronvalve.peers import heartbeat
+from citronvalve.peers import loadupdate
 from citronvalve.peers import member
 from citronvalve.peers import summary
 from citronvalve.peers import tablepage
@@ -31,8 +31,8 @@
     reply: bool = False
     table_age: clock.Ms = NEVER
     members: tuple[member.Member, ...] = ()
-    beats: tuple[beat.Beat, ...] = ()
-    loads: tuple[loadrumor.LoadRumor, ...] = ()
-    crashes: tuple[crashfact.CrashFact, ...] = ()
+    beats: tuple[heartbeat.Heartbeat, ...] = ()
+    loads: tuple[loadupdate.LoadUpdate, ...] = ()
+    crashes: tuple[crashreport.CrashReport, ...] = ()
     summaries: tuple[summary.Summary, ...] = ()
     page: tablepage.TablePage | None = None
--- a/src/citronvalve/peers/gossiper.py
+++ b/src/citronvalve/peers/gossipbuilder.py
@@ -1,8 +1,8 @@
 """Puts gossip together, within what a message may hold."""
 
 from citronvalve.model import clock
-from citronvalve.peers import beat
 from citronvalve.peers import gossip
+from citronvalve.peers import heartbeat
 from citronvalve.peers import state as states
 from citronvalve.peers import summary as summaries
 from citronvalve.peers import tablepage
@@ -36,7 +36,7 @@
 _ROSTER_MEMBERS = 256
 
 
-class Gossiper:
+class GossipBuilder:
     """Reads the state and writes messages; decides nothing else.
 
     :param state: all that this daemon knows.
@@ -151,7 +151,7 @@
         at = self._state.table.confirmed_at
         return gossip.NEVER if at is None else max(0, now - at)
 
-    def _beats(self) -> tuple[beat.Beat, ...]:
+    def _beats(self) -> tuple[heartbeat.Heartbeat, ...]:
         # The own heartbeat is in every message: others may have stopped
         # telling of it, and an answer to a suspicion without it says
         # nothing.
--- a/src/citronvalve/peers/beat.py
+++ b/src/citronvalve/peers/heartbeat.py
@@ -3,10 +3,10 @@
 from typing import NamedTuple
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A heartbeat, with the table version that its sender confirms."""
 
     name: str
     incarnation: int
-    beat: int
+    counter: int
     version: int
--- a/src/citronvalve/peers/junk.py
+++ b/src/citronvalve/peers/invalidmessage.py
@@ -3,7 +3,7 @@
 from citronvalve.model import missing
 
 
-class Junk(missing.Missing):
+class InvalidMessage(missing.Missing):
     """Dropped and counted; the reason names what was wrong."""
 
     __slots__ = ()
--- a/src/citronvalve/peers/lender.py
+++ b/src/citronvalve/peers/lender.py
@@ -5,8 +5,8 @@
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import ask as asks
 from citronvalve.peers import loankey
+from citronvalve.peers import loanrequest as asks
 from citronvalve.peers import share
 from citronvalve.peers import views as viewing
 
@@ -59,7 +59,7 @@
 
     def lend(
         self,
-        want: asks.Want,
+        want: asks.SlotRequest,
         borrower: str,
         views: viewing.Views,
         now: clock.Ms,
--- a/src/citronvalve/peers/loadsums.py
+++ b/src/citronvalve/peers/loadsums.py
@@ -4,14 +4,14 @@
 from typing import NamedTuple
 
 from citronvalve.model import clock
-from citronvalve.peers import news
+from citronvalve.peers import messages
 
 #: What a daemon told counts for so long; it tells the same again in it.
 _COUNTS: clock.Ms = 1_000
 
 
 class _Told(NamedTuple):
-    counts: news.Counts
+    counts: messages.RequestCounts
     daemons: int
     at: clock.Ms
 
@@ -23,7 +23,9 @@
         self._told_by_daemon: dict[str, _Told] = {}
         self._told_by_datacentre: dict[str, _Told] = {}
 
-    def put(self, name: str, counts: news.Counts, now: clock.Ms) -> None:
+    def put(
+        self, name: str, counts: messages.RequestCounts, now: clock.Ms
+    ) -> None:
         """Take in a daemon's own requests.
 
         :param name: the daemon, of this data centre.
@@ -32,7 +34,9 @@
         """
         self._told_by_daemon[name] = _Told(counts, 1, now)
 
-    def put_totals(self, totals: news.Totals, now: clock.Ms) -> None:
+    def put_totals(
+        self, totals: messages.DatacentreLoads, now: clock.Ms
+    ) -> None:
         """Take in the requests of another data centre's daemons.
 
         :param totals: as its keeper tells them.
@@ -41,21 +45,23 @@
         told = _Told(totals.by_upstream, totals.daemons, now)
         self._told_by_datacentre[totals.datacentre] = told
 
-    def here(self, now: clock.Ms) -> tuple[int, news.Counts]:
+    def here(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
         """Return how many daemons here were heard, and their requests.
 
         :param now: monotonic ms.
         """
         return _sum(self._lately(self._told_by_daemon, now).values())
 
-    def elsewhere(self, now: clock.Ms) -> tuple[int, news.Counts]:
+    def elsewhere(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
         """Return the same of the other data centres.
 
         :param now: monotonic ms.
         """
         return _sum(self._lately(self._told_by_datacentre, now).values())
 
-    def without(self, name: str, now: clock.Ms) -> tuple[int, news.Counts]:
+    def without(
+        self, name: str, now: clock.Ms
+    ) -> tuple[int, messages.RequestCounts]:
         """Return how many daemons were heard, and all requests but one's.
 
         :param name: the daemon that is left out.
@@ -74,9 +80,11 @@
         return dict(told)
 
 
-def _sum(told: collections.abc.Iterable[_Told]) -> tuple[int, news.Counts]:
+def _sum(
+    told: collections.abc.Iterable[_Told],
+) -> tuple[int, messages.RequestCounts]:
     daemons = 0
-    counts: news.Counts = {}
+    counts: messages.RequestCounts = {}
     for one in told:
         daemons += one.daemons
         for upstream, (count, late) in one.counts.items():
--- a/src/citronvalve/peers/loadbook.py
+++ b/src/citronvalve/peers/loadtable.py
@@ -4,8 +4,8 @@
 
 from citronvalve.model import clock
 from citronvalve.model import load
-from citronvalve.peers import loadrumor
-from citronvalve.peers import rumors
+from citronvalve.peers import loadupdate
+from citronvalve.peers import updatequeue
 
 #: Tellings of a load; a missed one is made good by the next.
 _TELLINGS = 3
@@ -35,7 +35,7 @@
     serial: int
 
 
-class LoadBook:
+class LoadTable:
     """The newest report of each upstream, with what is still to be told.
 
     :param own: this daemon's name, as a keeper.
@@ -49,8 +49,8 @@
         self._held_by_upstream: dict[str, _Held] = {}
         self._told_by_upstream: dict[str, load.LoadReport] = {}
         self._own_names: dict[str, None] = {}
-        self.rumors = rumors.Rumors(most=_MOST_QUEUED)
-        self.far_rumors = rumors.Rumors(most=_MOST_QUEUED)
+        self.rumors = updatequeue.UpdateQueue(most=_MOST_QUEUED)
+        self.far_rumors = updatequeue.UpdateQueue(most=_MOST_QUEUED)
 
     def reports(self) -> dict[str, load.LoadReport]:
         """Return the newest report by upstream."""
@@ -88,7 +88,7 @@
             self.rumors.put(name, times, urgent)
 
     def hear(
-        self, rumor: loadrumor.LoadRumor, now: clock.Ms, far: bool = False
+        self, rumor: loadupdate.LoadUpdate, now: clock.Ms, far: bool = False
     ) -> bool:
         """Take in a report told by a peer; tell whether it was newer.
 
@@ -101,7 +101,7 @@
         seen_at = now - max(0, rumor.age)
         held = self._held_by_upstream.get(rumor.upstream)
         if held is not None and not _newer(held, rumor, seen_at):
-            if (held.keeper, held.serial) == (rumor.keeper, rumor.serial):
+            if (held.keeper, held.serial) == (rumor.coordinator, rumor.serial):
                 queue.heard(rumor.upstream)
             return False
         report = load.LoadReport(
@@ -109,13 +109,13 @@
             rumor.start_id,
             rumor.running,
             rumor.queued,
-            rumor.bears,
+            rumor.capacity,
             seen_at,
             rumor.vms_missing,
         )
         urgent = _is_urgent(held.report if held else None, report)
         self._held_by_upstream[rumor.upstream] = _Held(
-            report, rumor.keeper, rumor.serial
+            report, rumor.coordinator, rumor.serial
         )
         self._own_names.pop(rumor.upstream, None)
         times = _URGENT_TELLINGS if urgent else _TELLINGS
@@ -133,7 +133,7 @@
             if held.keeper in keepers
         ]
 
-    def rumor(self, name: str, now: clock.Ms) -> loadrumor.LoadRumor | None:
+    def rumor(self, name: str, now: clock.Ms) -> loadupdate.LoadUpdate | None:
         """Return a report in the form in which it travels.
 
         :param name: the upstream.
@@ -143,14 +143,14 @@
         if held is None:
             return None
         report = held.report
-        return loadrumor.LoadRumor(
+        return loadupdate.LoadUpdate(
             name,
             held.keeper,
             held.serial,
             report.start_id,
             report.running,
             report.queued,
-            report.capacity,
+            report.bears,
             max(0, now - report.measured_at),
             report.vms_missing,
         )
@@ -167,11 +167,11 @@
                 self._own_names.pop(name, None)
 
     def _matters(self, told: load.LoadReport, new: load.LoadReport) -> bool:
-        if new.measured_at - told.measured_at >= self._refresh:
+        if new.seen_at - told.seen_at >= self._refresh:
             return True
-        step = max(1, int(new.capacity * _SHARE_THAT_MATTERS))
+        step = max(1, int(new.bears * _SHARE_THAT_MATTERS))
         moved = abs(new.running - told.running) + abs(new.queued - told.queued)
-        return moved > step or abs(new.capacity - told.capacity) >= step
+        return moved > step or abs(new.bears - told.bears) >= step
 
 
 def _is_urgent(before: load.LoadReport | None, new: load.LoadReport) -> bool:
@@ -183,11 +183,13 @@
     )
 
 
-def _newer(held: _Held, rumor: loadrumor.LoadRumor, seen_at: clock.Ms) -> bool:
+def _newer(
+    held: _Held, rumor: loadupdate.LoadUpdate, seen_at: clock.Ms
+) -> bool:
     # Ages add up the delays of the way, so two copies of one measurement
     # seem to be seen at different times.  The keeper's own serial orders its
     # measurements; between two keepers only the ages are left.
-    if held.keeper == rumor.keeper and rumor.serial <= held.serial:
+    if held.keeper == rumor.coordinator and rumor.serial <= held.serial:
         # A restarted keeper counts from one again.
         return seen_at > held.report.measured_at + 10 * clock.SECOND
-    return seen_at > held.report.measured_at or held.keeper == rumor.keeper
+    return seen_at > held.report.measured_at or held.keeper == rumor.coordinator
--- a/src/citronvalve/peers/loadrumor.py
+++ b/src/citronvalve/peers/loadupdate.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 
 
-class LoadRumor(NamedTuple):
+class LoadUpdate(NamedTuple):
     """A load report with its age in place of its sender's clock.
 
     ``keeper`` measured it, and ``serial`` rises with each of its
@@ -13,11 +13,11 @@
     """
 
     upstream: str
-    keeper: str
+    coordinator: str
     serial: int
     start_id: str
     running: int
     queued: int
-    bears: int
+    capacity: int
     age: clock.Ms
     vms_missing: tuple[str, ...] = ()
--- a/src/citronvalve/peers/granting.py
+++ b/src/citronvalve/peers/loanmanager.py
@@ -4,14 +4,14 @@
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import ask as asks
+from citronvalve.peers import authority as standings
 from citronvalve.peers import borrower
 from citronvalve.peers import lender
-from citronvalve.peers import lent
 from citronvalve.peers import loan as loans
 from citronvalve.peers import loankey
+from citronvalve.peers import loanrequest as asks
+from citronvalve.peers import loanresponse
 from citronvalve.peers import share
-from citronvalve.peers import standing as standings
 from citronvalve.peers import timing as timings
 from citronvalve.peers import views as viewing
 
@@ -21,14 +21,14 @@
 _ASKS_A_TICK = 2
 
 
-class Asked(NamedTuple):
+class AddressedRequest(NamedTuple):
     """An ask and the member it goes to."""
 
-    keeper: str
-    ask: asks.Ask
+    lender: str
+    request: asks.LoanRequest
 
 
-class Granting:
+class LoanManager:
     """Decides by the views of the last while, never by the present alone.
 
     :param name: this daemon.
@@ -43,7 +43,7 @@
         self,
         name: str,
         timing: timings.Timing,
-        standing: standings.Standing,
+        standing: standings.Authority,
         invariants: invariant.Invariants,
         first: bool,
         expected: int,
@@ -77,8 +77,12 @@
         self.borrower.clear()
 
     def answer(
-        self, ask: asks.Ask, member: str, incarnation: int, now: clock.Ms
-    ) -> lent.Lent | None:
+        self,
+        ask: asks.LoanRequest,
+        member: str,
+        incarnation: int,
+        now: clock.Ms,
+    ) -> loanresponse.LoanResponse | None:
         """Answer a borrower, or don't while this daemon may not act.
 
         :param ask: what it wants.
@@ -90,15 +94,19 @@
             return None
         life = f"{member}/{incarnation}"
         granted = tuple(
-            lent.Granted(
+            loanresponse.SlotGrant(
                 want.key, self.lender.lend(want, life, self._views, now)
             )
-            for want in ask.wants[: lender.MOST_WANTS]
+            for want in ask.slot_requests[: lender.MOST_WANTS]
             if self._may_lend(want.key, now)
         )
-        return lent.Lent(ask.serial, self._timing.loan, granted)
+        return loanresponse.LoanResponse(
+            ask.serial, self._timing.loan, granted
+        )
 
-    def due(self, alive: frozenset[str], now: clock.Ms) -> list[Asked]:
+    def due(
+        self, alive: frozenset[str], now: clock.Ms
+    ) -> list[AddressedRequest]:
         """Return the asks to send in this tick.
 
         :param alive: the members alive.
@@ -110,10 +118,10 @@
             if keeper in alive:
                 keeper_by_key[key] = keeper
         due = self.borrower.due(keeper_by_key, now, _ASKS_A_TICK)
-        return [Asked(keeper, ask) for keeper, ask in due]
+        return [AddressedRequest(keeper, ask) for keeper, ask in due]
 
     def take(
-        self, answer: lent.Lent, keeper: str, now: clock.Ms
+        self, answer: loanresponse.LoanResponse, keeper: str, now: clock.Ms
     ) -> list[loans.Loan]:
         """Take a keeper's answer; return the loans that it gave.
 
--- a/src/citronvalve/peers/ask.py
+++ b/src/citronvalve/peers/loanrequest.py
@@ -5,15 +5,15 @@
 from citronvalve.peers import loankey
 
 
-class Want(NamedTuple):
+class SlotRequest(NamedTuple):
     """Slots wanted of one limit."""
 
     key: loankey.LoanKey
     slots: int
 
 
-class Ask(NamedTuple):
+class LoanRequest(NamedTuple):
     """All that one borrower wants of one keeper."""
 
     serial: int
-    wants: tuple[Want, ...]
+    slot_requests: tuple[SlotRequest, ...]
--- a/src/citronvalve/peers/lent.py
+++ b/src/citronvalve/peers/loanresponse.py
@@ -6,14 +6,14 @@
 from citronvalve.peers import loankey
 
 
-class Granted(NamedTuple):
+class SlotGrant(NamedTuple):
     """Slots lent of one limit; it may be none."""
 
     key: loankey.LoanKey
     slots: int
 
 
-class Lent(NamedTuple):
+class LoanResponse(NamedTuple):
     """Loans that last ``span`` ms from the moment the ask was sent.
 
     The keeper counts from the later moment at which the ask arrived, so
@@ -22,5 +22,5 @@
     """
 
     serial: int
-    span: clock.Ms
-    loans: tuple[Granted, ...]
+    duration: clock.Ms
+    grants: tuple[SlotGrant, ...]
--- a/src/citronvalve/peers/membership.py
+++ b/src/citronvalve/peers/membership.py
@@ -6,10 +6,10 @@
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import beat as beats
+from citronvalve.peers import heartbeat as beats
 from citronvalve.peers import member as members
-from citronvalve.peers import rumors
 from citronvalve.peers import timing as timings
+from citronvalve.peers import updatequeue
 
 _ALIVE = (members.MemberState.ALIVE, members.MemberState.SUSPECT)
 
@@ -41,8 +41,8 @@
         self.member_by_name: dict[str, members.Member] = {}
         self._heard_at_by_name: dict[str, clock.Ms] = {}
         self._died_at_by_name: dict[str, clock.Ms] = {}
-        self.news = rumors.Rumors()
-        self.beats = rumors.Rumors()
+        self.news = updatequeue.UpdateQueue()
+        self.beats = updatequeue.UpdateQueue()
         self._alive: frozenset[str] | None = None
         self._digest = 0
 
@@ -132,7 +132,7 @@
             return True
         return False
 
-    def hear(self, beat: beats.Beat, now: clock.Ms) -> bool:
+    def hear(self, beat: beats.Heartbeat, now: clock.Ms) -> bool:
         """Take in a heartbeat; tell whether it was a new one.
 
         :param beat: from its sender or passed on.
@@ -143,7 +143,7 @@
             return False
         if held.state not in _ALIVE:
             return False
-        return self._beat(held, beat.beat, beat.version, now)
+        return self._beat(held, beat.counter, beat.version, now)
 
     def sweep(self, now: clock.Ms, own: str) -> None:
         """Suspect the silent and bury those silent for too long.
@@ -242,7 +242,7 @@
         """Return every record, for a newcomer or a repair."""
         return tuple(self.member_by_name.values())
 
-    def beat_of(self, name: str) -> beats.Beat | None:
+    def beat_of(self, name: str) -> beats.Heartbeat | None:
         """Return a member's last heartbeat, or ``None`` once it is dead.
 
         :param name: the member.
@@ -250,7 +250,7 @@
         held = self.member_by_name.get(name)
         if held is None or held.state not in _ALIVE:
             return None
-        return beats.Beat(name, held.incarnation, held.beat, held.version)
+        return beats.Heartbeat(name, held.incarnation, held.beat, held.version)
 
     def raise_beats(self, names: Iterable[str]) -> None:
         """Tell some heartbeats before all others.
--- a/src/citronvalve/peers/newscodec.py
+++ b/src/citronvalve/peers/messagecodec.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from citronvalve.model import missing
-from citronvalve.peers import news
+from citronvalve.peers import messages
 
 #: Shorter messages gain less than the packing costs.
 _PACKED_FROM = 2_000
@@ -19,14 +19,14 @@
 _PLAIN, _PACKED = b"\0", b"\1"
 
 
-class NewsCodec:
+class MessageCodec:
     """Encodes and decodes news; the first byte tells how."""
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(news.News)
+        self._decoder = msgspec.msgpack.Decoder(messages.Message)
 
-    def encode(self, message: news.News) -> bytes:
+    def encode(self, message: messages.Message) -> bytes:
         """Return a message as bytes.
 
         :param message: any news.
@@ -36,7 +36,7 @@
             return _PLAIN + data
         return _PACKED + zlib.compress(data, _LEVEL)
 
-    def decode(self, data: bytes) -> news.News | missing.Unavailable:
+    def decode(self, data: bytes) -> messages.Message | missing.Unavailable:
         """Return the message that bytes hold, or why there is none.
 
         :param data: as received; may come from anybody.
--- a/src/citronvalve/peers/news.py
+++ b/src/citronvalve/peers/messages.py
@@ -9,7 +9,7 @@
 from citronvalve.storage import tablestate
 
 #: Requests at an upstream by its id: how many, and how many of them late.
-Counts = dict[str, tuple[int, int]]
+RequestCounts = dict[str, tuple[int, int]]
 
 
 class Hello(msgspec.Struct, tag="hello", array_like=True, frozen=True):
@@ -20,7 +20,7 @@
     datacentre: str
 
 
-class Beat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
+class Heartbeat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
     """The sender reads the platform for the others.
 
     ``lease`` is that by which it leads, 0 if it only keeps a data centre;
@@ -35,7 +35,9 @@
     sent_at: clock.Ms | None = None
 
 
-class Changes(msgspec.Struct, tag="changes", array_like=True, frozen=True):
+class TableChanges(
+    msgspec.Struct, tag="changes", array_like=True, frozen=True
+):
     """Rows of a table that changed after ``base`` and up to ``revision``.
 
     With ``base`` 0 they are the whole table: what is not among them is gone.
@@ -47,11 +49,11 @@
     base: int
     revision: int
     rows: tuple[rows.Row, ...]
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
     reader: str = ""
 
 
-class WholeRequest(
+class FullTableRequest(
     msgspec.Struct, tag="whole-request", array_like=True, frozen=True
 ):
     """The sender lacks updates of a table and can't read it from the store."""
@@ -67,22 +69,22 @@
     upstream: str
 
 
-class Standstill(
-    msgspec.Struct, tag="standstill", array_like=True, frozen=True
-):
+class Stall(msgspec.Struct, tag="standstill", array_like=True, frozen=True):
     """Nothing comes from an upstream any more, on any connection."""
 
     upstream: str
 
 
-class Loads(msgspec.Struct, tag="loads", array_like=True, frozen=True):
+class DaemonLoads(msgspec.Struct, tag="loads", array_like=True, frozen=True):
     """The sender's own requests by upstream."""
 
     name: str
-    by_upstream: Counts
+    by_upstream: RequestCounts
 
 
-class Totals(msgspec.Struct, tag="totals", array_like=True, frozen=True):
+class DatacentreLoads(
+    msgspec.Struct, tag="totals", array_like=True, frozen=True
+):
     """The requests of a data centre's daemons, told to another one's keeper.
 
     ``daemons`` are those that the sender has heard lately, with itself.
@@ -91,15 +93,15 @@
     name: str
     datacentre: str
     daemons: int
-    by_upstream: Counts
+    by_upstream: RequestCounts
 
 
-class Digest(msgspec.Struct, tag="digest", array_like=True, frozen=True):
+class OtherLoads(msgspec.Struct, tag="digest", array_like=True, frozen=True):
     """A keeper's sum of all requests but the receiver's own."""
 
     name: str
     daemons: int
-    by_upstream: Counts
+    by_upstream: RequestCounts
 
 
 class Stage(enum.IntEnum):
@@ -113,15 +115,22 @@
     DOWN = 2
 
 
-Item = Hello | Beat | Changes | Crash | Standstill
+Broadcast = Hello | Heartbeat | TableChanges | Crash | Stall
 
 
-class Passed(msgspec.Struct, tag="passed", array_like=True, frozen=True):
+class Relayed(msgspec.Struct, tag="passed", array_like=True, frozen=True):
     """News for every daemon, on their way by the keepers."""
 
     sender: str
     stage: Stage
-    item: Item
+    message: Broadcast
 
 
-News = Item | WholeRequest | Loads | Totals | Digest | Passed
+Message = (
+    Broadcast
+    | FullTableRequest
+    | DaemonLoads
+    | DatacentreLoads
+    | OtherLoads
+    | Relayed
+)
--- a/src/citronvalve/peers/notice.py
+++ b/src/citronvalve/peers/notice.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Notice(NamedTuple):
+class DeathNotice(NamedTuple):
     """Tells a daemon that its life was declared dead."""
 
     incarnation: int
--- a/src/citronvalve/peers/peer.py
+++ b/src/citronvalve/peers/peer.py
@@ -10,7 +10,7 @@
 from citronvalve.peers import codec as codecs
 from citronvalve.peers import confirmation
 from citronvalve.peers import core as cores
-from citronvalve.peers import crashfact
+from citronvalve.peers import crashreport
 from citronvalve.peers import listener as listeners
 from citronvalve.peers import loan
 from citronvalve.peers import loankey
@@ -207,10 +207,10 @@
         :param upstream: the upstream.
         :param start_id: which of its starts was lost.
         """
-        fact = crashfact.CrashFact(fingerprint, upstream, start_id, 0)
+        fact = crashreport.CrashReport(fingerprint, upstream, start_id, 0)
         self._state.crashes.hear(fact, self._clock.now())
 
-    def crashes(self) -> tuple[crashfact.CrashFact, ...]:
+    def crashes(self) -> tuple[crashreport.CrashReport, ...]:
         """Return every crash that any daemon told of lately."""
         return self._state.crashes.facts(self._clock.now())
 
--- a/src/citronvalve/peers/remote.py
+++ b/src/citronvalve/peers/remote.py
@@ -1,8 +1,8 @@
 """What is known of the other data centres."""
 
 from citronvalve.model import clock
-from citronvalve.peers import rumors
 from citronvalve.peers import summary as summaries
+from citronvalve.peers import updatequeue
 
 #: Tellings inside a data centre; the next summary comes soon.
 _TELLINGS = 4
@@ -23,7 +23,7 @@
         self._own = own
         self._summary_by_name: dict[str, summaries.Summary] = {}
         self._seen_at_by_name: dict[str, clock.Ms] = {}
-        self.rumors = rumors.Rumors()
+        self.rumors = updatequeue.UpdateQueue()
 
     def names(self) -> list[str]:
         """Return the other data centres that were ever heard of."""
--- a/src/citronvalve/peers/replier.py
+++ b/src/citronvalve/peers/replier.py
@@ -3,7 +3,7 @@
 from citronvalve.model import clock
 from citronvalve.peers import envelope
 from citronvalve.peers import gossip as gossips
-from citronvalve.peers import gossiper as gossipers
+from citronvalve.peers import gossipbuilder as gossipers
 from citronvalve.peers import member as members
 from citronvalve.peers import notice as notices
 from citronvalve.peers import outgoing
@@ -24,7 +24,7 @@
     def __init__(
         self,
         state: states.State,
-        gossiper: gossipers.Gossiper,
+        gossiper: gossipers.GossipBuilder,
         pacer: pacers.Pacer,
     ) -> None:
         self._state = state
@@ -81,4 +81,4 @@
             members.MemberState.SUSPECT,
         ):
             over -= 1
-        return [outgoing.Outgoing(sender.address, notices.Notice(over))]
+        return [outgoing.Outgoing(sender.address, notices.DeathNotice(over))]
--- a/src/citronvalve/peers/schedule.py
+++ b/src/citronvalve/peers/schedule.py
@@ -1,7 +1,7 @@
 """Whom a daemon writes to in each tick."""
 
 from citronvalve.model import clock
-from citronvalve.peers import gossiper as gossipers
+from citronvalve.peers import gossipbuilder as gossipers
 from citronvalve.peers import outgoing
 from citronvalve.peers import pacer as pacers
 from citronvalve.peers import rendezvous
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, state: states.State, gossiper: gossipers.Gossiper
+        self, state: states.State, gossiper: gossipers.GossipBuilder
     ) -> None:
         self._state = state
         self._gossiper = gossiper
--- a/src/citronvalve/peers/state.py
+++ b/src/citronvalve/peers/state.py
@@ -4,14 +4,14 @@
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import crashbook
-from citronvalve.peers import granting
-from citronvalve.peers import loadbook
+from citronvalve.peers import authority
+from citronvalve.peers import crashtable
+from citronvalve.peers import loadtable
+from citronvalve.peers import loanmanager
 from citronvalve.peers import member
 from citronvalve.peers import membership
 from citronvalve.peers import peersettings
 from citronvalve.peers import remote
-from citronvalve.peers import standing
 from citronvalve.peers import tablecopy
 
 
@@ -37,15 +37,15 @@
         self.rng = rng
         self.invariants = invariants
         first = not set(settings.seeds) - {settings.address}
-        self.standing = standing.Standing(
+        self.standing = authority.Authority(
             clock_, timing, invariants, first or settings.expected == 1
         )
         self.membership = membership.Membership(timing, invariants)
         self.remote = remote.Remote(settings.datacentre)
         self.table = tablecopy.TableCopy(invariants)
-        self.loads = loadbook.LoadBook(settings.name, timing.refresh)
-        self.crashes = crashbook.CrashBook()
-        self.grants = granting.Granting(
+        self.loads = loadtable.LoadTable(settings.name, timing.refresh)
+        self.crashes = crashtable.CrashTable()
+        self.grants = loanmanager.LoanManager(
             settings.name,
             timing,
             self.standing,
--- a/src/citronvalve/peers/tableask.py
+++ b/src/citronvalve/peers/tablerequest.py
@@ -5,7 +5,7 @@
 from citronvalve.peers import tablepage
 
 
-class TableAsk(NamedTuple):
+class TableRequest(NamedTuple):
     """Asks for the page of rows after ``start``."""
 
     start: tablepage.Cursor
--- a/src/citronvalve/peers/tablesync.py
+++ b/src/citronvalve/peers/tablesync.py
@@ -8,9 +8,9 @@
 from citronvalve.peers import listener as listeners
 from citronvalve.peers import outgoing
 from citronvalve.peers import state as states
-from citronvalve.peers import tableask
 from citronvalve.peers import tabledelta
 from citronvalve.peers import tablepage
+from citronvalve.peers import tablerequest
 
 _Out = list[outgoing.Outgoing]
 
@@ -102,7 +102,10 @@
         return self._ask_now(sender)
 
     def on_ask(
-        self, sender: envelope.Sender, message: tableask.TableAsk, now: int
+        self,
+        sender: envelope.Sender,
+        message: tablerequest.TableRequest,
+        now: int,
     ) -> _Out:
         """Serve rows to a peer.
 
@@ -130,7 +133,7 @@
 
     def _ask_now(self, sender: envelope.Sender) -> _Out:
         self._asked_at = self._state.clock.now()
-        ask = tableask.TableAsk(self._state.table.wanted())
+        ask = tablerequest.TableRequest(self._state.table.wanted())
         return [outgoing.Outgoing(sender.address, ask)]
 
     def _on_risen(self, before: int) -> None:
--- a/src/citronvalve/peers/task.py
+++ b/src/citronvalve/peers/task.py
@@ -4,7 +4,7 @@
 import logbook
 
 from citronvalve.model import clock
-from citronvalve.peers import gatekeeper
+from citronvalve.peers import authenticator
 from citronvalve.peers import outgoing
 from citronvalve.peers import peer as peers
 from citronvalve.peers import sockets
@@ -29,7 +29,7 @@
         self._peer = peer
         self._clock = clock_
         self._sockets = sockets.Sockets(peer.settings, clock_)
-        self._gatekeeper: gatekeeper.Gatekeeper | None = None
+        self._gatekeeper: authenticator.Authenticator | None = None
         self._threads: list = []
         self.received = 0
         self.sent = 0
@@ -40,7 +40,7 @@
         """Listen, and start to find the others."""
         settings = self._peer.settings
         if settings.secret_key:
-            self._gatekeeper = gatekeeper.Gatekeeper(
+            self._gatekeeper = authenticator.Authenticator(
                 self._sockets.context,
                 (settings.public_key, *settings.allowed_keys),
             )
--- a/src/citronvalve/peers/neighbourhood.py
+++ b/src/citronvalve/peers/topology.py
@@ -20,7 +20,7 @@
 _PROBE: clock.Ms = 250
 
 
-class Neighbourhood:
+class Topology:
     """Knows the keeper of its own data centre and of the others.
 
     The daemons of a data centre rank alike by rendezvous hashing, and each
--- a/src/citronvalve/peers/rumors.py
+++ b/src/citronvalve/peers/updatequeue.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Rumors:
+class UpdateQueue:
     """A queue of keys to tell, bounded by the number of keys.
 
     Each key is told a few times, oldest first.  A record that changes
--- a/tests/news/world.py
+++ b/tests/news/simulation.py
@@ -3,8 +3,8 @@
 import collections
 import random
 
-from citronvalve.peers import news
-from citronvalve.peers import spreading
+from citronvalve.peers import distributor
+from citronvalve.peers import messages
 from citronvalve.policy import upstreamchoice
 
 TICK = 10
@@ -19,7 +19,7 @@
         self.name = name
         self.datacentre = datacentre
         self.book = upstreamchoice.LoadBook()
-        self.spreading = spreading.Spreading(name, datacentre, self.book)
+        self.spreading = distributor.Distributor(name, datacentre, self.book)
         self.counts = {}
         self.heard = collections.Counter()
         self.sent = 0
@@ -108,16 +108,16 @@
 
     def _take(self, daemon, message):
         made = daemon.spreading
-        if isinstance(message, news.Loads):
+        if isinstance(message, messages.DaemonLoads):
             made.loads(message, self.now)
-        elif isinstance(message, news.Totals):
+        elif isinstance(message, messages.DatacentreLoads):
             self._send(daemon, made.totals(message, self.now))
-        elif isinstance(message, news.Digest):
+        elif isinstance(message, messages.OtherLoads):
             made.digest(message, self.now)
-        elif isinstance(message, news.Passed):
+        elif isinstance(message, messages.Relayed):
             out = made.passed(message, self.now)
             if out is not None:
-                daemon.heard[message.item] += 1
+                daemon.heard[message.message] += 1
                 self._send(daemon, out)
         else:
             daemon.heard[message] += 1
--- a/tests/news/steps/codec_steps.py
+++ b/tests/news/steps/codec_steps.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from citronvalve.model import missing
-from citronvalve.peers import news
-from citronvalve.peers import newscodec
+from citronvalve.peers import messagecodec
+from citronvalve.peers import messages
 from citronvalve.storage import rows
 from citronvalve.storage import tablestate
 
@@ -32,8 +32,8 @@
 @behave.given("a change of a configuration with {count:d} routes")
 def step_change(context, count):
     row = _configuration(count)
-    context.message = news.Changes(1, "op", 6, 7, (row,), ())
-    context.codec = newscodec.NewsCodec()
+    context.message = messages.TableChanges(1, "op", 6, 7, (row,), ())
+    context.codec = messagecodec.MessageCodec()
     context.data = context.codec.encode(context.message)
 
 
@@ -54,9 +54,9 @@
 
 @behave.when("bytes come that are {what}")
 def step_bad(context, what):
-    codec = newscodec.NewsCodec()
+    codec = messagecodec.MessageCodec()
     whole = codec.encode(
-        news.Changes(1, "op", 6, 7, (_configuration(40),), ())
+        messages.TableChanges(1, "op", 6, 7, (_configuration(40),), ())
     )
     data = _BAD[what] if _BAD[what] is not None else whole[:-5]
     context.read = codec.decode(data)
@@ -78,13 +78,13 @@
 @behave.when("{message} of the last release comes")
 def step_old(context, message):
     data = msgspec.msgpack.encode(_LAST_RELEASE[message])
-    context.read = newscodec.NewsCodec().decode(b"\0" + data)
+    context.read = messagecodec.MessageCodec().decode(b"\0" + data)
 
 
 @behave.then("it is read, without what that release did not tell")
 def step_old_read(context):
     told = tablestate.TableState("op", 5, 6, 70)
     assert context.read in (
-        news.Beat("d-1", 9, 3, (told,)),
-        news.Changes(9, "op", 5, 6, (), ("gone",)),
+        messages.Heartbeat("d-1", 9, 3, (told,)),
+        messages.TableChanges(9, "op", 5, 6, (), ("gone",)),
     ), context.read
--- a/tests/news/steps/news_steps.py
+++ b/tests/news/steps/news_steps.py
@@ -4,12 +4,12 @@
 
 import behave
 
-from citronvalve.peers import news
+from citronvalve.peers import messages
 from citronvalve.peers import rendezvous
-from tests.news import world as worlds
+from tests.news import simulation as worlds
 
 _REPLICAS = ("r-1", "r-2", "r-3")
-_STILL = news.Standstill("r-1")
+_STILL = messages.Stall("r-1")
 
 
 @behave.given(
--- a/tests/peers/machines.py
+++ b/tests/peers/machines.py
@@ -7,10 +7,10 @@
 from citronvalve.peers import change
 from citronvalve.peers import member
 from citronvalve.peers import tabledelta
-from tests.peers import faulty
+from tests.peers import faultyfleet
 
 
-class Spreading(faulty.Fleet):
+class Spreading(faultyfleet.Fleet):
     """Watchers read new versions; the peers bring them everywhere."""
 
     CHECKS = invariant.Invariants()
@@ -61,7 +61,7 @@
         )
 
 
-class Lending(faulty.Fleet):
+class Lending(faultyfleet.Fleet):
     """All want more slots than there are."""
 
     CHECKS = invariant.Invariants()
@@ -69,7 +69,7 @@
     def start(self, name):
         super().start(name)
         grants = self.core(name).state.grants
-        for key, limit in faulty.LIMIT_BY_KEY.items():
+        for key, limit in faultyfleet.LIMIT_BY_KEY.items():
             grants.lender.set_limit(key, limit)
             grants.borrower.want(key, limit)
 
@@ -83,7 +83,7 @@
         return by_name
 
     def look(self):
-        for key, limit in faulty.LIMIT_BY_KEY.items():
+        for key, limit in faultyfleet.LIMIT_BY_KEY.items():
             held = self.held(key)
             self.CHECKS.check(
                 "no more slots are held in all than the limit",
@@ -98,19 +98,19 @@
         name = self.names[which % len(self.names)]
         if name in self.links.node_by_name:
             grants = self.core(name).state.grants
-            grants.borrower.want(faulty.TEAM, slots)
+            grants.borrower.want(faultyfleet.TEAM, slots)
 
     def check_calm(self, name):
         super().check_calm(name)
         self.CHECKS.check(
             "after the faults the cold upstream is lent",
-            sum(self.held(faulty.COLD).values())
-            == faulty.LIMIT_BY_KEY[faulty.COLD],
-            f"{self.held(faulty.COLD)}",
+            sum(self.held(faultyfleet.COLD).values())
+            == faultyfleet.LIMIT_BY_KEY[faultyfleet.COLD],
+            f"{self.held(faultyfleet.COLD)}",
         )
 
 
-class Membership(faulty.Fleet):
+class Membership(faultyfleet.Fleet):
     """No life that its peers buried acts, and none comes back."""
 
     CHECKS = invariant.Invariants()
--- a/tests/peers/steps/failure_steps.py
+++ b/tests/peers/steps/failure_steps.py
@@ -8,45 +8,47 @@
 from citronvalve.peers import rendezvous
 from citronvalve.peers import share
 from standins import memorylinks
-from tests.peers import small
+from tests.peers import cluster
 
 
 @behave.given("{count:d} members that lend a cold upstream's only slot")
 def step_members(context, count):
-    small.begin(context, count)
+    cluster.begin(context, count)
 
 
 @behave.given("a team's limit of 6 slots")
 def step_team(context):
-    assert sum(small.held(context, small.TEAM).values()) == small.TEAM_LIMIT
+    assert (
+        sum(cluster.held(context, cluster.TEAM).values()) == cluster.TEAM_LIMIT
+    )
 
 
 def _keeper(context):
-    members = small.state(context, "d0-0").grants
-    return members._views.keeper(small.COLD.keeper_key)
+    members = cluster.state(context, "d0-0").grants
+    return members._views.keeper(cluster.COLD.keeper_key)
 
 
 @behave.when("its keeper is stopped for {span:d} ms and wakes")
 def step_stopped(context, span):
     context.keeper = _keeper(context)
-    context.life = small.state(context, context.keeper).standing.incarnation
+    context.life = cluster.state(context, context.keeper).standing.incarnation
     context.links.stop(context.keeper)
     context.links.run(span)
 
 
 @behave.then("the keeper does not act, and holds no loan")
 def step_not_acting(context):
-    assert not small.state(context, context.keeper).standing.acting()
+    assert not cluster.state(context, context.keeper).standing.acting()
     context.links.wake(context.keeper)
     context.links.run(0)
-    assert not small.state(context, context.keeper).standing.acting()
-    assert context.keeper not in small.held(context, small.COLD)
+    assert not cluster.state(context, context.keeper).standing.acting()
+    assert context.keeper not in cluster.held(context, cluster.COLD)
 
 
 @behave.then("within {span:d} ms it acts in a new life")
 def step_new_life(context, span):
-    standing = small.state(context, context.keeper).standing
-    small.within(context, span, standing.acting)
+    standing = cluster.state(context, context.keeper).standing
+    cluster.within(context, span, standing.acting)
     assert standing.incarnation > context.life
 
 
@@ -57,25 +59,27 @@
         for number in range(4, 99)
         if _ranks_first(f"d0-{number}", context.names)
     )
-    small.start(context, name, len(context.names))
+    cluster.start(context, name, len(context.names))
     context.keeper = name
 
 
 def _ranks_first(name, names):
-    return rendezvous.first(small.COLD.keeper_key, (name, *names)) == name
+    return rendezvous.first(cluster.COLD.keeper_key, (name, *names)) == name
 
 
 @behave.given("the upstream bears 8 slots by now")
 def step_bears(context):
     context.links.after_each = lambda: None
     for name in context.names:
-        small.state(context, name).grants.lender.set_limit(small.COLD, 8)
+        cluster.state(context, name).grants.lender.set_limit(cluster.COLD, 8)
 
 
 @behave.then("the slot is lent again within {span:d} ms, and never twice")
 def step_lent_again(context, span):
-    small.within(context, span, lambda: not small.held(context, small.COLD))
-    small.within(context, span, lambda: small.held(context, small.COLD))
+    cluster.within(
+        context, span, lambda: not cluster.held(context, cluster.COLD)
+    )
+    cluster.within(context, span, lambda: cluster.held(context, cluster.COLD))
     assert _keeper(context) == context.keeper
 
 
@@ -96,18 +100,18 @@
     _cut(context, these)
     for name in sorted(context.side):
         context.links.kill(name)
-        small.start(context, name, len(context.names))
-    context.links.run(small.CALM)
+        cluster.start(context, name, len(context.names))
+    context.links.run(cluster.CALM)
 
 
 @behave.then("the cold upstream's slot is lent on one side only")
 def step_one_side(context):
-    assert sum(small.held(context, small.COLD).values()) <= 1
+    assert sum(cluster.held(context, cluster.COLD).values()) <= 1
 
 
 @behave.then("the sides lend {slots:d} of the team's slots together")
 def step_sides(context, slots):
-    held = small.held(context, small.TEAM)
+    held = cluster.held(context, cluster.TEAM)
     assert sum(held.values()) == slots, held
 
 
@@ -115,20 +119,22 @@
     "{name} may use its share of the team's slots and none of the upstream"
 )
 def step_share(context, name):
-    state = small.state(context, name)
+    state = cluster.state(context, name)
     known = frozenset(context.names)
-    mine = share.shares(small.TEAM.keeper_key, small.TEAM_LIMIT, known)[name]
+    mine = share.shares(cluster.TEAM.keeper_key, cluster.TEAM_LIMIT, known)[
+        name
+    ]
     now = state.clock.now()
     assert state.others(), "it is to be cut off, and not yet alone"
-    assert mine and state.grants.slots(small.TEAM, known, now) == mine
-    assert state.grants.slots(small.COLD, known, now) == 0
+    assert mine and state.grants.slots(cluster.TEAM, known, now) == mine
+    assert state.grants.slots(cluster.COLD, known, now) == 0
 
 
 @behave.when("a daemon starts alone, of {expected:d} expected")
 def step_alone(context, expected):
     context.links = memorylinks.Links(random.Random(1))
     context.names = ["d0-0"]
-    small.start(context, "d0-0", expected)
+    cluster.start(context, "d0-0", expected)
 
 
 @behave.then(
@@ -136,7 +142,7 @@
 )
 def step_lends_itself(context, span, slots):
     context.links.run(span)
-    assert small.held(context, small.COLD) == (
+    assert cluster.held(context, cluster.COLD) == (
         {"d0-0": slots} if slots else {}
     )
 
@@ -146,7 +152,7 @@
     # The view that a long cut of that one link leaves behind: each holds
     # the other's present life dead, and has forgotten it.
     for one, other in (("d0-2", "d0-3"), ("d0-3", "d0-2")):
-        state = small.state(context, one)
+        state = cluster.state(context, one)
         membership = state.membership
         held = membership.member_by_name[other]
         dead = held._replace(state=member.MemberState.DEAD)
@@ -154,17 +160,17 @@
         membership.forget(other)
     context.links.cut_between({"d0-2"}, {"d0-3"})
     context.links.run(span)
-    assert "d0-3" not in small.state(context, "d0-2").membership.alive()
+    assert "d0-3" not in cluster.state(context, "d0-2").membership.alive()
     context.links.heal()
 
 
 @behave.then("within {span:d} ms of the end they see each other")
 def step_meet(context, span):
-    small.within(
+    cluster.within(
         context,
         span,
         lambda: all(
-            len(small.state(context, name).membership.alive()) == 4
+            len(cluster.state(context, name).membership.alive()) == 4
             for name in context.names
         ),
     )
@@ -172,15 +178,17 @@
 
 @behave.when("d0-2 is buried and an old record of it arrives at d0-0")
 def step_old_record(context):
-    membership = small.state(context, "d0-0").membership
+    membership = cluster.state(context, "d0-0").membership
     old = membership.member_by_name["d0-2"]
     context.links.kill("d0-2")
-    small.within(context, small.CALM, lambda: "d0-2" not in membership.alive())
-    now = small.state(context, "d0-0").clock.now()
+    cluster.within(
+        context, cluster.CALM, lambda: "d0-2" not in membership.alive()
+    )
+    now = cluster.state(context, "d0-0").clock.now()
     membership.merge(old._replace(beat=old.beat + 1), now)
 
 
 @behave.then("d0-0 still holds d0-2 dead")
 def step_still_dead(context):
-    held = small.state(context, "d0-0").membership.member_by_name["d0-2"]
+    held = cluster.state(context, "d0-0").membership.member_by_name["d0-2"]
     assert held.state is member.MemberState.DEAD
--- a/tests/peers/steps/spreading_steps.py
+++ b/tests/peers/steps/spreading_steps.py
@@ -8,11 +8,11 @@
 from citronvalve.model import invariant
 from citronvalve.model import load
 from citronvalve.peers import change
-from citronvalve.peers import crashfact
+from citronvalve.peers import crashreport
 from citronvalve.peers import tablecopy
 from citronvalve.peers import tabledelta
 from standins import memorylinks
-from tests.peers import small
+from tests.peers import cluster
 
 
 def _rows(count, size):
@@ -47,13 +47,13 @@
 
 @behave.given("3 members that hold {count:d} rows of {size:d} bytes")
 def step_large(context, count, size):
-    small.begin(context, 3)
+    cluster.begin(context, 3)
     delta = tabledelta.TableDelta(count, 0, _rows(count, size))
     context.links.node_by_name["d0-0"].core.offer_table(delta)
     context.links.run(10 * clock.SECOND)
-    assert {small.state(context, n).table.version for n in context.names} == {
-        count
-    }
+    assert {
+        cluster.state(context, n).table.version for n in context.names
+    } == {count}
     context.count = count
 
 
@@ -64,14 +64,14 @@
 
 @behave.then("within {span:d} ms it holds them all, and never held a part")
 def step_all(context, span):
-    table = small.state(context, "d0-3").table
+    table = cluster.state(context, "d0-3").table
     seen = set()
 
     def _done():
         seen.add(len(table.rows()))
         return table.version == context.count
 
-    small.within(context, span, _done)
+    cluster.within(context, span, _done)
     assert seen == {0, context.count}, seen
 
 
@@ -100,19 +100,19 @@
 
 @behave.when("one member sees a crash")
 def step_crash(context):
-    state = small.state(context, "d1-2")
-    fact = crashfact.CrashFact("request", "engine-1", "start-1", 0)
+    state = cluster.state(context, "d1-2")
+    fact = crashreport.CrashReport("request", "engine-1", "start-1", 0)
     state.crashes.hear(fact, state.clock.now())
 
 
 @behave.then("within {span:d} ms every member knows of it")
 def step_known(context, span):
-    small.within(
+    cluster.within(
         context,
         span,
         lambda: all(
-            small.state(context, name).crashes.facts(
-                small.state(context, name).clock.now()
+            cluster.state(context, name).crashes.facts(
+                cluster.state(context, name).clock.now()
             )
             for name in context.names
         ),
@@ -133,13 +133,13 @@
 def step_age(context, span, most):
     def _reports():
         return [
-            small.state(context, name).loads.report("engine-1")
+            cluster.state(context, name).loads.report("engine-1")
             for name in context.names
         ]
 
-    small.within(context, span, lambda: all(_reports()))
+    cluster.within(context, span, lambda: all(_reports()))
     true_age = context.links.clock.now() - context.measured_at
     for name in context.names:
-        state = small.state(context, name)
+        state = cluster.state(context, name)
         age = state.clock.now() - state.loads.report("engine-1").measured_at
         assert abs(age - true_age) <= most, (name, age, true_age)
