--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -17,7 +17,7 @@
         1,
         40,
         0x1122334455667788,
-        beats=tuple(
+        heartbeats=tuple(
             heartbeat.Heartbeat(
                 f"dc00-entry-{i:02}", 1_700_000_000, number, 40
             )
--- a/benchmarks/peerfleet.py
+++ b/benchmarks/peerfleet.py
@@ -86,7 +86,7 @@
     node = links.node_by_name[name]
     state, now = node.core.state, node.clock.now()
     for mate in by_place[place]:
-        life = links.node_by_name[mate].core.state.standing.incarnation
+        life = links.node_by_name[mate].core.state.authority.incarnation
         state.membership.merge(member.Member(mate, place, mate, life), now)
     for other, mates in by_place.items():
         chosen = links.rng.sample(mates, min(3, len(mates)))
@@ -117,7 +117,7 @@
             8,
             node.clock.now(),
         )
-        node.core.offer_load(report)
+        node.core.publish_load(report)
 
 
 def cost(members: int, upstreams: int, seconds: int) -> Iterator:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -26,7 +26,7 @@
     """Let one daemon read an edit; return when each daemon had it."""
     first = links.rng.choice(sorted(links.node_by_name))
     row = change.Change("table", f"teams/t{version}", version, b"v" * 200)
-    links.node_by_name[first].core.offer_table(
+    links.node_by_name[first].core.publish_table(
         tabledelta.TableDelta(version, version - 1, (row,))
     )
     began = links.clock.now()
--- a/src/citronvalve/daemon/newstask.py
+++ b/src/citronvalve/daemon/newstask.py
@@ -259,4 +259,4 @@
         if onward is None:
             return
         self._send_all(onward)
-        self._handler_by_type[type(message.message)](message.message)
+        self._handler_by_type[type(message.payload)](message.payload)
--- a/src/citronvalve/daemon/peertask.py
+++ b/src/citronvalve/daemon/peertask.py
@@ -91,7 +91,7 @@
             )
             self.after_table()
 
-    def on_table_wrong(
+    def on_table_corrected(
         self,
         whole: tabledelta.TableDelta,
         wrong: tuple[tuple[str, str], ...],
@@ -119,7 +119,7 @@
         self._view.load_by_upstream[report.upstream] = report
         self.after_load(report)
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         self._env.log.warning("declared dead by peers, or stopped; rejoining")
 
 
--- a/src/citronvalve/daemon/sharing.py
+++ b/src/citronvalve/daemon/sharing.py
@@ -63,7 +63,7 @@
             )
             wanted.add(key)
             self._peer.want(key, want.slots)
-            if self._peer.keeps(key.keeper_key):
+            if self._peer.keeps(key.lender_key):
                 self._peer.set_limit(key, want.bound)
             slots = self._peer.slots(key)
             until = now + _HOLDS
@@ -79,7 +79,7 @@
         if key.kind is not loankey.LoanKind.COLD:
             return 0
         return self._dispatcher.warm_slots(
-            key.name, key.start, self._stepped_at
+            key.name, key.start_id, self._stepped_at
         )
 
     def _spread_losses(self, now: clock.Ms) -> None:
--- a/src/citronvalve/daemon/tablenews.py
+++ b/src/citronvalve/daemon/tablenews.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._env = env
         self._lease = lease
-        self._delays = delays.Delays()
+        self._delays = delays.DelayTracker()
         self.tail_by_table: dict[str, tails.Tail] = {}
 
     def changes(
@@ -110,7 +110,7 @@
         if message.sent_at is None:
             return 0
         now = self._env.clock.now()
-        late = self._delays.late(message.name, message.sent_at, now)
+        late = self._delays.excess_delay(message.name, message.sent_at, now)
         if late >= _LATE:
             self._env.log.change("statement late", by=message.name, ms=late)
         return late
--- a/src/citronvalve/peers/authority.py
+++ b/src/citronvalve/peers/authority.py
@@ -34,7 +34,7 @@
         self._clock = clock_
         self._timing = timing
         self._invariants = invariants
-        self._pause = pause.PauseDetector(clock_, timing.pause)
+        self._pause = pause.PauseDetector(clock_, timing.pause_limit)
         # A VM that comes back under its old name keeps nothing.  The wall
         # clock puts its new life after the old one; should it lag, the
         # peers answer with the life they know, and one above is taken.
@@ -55,7 +55,7 @@
         # it never stopped.  Until its own view says that it is alone, it
         # leaves the acting to those that hear each other.
         silent = self._clock.now() - self._echoed_at
-        if self._others and silent > self._timing.suspect:
+        if self._others and silent > self._timing.suspect_after:
             return False
         self._invariants.check(
             "no dead incarnation acts",
@@ -93,7 +93,7 @@
         # answered would have told of members here.
         if self._first:
             return 0
-        return self._timing.alone // (2 if self.met else 1)
+        return self._timing.join_timeout // (2 if self.met else 1)
 
     def echoed(self, incarnation: int) -> None:
         """A peer answered to a life of this daemon.
--- a/src/citronvalve/peers/borrower.py
+++ b/src/citronvalve/peers/borrower.py
@@ -28,10 +28,10 @@
         self._serial = 0
         self._slots_by_key: dict[loankey.LoanKey, int] = {}
         self._loan_by_key: dict[loankey.LoanKey, loans.Loan] = {}
-        self._pending_by_keeper: dict[str, _Pending] = {}
-        self._unasked: set[loankey.LoanKey] = set()
+        self._pending_by_lender: dict[str, _Pending] = {}
+        self._unrequested: set[loankey.LoanKey] = set()
 
-    def want(self, key: loankey.LoanKey, slots: int) -> None:
+    def request_slots(self, key: loankey.LoanKey, slots: int) -> None:
         """Say how many slots are needed from now on; 0 needs none.
 
         :param key: the limit.
@@ -39,13 +39,13 @@
         """
         if slots:
             if key not in self._slots_by_key:
-                self._unasked.add(key)
+                self._unrequested.add(key)
             self._slots_by_key[key] = slots
             return
         self._slots_by_key.pop(key, None)
-        self._unasked.discard(key)
+        self._unrequested.discard(key)
 
-    def due(
+    def due_requests(
         self,
         keepers: dict[loankey.LoanKey, str],
         now: clock.Ms,
@@ -63,11 +63,13 @@
         due = [
             keeper
             for keeper, keys in keys_by_keeper.items()
-            if self._is_due(keeper, not self._unasked.isdisjoint(keys), now)
+            if self._is_due(
+                keeper, not self._unrequested.isdisjoint(keys), now
+            )
         ]
-        due.sort(key=self._asked_at)
+        due.sort(key=self._requested_at)
         return [
-            (keeper, self._ask(keeper, keys_by_keeper[keeper], now))
+            (keeper, self._request(keeper, keys_by_keeper[keeper], now))
             for keeper in due[:most]
         ]
 
@@ -75,7 +77,7 @@
         """Return the limits that slots are wanted of."""
         return list(self._slots_by_key)
 
-    def take(
+    def apply_response(
         self, answer: loanresponse.LoanResponse, keeper: str, now: clock.Ms
     ) -> list[loans.Loan]:
         """Take an answer in; return the loans that it gave.
@@ -84,13 +86,16 @@
         :param keeper: the keeper.
         :param now: monotonic time in ms.
         """
-        pending = self._pending_by_keeper.get(keeper)
+        pending = self._pending_by_lender.get(keeper)
         # A late answer to an earlier ask, or a repeated one, says nothing
         # about what the keeper counts now.
         if pending is None or pending.serial != answer.serial:
             return []
-        self._pending_by_keeper[keeper] = pending._replace(serial=0)
-        span = min(answer.duration, self._timing.loan) - self._timing.slack
+        self._pending_by_lender[keeper] = pending._replace(serial=0)
+        span = (
+            min(answer.duration, self._timing.loan_duration)
+            - self._timing.loan_margin
+        )
         until = pending.sent_at + span
         taken = [
             loans.Loan(granted.key, granted.slots, until)
@@ -101,7 +106,7 @@
             self._loan_by_key[loan.key] = loan
         return taken
 
-    def held(self, key: loankey.LoanKey, now: clock.Ms) -> int:
+    def usable_slots(self, key: loankey.LoanKey, now: clock.Ms) -> int:
         """Return how many slots are lent at this moment.
 
         :param key: the limit.
@@ -117,9 +122,9 @@
         :param now: monotonic time in ms.
         """
         loan = self._loan_by_key.get(key)
-        return loan if loan is not None and loan.until > now else None
+        return loan if loan is not None and loan.expires_at > now else None
 
-    def answered(self, key: loankey.LoanKey, now: clock.Ms) -> bool:
+    def has_response(self, key: loankey.LoanKey, now: clock.Ms) -> bool:
         """Tell whether a keeper lately said how much it lends, even none.
 
         :param key: the limit.
@@ -130,7 +135,7 @@
     def clear(self) -> None:
         """Drop all loans: a life that is over holds none."""
         self._loan_by_key.clear()
-        self._pending_by_keeper.clear()
+        self._pending_by_lender.clear()
 
     def prune(self, now: clock.Ms) -> None:
         """Drop what has run out.
@@ -138,15 +143,15 @@
         :param now: monotonic time in ms.
         """
         for key, loan in list(self._loan_by_key.items()):
-            if loan.until <= now:
+            if loan.expires_at <= now:
                 del self._loan_by_key[key]
 
-    def _ask(
+    def _request(
         self, keeper: str, keys: list[loankey.LoanKey], now: clock.Ms
     ) -> asks.LoanRequest:
         self._serial += 1
-        self._pending_by_keeper[keeper] = _Pending(self._serial, now)
-        self._unasked.difference_update(keys)
+        self._pending_by_lender[keeper] = _Pending(self._serial, now)
+        self._unrequested.difference_update(keys)
         return asks.LoanRequest(
             self._serial,
             tuple(
@@ -154,13 +159,15 @@
             ),
         )
 
-    def _asked_at(self, keeper: str) -> clock.Ms:
-        pending = self._pending_by_keeper.get(keeper)
+    def _requested_at(self, keeper: str) -> clock.Ms:
+        pending = self._pending_by_lender.get(keeper)
         return pending.sent_at if pending is not None else -1
 
     def _is_due(self, keeper: str, new: bool, now: clock.Ms) -> bool:
-        pending = self._pending_by_keeper.get(keeper)
+        pending = self._pending_by_lender.get(keeper)
         if pending is None:
             return True
-        wait = self._timing.apart if new else self._timing.renew
+        wait = (
+            self._timing.send_interval if new else self._timing.renew_interval
+        )
         return now - pending.sent_at >= wait
--- a/src/citronvalve/peers/codec.py
+++ b/src/citronvalve/peers/codec.py
@@ -18,7 +18,7 @@
 #: Bytes of the largest message.  A full page of the table is 48 KiB and a
 #: row at most 16 KiB; anything larger is not ours, and would hold up the
 #: relaying of tokens while it is decoded.
-MOST_BYTES = 96 * 1_024
+MAX_MESSAGE_BYTES = 96 * 1_024
 
 _TYPE_BY_KIND = {
     envelope.Kind.GOSSIP: gossip.Gossip,
@@ -47,12 +47,14 @@
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
-        self._envelopes = msgspec.msgpack.Decoder(envelope.Envelope)
+        self._envelope_decoder = msgspec.msgpack.Decoder(envelope.Envelope)
         self._decoder_by_kind = {
             kind: msgspec.msgpack.Decoder(type_)
             for kind, type_ in _TYPE_BY_KIND.items()
         }
-        self.junk_by_reason: collections.Counter[str] = collections.Counter()
+        self.dropped_by_reason: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     def encode(self, sender: envelope.Sender, message: Any) -> bytes:
         """Encode a message.
@@ -74,21 +76,21 @@
 
         :param data: as received.
         """
-        if len(data) > MOST_BYTES:
-            return self._junk("too large")
+        if len(data) > MAX_MESSAGE_BYTES:
+            return self._drop("too large")
         try:
-            opened = self._envelopes.decode(data)
+            opened = self._envelope_decoder.decode(data)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return self._junk("no envelope")
+            return self._drop("no envelope")
         if opened.protocol != envelope.PROTOCOL:
-            return self._junk("other protocol version")
+            return self._drop("other protocol version")
         try:
             decoder = self._decoder_by_kind[opened.kind]
             body = decoder.decode(opened.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return self._junk(f"bad {opened.kind.name.lower()}")
+            return self._drop(f"bad {opened.kind.name.lower()}")
         return Received(opened.sender, body)
 
-    def _junk(self, reason: str) -> invalidmessage.InvalidMessage:
-        self.junk_by_reason[reason] += 1
+    def _drop(self, reason: str) -> invalidmessage.InvalidMessage:
+        self.dropped_by_reason[reason] += 1
         return invalidmessage.InvalidMessage(reason)
--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -28,10 +28,10 @@
 _Out = list[outgoing.Outgoing]
 
 #: Ticks between two looks for what has run out.
-_PRUNE_TICKS = 40
+_PRUNE_INTERVAL_TICKS = 40
 
 #: Ticks between two looks for silent members.
-_SWEEP_TICKS = 2
+_SWEEP_INTERVAL_TICKS = 2
 
 
 class Core:
@@ -54,25 +54,25 @@
     ) -> None:
         self.state = states.State(settings, clock_, rng, invariants)
         self._listener = listener
-        self._gossiper = gossipbuilder.GossipBuilder(self.state)
-        self.schedule = schedule.Schedule(self.state, self._gossiper)
-        self._life = self.state.standing.incarnation
-        self._beat_at = clock_.now()
+        self._gossip_builder = gossipbuilder.GossipBuilder(self.state)
+        self.schedule = schedule.Schedule(self.state, self._gossip_builder)
+        self._active_incarnation = self.state.authority.incarnation
+        self._heartbeat_at = clock_.now()
         self._ticks = 0
         self._sync = tablesync.TableSync(
-            self.state, listener, lambda: self._beat(clock_.now())
+            self.state, listener, lambda: self._advance_heartbeat(clock_.now())
         )
         self._replier = replier.Replier(
-            self.state, self._gossiper, self.schedule.pacer
+            self.state, self._gossip_builder, self.schedule.pacer
         )
-        self.state.live(clock_.now())
+        self.state.advance_heartbeat(clock_.now())
         self._handler_by_type = {
             gossips.Gossip: self._on_gossip,
             tablerequest.TableRequest: self._sync.on_ask,
             tablepage.TablePage: self._sync.on_page,
             notices.DeathNotice: self._on_notice,
-            asks.LoanRequest: self._on_ask,
-            lents.LoanResponse: self._on_lent,
+            asks.LoanRequest: self._on_loan_request,
+            lents.LoanResponse: self._on_loan_response,
         }
 
     @property
@@ -82,7 +82,7 @@
         return envelope.Sender(
             settings.name,
             settings.datacentre,
-            self.state.standing.incarnation,
+            self.state.authority.incarnation,
             settings.address,
         )
 
@@ -90,26 +90,31 @@
         """Do what is due; to be called every ``timing.tick`` ms."""
         state, now = self.state, self.state.clock.now()
         self._ticks += 1
-        if state.standing.tick(bool(state.others())):
+        if state.authority.tick(bool(state.others())):
             state.membership.woke(now)
-        self._begin_life(now)
-        if now - self._beat_at >= state.settings.timing.beat:
-            self._beat(now)
-        if self._ticks % _SWEEP_TICKS == 0:
+        self._check_incarnation(now)
+        if (
+            now - self._heartbeat_at
+            >= state.settings.timing.heartbeat_interval
+        ):
+            self._advance_heartbeat(now)
+        if self._ticks % _SWEEP_INTERVAL_TICKS == 0:
             state.membership.sweep(now, state.settings.name)
-        if self._ticks % _PRUNE_TICKS == 0:
+        if self._ticks % _PRUNE_INTERVAL_TICKS == 0:
             self._prune(now)
-        state.note_view(now)
-        return [*self.schedule.tick(now), *self.loan_asks(now)]
+        state.record_view(now)
+        return [*self.schedule.tick(now), *self.loan_requests(now)]
 
-    def loan_asks(self, now: clock.Ms) -> _Out:
+    def loan_requests(self, now: clock.Ms) -> _Out:
         """Return the asks for loans that are due.
 
         :param now: monotonic time in ms.
         """
         state = self.state
         out = []
-        for asked in state.grants.due(state.membership.alive(), now):
+        for asked in state.loan_manager.due_requests(
+            state.membership.alive(), now
+        ):
             if asked.lender == state.settings.name:
                 self._lend_to_self(asked.request, now)
                 continue
@@ -127,32 +132,32 @@
         if sender.name == state.settings.name:
             return []
         near = sender.datacentre == state.settings.datacentre
-        state.standing.met = True
+        state.authority.met = True
         if near and type(received.message) is not notices.DeathNotice:
             if state.membership.is_dead(sender.name, sender.incarnation):
                 return self._replier.notify(sender)
-            self._introduce(sender, now)
+            self._add_sender(sender, now)
         handler = self._handler_by_type[type(received.message)]
         out = handler(sender, received.message, now)
-        self._begin_life(now)
-        state.note_view(now)
+        self._check_incarnation(now)
+        state.record_view(now)
         return out
 
-    def offer_table(self, delta: tabledelta.TableDelta) -> bool:
+    def publish_table(self, delta: tabledelta.TableDelta) -> bool:
         """Take a version that a watcher read; tell whether it is newer.
 
         :param delta: from the platform.
         """
         return self._sync.offer(delta)
 
-    def compare_table(self, whole: tabledelta.TableDelta) -> None:
+    def reconcile_table(self, whole: tabledelta.TableDelta) -> None:
         """Replace the rows held where they differ from the platform's.
 
         :param whole: the whole table, read from the platform.
         """
         self._sync.compare(whole)
 
-    def offer_load(self, report: load.LoadReport) -> None:
+    def publish_load(self, report: load.LoadReport) -> None:
         """Take in a load that this daemon measured.
 
         :param report: of an upstream that it keeps.
@@ -200,7 +205,7 @@
         state = self.state
         near = sender.datacentre == state.settings.datacentre
         if near:
-            self._merge(message, now)
+            self._merge_members(message, now)
         self._sync.hear_table(message, now)
         for summary in message.summaries:
             state.remote.hear(summary, now)
@@ -211,29 +216,29 @@
             if state.loads.hear(rumor, now, far):
                 self._listener.on_load(state.loads.report(rumor.upstream))
         for fact in message.crashes:
-            state.crashes.hear(fact, now)
+            state.crashes.record(fact, now)
         if message.page is not None:
             self._sync.take(message.page)
-        out = self._sync.ask(sender, message.version)
+        out = self._sync.ask(sender, message.table_version)
         return out + self._replier.reply(sender, message, near)
 
-    def _merge(self, message: gossips.Gossip, now: clock.Ms) -> None:
+    def _merge_members(self, message: gossips.Gossip, now: clock.Ms) -> None:
         state = self.state
         own = state.settings.name
         for record in message.members:
             if record.name == own:
-                self._about_self(record)
+                self._check_own_record(record)
             elif record.datacentre == state.settings.datacentre:
                 state.membership.merge(record, now)
-        for beat in message.beats:
+        for beat in message.heartbeats:
             if beat.name != own:
                 state.membership.hear(beat, now)
-        if message.echo > state.standing.incarnation:
-            state.standing.buried(message.echo)
-        state.standing.echoed(message.echo)
+        if message.known_incarnation > state.authority.incarnation:
+            state.authority.buried(message.known_incarnation)
+        state.authority.echoed(message.known_incarnation)
 
-    def _about_self(self, record: members.Member) -> None:
-        standing = self.state.standing
+    def _check_own_record(self, record: members.Member) -> None:
+        standing = self.state.authority
         over = record.state in (
             members.MemberState.DEAD,
             members.MemberState.LEFT,
@@ -244,36 +249,40 @@
     def _on_notice(
         self, sender: envelope.Sender, message: notices.DeathNotice, now: int
     ) -> _Out:
-        self.state.standing.buried(message.incarnation)
+        self.state.authority.buried(message.incarnation)
         return []
 
-    def _on_ask(
+    def _on_loan_request(
         self, sender: envelope.Sender, message: asks.LoanRequest, now: clock.Ms
     ) -> _Out:
-        answer = self.state.grants.answer(
+        answer = self.state.loan_manager.handle_request(
             message, sender.name, sender.incarnation, now
         )
         if answer is None:
             return []
         return [outgoing.Outgoing(sender.address, answer)]
 
-    def _on_lent(
+    def _on_loan_response(
         self,
         sender: envelope.Sender,
         message: lents.LoanResponse,
         now: clock.Ms,
     ) -> _Out:
-        for loan in self.state.grants.take(message, sender.name, now):
+        for loan in self.state.loan_manager.apply_response(
+            message, sender.name, now
+        ):
             self._listener.on_loan(loan)
         return []
 
     def _lend_to_self(self, ask: asks.LoanRequest, now: clock.Ms) -> None:
         own = self.sender
-        answer = self.state.grants.answer(ask, own.name, own.incarnation, now)
+        answer = self.state.loan_manager.handle_request(
+            ask, own.name, own.incarnation, now
+        )
         if answer is not None:
-            self._on_lent(own, answer, now)
+            self._on_loan_response(own, answer, now)
 
-    def _introduce(self, sender: envelope.Sender, now: clock.Ms) -> None:
+    def _add_sender(self, sender: envelope.Sender, now: clock.Ms) -> None:
         held = self.state.membership.member_by_name.get(sender.name)
         if held is None or sender.incarnation > held.incarnation:
             self.state.membership.merge(
@@ -286,23 +295,23 @@
                 now,
             )
 
-    def _beat(self, now: clock.Ms) -> None:
-        self._beat_at = now
-        self.state.live(now)
+    def _advance_heartbeat(self, now: clock.Ms) -> None:
+        self._heartbeat_at = now
+        self.state.advance_heartbeat(now)
 
-    def _begin_life(self, now: clock.Ms) -> None:
-        standing = self.state.standing
-        if standing.incarnation == self._life:
+    def _check_incarnation(self, now: clock.Ms) -> None:
+        standing = self.state.authority
+        if standing.incarnation == self._active_incarnation:
             return
-        self._life = standing.incarnation
-        self.state.grants.new_life()
-        self._beat(now)
-        self._listener.on_new_life()
+        self._active_incarnation = standing.incarnation
+        self.state.loan_manager.reset()
+        self._advance_heartbeat(now)
+        self._listener.on_new_incarnation()
 
     def _prune(self, now: clock.Ms) -> None:
         state = self.state
         state.loads.prune(now)
         state.crashes.prune(now)
-        state.grants.lender.prune(now)
-        state.grants.borrower.prune(now)
+        state.loan_manager.lender.prune(now)
+        state.loan_manager.borrower.prune(now)
         self.schedule.pacer.prune(now)
--- a/src/citronvalve/peers/crashtable.py
+++ b/src/citronvalve/peers/crashtable.py
@@ -5,11 +5,11 @@
 from citronvalve.peers import updatequeue
 
 #: Tellings of a fact: missing one may cost another upstream.
-_TELLINGS = 7
+_TRANSMISSIONS = 7
 
 #: Facts held.  A flood of crashes drops the oldest; a crash that matters
 #: comes again.
-_MOST = 4_096
+_MAX_CRASHES = 4_096
 
 
 class CrashTable:
@@ -18,36 +18,36 @@
     :param keep: ms that a fact stays.
     """
 
-    def __init__(self, keep: clock.Ms = 600_000) -> None:
-        self._keep = keep
-        self._at_by_fact: dict[tuple[str, str, str], clock.Ms] = {}
-        self.rumors = updatequeue.UpdateQueue(most=_MOST)
+    def __init__(self, retention: clock.Ms = 600_000) -> None:
+        self._retention = retention
+        self._crashed_at_by_key: dict[tuple[str, str, str], clock.Ms] = {}
+        self.updates = updatequeue.UpdateQueue(most=_MAX_CRASHES)
 
-    def hear(self, fact: crashreport.CrashReport, now: clock.Ms) -> bool:
+    def record(self, fact: crashreport.CrashReport, now: clock.Ms) -> bool:
         """Take in a fact; tell whether it was new.
 
         :param fact: an own one or one told by a peer.
         :param now: monotonic time in ms.
         """
         key = (fact.fingerprint, fact.upstream, fact.start_id)
-        if key in self._at_by_fact or fact.age >= self._keep:
-            self.rumors.heard(key)
+        if key in self._crashed_at_by_key or fact.age >= self._retention:
+            self.updates.heard(key)
             return False
-        self._at_by_fact[key] = now - max(0, fact.age)
-        if len(self._at_by_fact) > _MOST:
-            del self._at_by_fact[next(iter(self._at_by_fact))]
-        self.rumors.put(key, _TELLINGS, urgent=True)
+        self._crashed_at_by_key[key] = now - max(0, fact.age)
+        if len(self._crashed_at_by_key) > _MAX_CRASHES:
+            del self._crashed_at_by_key[next(iter(self._crashed_at_by_key))]
+        self.updates.put(key, _TRANSMISSIONS, urgent=True)
         return True
 
-    def facts(self, now: clock.Ms) -> tuple[crashreport.CrashReport, ...]:
+    def reports(self, now: clock.Ms) -> tuple[crashreport.CrashReport, ...]:
         """Return every fact that still stands.
 
         :param now: monotonic time in ms.
         """
         self.prune(now)
-        return tuple(self._fact(key, now) for key in self._at_by_fact)
+        return tuple(self._report(key, now) for key in self._crashed_at_by_key)
 
-    def rumor(
+    def update_for(
         self, key: tuple[str, str, str], now: clock.Ms
     ) -> crashreport.CrashReport | None:
         """Return a fact in the form in which it travels.
@@ -55,20 +55,22 @@
         :param key: fingerprint, upstream and start.
         :param now: monotonic time in ms.
         """
-        return self._fact(key, now) if key in self._at_by_fact else None
+        return (
+            self._report(key, now) if key in self._crashed_at_by_key else None
+        )
 
     def prune(self, now: clock.Ms) -> None:
         """Drop the facts that have run out.
 
         :param now: monotonic time in ms.
         """
-        for key, at in list(self._at_by_fact.items()):
-            if now - at >= self._keep:
-                del self._at_by_fact[key]
+        for key, at in list(self._crashed_at_by_key.items()):
+            if now - at >= self._retention:
+                del self._crashed_at_by_key[key]
 
-    def _fact(
+    def _report(
         self, key: tuple[str, str, str], now: clock.Ms
     ) -> crashreport.CrashReport:
         return crashreport.CrashReport(
-            *key, max(0, now - self._at_by_fact[key])
+            *key, max(0, now - self._crashed_at_by_key[key])
         )
--- a/src/citronvalve/peers/delays.py
+++ b/src/citronvalve/peers/delays.py
@@ -9,15 +9,15 @@
 _WINDOW: clock.Ms = 30_000
 
 
-class _Fastest(NamedTuple):
+class _MinimumDelay(NamedTuple):
     """Least difference of the clocks in this window and the one before."""
 
-    since: clock.Ms
-    here: clock.Ms
-    before: clock.Ms
+    window_start: clock.Ms
+    current: clock.Ms
+    previous: clock.Ms
 
 
-class Delays:
+class DelayTracker:
     """Compares when messages were sent and when they came.
 
     The daemons' clocks have different origins, so that only the change of
@@ -26,9 +26,11 @@
     """
 
     def __init__(self) -> None:
-        self._fastest_by_sender: dict[str, _Fastest] = {}
+        self._minimum_by_sender: dict[str, _MinimumDelay] = {}
 
-    def late(self, sender: str, sent_at: clock.Ms, now: clock.Ms) -> clock.Ms:
+    def excess_delay(
+        self, sender: str, sent_at: clock.Ms, now: clock.Ms
+    ) -> clock.Ms:
         """Take in a message; return by how many ms it is later than usual.
 
         :param sender: the daemon that sent it.
@@ -36,11 +38,11 @@
         :param now: by the own one.
         """
         took = now - sent_at
-        held = self._fastest_by_sender.get(sender)
+        held = self._minimum_by_sender.get(sender)
         if held is None:
-            held = _Fastest(now, took, took)
-        elif now - held.since >= _WINDOW:
-            held = _Fastest(now, took, held.here)
-        held = held._replace(here=min(held.here, took))
-        self._fastest_by_sender[sender] = held
-        return took - min(held.here, held.before)
+            held = _MinimumDelay(now, took, took)
+        elif now - held.window_start >= _WINDOW:
+            held = _MinimumDelay(now, took, held.current)
+        held = held._replace(current=min(held.current, took))
+        self._minimum_by_sender[sender] = held
+        return took - min(held.current, held.previous)
--- a/src/citronvalve/peers/distributor.py
+++ b/src/citronvalve/peers/distributor.py
@@ -103,10 +103,10 @@
         :param now: monotonic ms.
         """
         self.neighbourhood.heard(message.sender, now)
-        if self._is_repeated(message.message, now):
+        if self._is_repeated(message.payload, now):
             return None
         return self._pass_on(
-            message.stage, message.message, message.sender, now
+            message.stage, message.payload, message.sender, now
         )
 
     def report(
--- a/src/citronvalve/peers/gossip.py
+++ b/src/citronvalve/peers/gossip.py
@@ -11,7 +11,7 @@
 from citronvalve.peers import tablepage
 
 #: An age of nothing that ever happened.
-NEVER: clock.Ms = -1
+UNKNOWN_AGE: clock.Ms = -1
 
 
 class Gossip(NamedTuple):
@@ -24,14 +24,14 @@
     ``reply``: whether the sender needs an answer at once.
     """
 
-    echo: int
-    version: int
-    digest: int
-    roster: int = 0
-    reply: bool = False
-    table_age: clock.Ms = NEVER
+    known_incarnation: int
+    table_version: int
+    table_digest: int
+    roster_digest: int = 0
+    wants_reply: bool = False
+    table_age: clock.Ms = UNKNOWN_AGE
     members: tuple[member.Member, ...] = ()
-    beats: tuple[heartbeat.Heartbeat, ...] = ()
+    heartbeats: tuple[heartbeat.Heartbeat, ...] = ()
     loads: tuple[loadupdate.LoadUpdate, ...] = ()
     crashes: tuple[crashreport.CrashReport, ...] = ()
     summaries: tuple[summary.Summary, ...] = ()
--- a/src/citronvalve/peers/gossipbuilder.py
+++ b/src/citronvalve/peers/gossipbuilder.py
@@ -10,30 +10,30 @@
 #: Records in one message to a member of the same data centre.  Eight
 #: messages a second of at most 1.1 KB go out and come in, which keeps a
 #: daemon under 19 KB/s at any size; what does not fit waits and grows older.
-_MEMBERS = 4
-_BEATS = 14
-_OWN_LOADS = 16
-_LOADS = 4
-_FAR_LOADS = 4
-_CRASHES = 4
-_SUMMARIES = 1
+_MAX_MEMBERS = 4
+_MAX_HEARTBEATS = 14
+_MAX_OWN_LOADS = 16
+_MAX_LOCAL_LOADS = 4
+_MAX_REMOTE_LOADS = 4
+_MAX_CRASHES = 4
+_MAX_SUMMARIES = 1
 
 #: Records in one message to another data centre; about one a second goes
 #: out and comes in.
-_LOADS_ABROAD = 24
-_CRASHES_ABROAD = 8
-_CONTACTS = 3
-_NAMED_BEHIND = 4
+_MAX_LOADS_TO_DATACENTRE = 24
+_MAX_CRASHES_TO_DATACENTRE = 8
+_MAX_CONTACTS = 3
+_MAX_BEHIND = 4
 
 #: Bytes of table rows that ride on gossip.  Larger deltas are asked for, so
 #: that they don't travel twice to a member that has them already.
-_PAGE_BYTES = 2_048
+_MAX_PAGE_BYTES = 2_048
 
 #: Members whose turn is remembered; forgetting starts their turns anew.
-_MOST_TARGETS = 256
+_MAX_TARGETS = 256
 
 #: A whole answer to a newcomer, rows of the table aside.
-_ROSTER_MEMBERS = 256
+_MAX_ROSTER_MEMBERS = 256
 
 
 class GossipBuilder:
@@ -44,10 +44,10 @@
 
     def __init__(self, state: states.State) -> None:
         self._state = state
-        self._abroad = 0
-        self._told_by_target: dict[str, int] = {}
+        self._next_remote_load = 0
+        self._next_load_by_target: dict[str, int] = {}
 
-    def near(
+    def for_member(
         self, target: str, now: clock.Ms, reply: bool = False
     ) -> gossip.Gossip:
         """Write to a member of the same data centre.
@@ -66,32 +66,32 @@
             membership.digest(),
             reply,
             members=membership.news.take(
-                _MEMBERS, membership.member_by_name.get
+                _MAX_MEMBERS, membership.member_by_name.get
             ),
-            beats=self._beats(),
+            heartbeats=self._heartbeats(),
             loads=self._loads(target, now),
-            crashes=state.crashes.rumors.take(
-                _CRASHES, lambda key: state.crashes.rumor(key, now)
+            crashes=state.crashes.updates.take(
+                _MAX_CRASHES, lambda key: state.crashes.update_for(key, now)
             ),
             summaries=state.remote.rumors.take(
-                _SUMMARIES, lambda name: state.remote.rumor(name, now)
+                _MAX_SUMMARIES, lambda name: state.remote.rumor(name, now)
             ),
             page=self._page(held.version if held is not None else 0),
             table_age=self._table_age(now),
         )
 
-    def roster(self, target: str, now: clock.Ms) -> gossip.Gossip:
+    def full_roster(self, target: str, now: clock.Ms) -> gossip.Gossip:
         """Write all that a newcomer or a member gone astray needs.
 
         :param target: its name.
         :param now: monotonic time in ms.
         """
-        whole = self._state.membership.roster()[:_ROSTER_MEMBERS]
-        return self.near(target, now)._replace(
+        whole = self._state.membership.roster()[:_MAX_ROSTER_MEMBERS]
+        return self.for_member(target, now)._replace(
             members=whole, summaries=self._state.remote.all(now)
         )
 
-    def far(
+    def for_datacentre(
         self, datacentre: str, now: clock.Ms, reply: bool = False
     ) -> gossip.Gossip:
         """Write to another data centre.
@@ -106,9 +106,9 @@
             0,
             state.table.version,
             state.table.digest,
-            reply=reply,
-            loads=self._loads_abroad(datacentre, now),
-            crashes=state.crashes.facts(now)[-_CRASHES_ABROAD:],
+            wants_reply=reply,
+            loads=self._loads_for_datacentre(datacentre, now),
+            crashes=state.crashes.reports(now)[-_MAX_CRASHES_TO_DATACENTRE:],
             summaries=(self.summary(),),
             page=self._page(held.version if held is not None else 0),
             table_age=self._table_age(now),
@@ -137,27 +137,27 @@
         lowest = min((member.version for member in living), default=0)
         newest = max((member.version for member in living), default=0)
         behind = [m.name for m in living if m.version < newest]
-        chosen = state.rng.sample(living, min(_CONTACTS, len(living)))
+        chosen = state.rng.sample(living, min(_MAX_CONTACTS, len(living)))
         return summaries.Summary(
             state.settings.datacentre,
             0,
             len(living),
             lowest,
-            tuple(behind[:_NAMED_BEHIND]),
+            tuple(behind[:_MAX_BEHIND]),
             tuple(summaries.Contact(m.name, m.address) for m in chosen),
         )
 
     def _table_age(self, now: clock.Ms) -> clock.Ms:
         at = self._state.table.confirmed_at
-        return gossip.NEVER if at is None else max(0, now - at)
+        return gossip.UNKNOWN_AGE if at is None else max(0, now - at)
 
-    def _beats(self) -> tuple[heartbeat.Heartbeat, ...]:
+    def _heartbeats(self) -> tuple[heartbeat.Heartbeat, ...]:
         # The own heartbeat is in every message: others may have stopped
         # telling of it, and an answer to a suspicion without it says
         # nothing.
         membership = self._state.membership
         own = membership.beat_of(self._state.settings.name)
-        told = membership.beats.take(_BEATS, membership.beat_of)
+        told = membership.beats.take(_MAX_HEARTBEATS, membership.beat_of)
         return told if own is None or own in told else (own, *told)
 
     def _loads(self, target: str, now: clock.Ms) -> tuple:
@@ -166,42 +166,44 @@
         # most of the bytes for copies, and 400 upstreams were 19 s old.
         loads = self._state.loads
         own = loads.own()
-        start = self._told_by_target.get(target, 0) if own else 0
-        turn = _turn(own, start, _OWN_LOADS)
-        if len(self._told_by_target) > _MOST_TARGETS:
-            self._told_by_target.clear()
-        self._told_by_target[target] = start + len(turn)
+        start = self._next_load_by_target.get(target, 0) if own else 0
+        turn = _next_in_rotation(own, start, _MAX_OWN_LOADS)
+        if len(self._next_load_by_target) > _MAX_TARGETS:
+            self._next_load_by_target.clear()
+        self._next_load_by_target[target] = start + len(turn)
 
         def rumor(name: str):
             return loads.rumor(name, now)
 
         return (
             *(rumor(name) for name in turn),
-            *loads.rumors.take(_LOADS, rumor),
-            *loads.far_rumors.take(_FAR_LOADS, rumor),
+            *loads.rumors.take(_MAX_LOCAL_LOADS, rumor),
+            *loads.far_rumors.take(_MAX_REMOTE_LOADS, rumor),
         )
 
-    def _loads_abroad(self, datacentre: str, now: clock.Ms) -> tuple:
+    def _loads_for_datacentre(self, datacentre: str, now: clock.Ms) -> tuple:
         state = self._state
         if not state.is_neighbour(datacentre):
             return ()
         names = sorted(state.loads.kept_by(state.membership.alive()))
         # A data centre with more upstreams than fit is known with more
         # age abroad.
-        turn = _turn(names, self._abroad, _LOADS_ABROAD)
-        self._abroad += len(turn)
+        turn = _next_in_rotation(
+            names, self._next_remote_load, _MAX_LOADS_TO_DATACENTRE
+        )
+        self._next_remote_load += len(turn)
         return tuple(state.loads.rumor(name, now) for name in turn)
 
     def _page(self, version: int) -> tablepage.TablePage | None:
         table = self._state.table
         if version >= table.version:
             return None
-        if table.bytes_after(version, _PAGE_BYTES) > _PAGE_BYTES:
+        if table.bytes_after(version, _MAX_PAGE_BYTES) > _MAX_PAGE_BYTES:
             return None
         return table.page_after(tablepage.Cursor(version + 1))
 
 
-def _turn(names: list[str], start: int, most: int) -> list[str]:
+def _next_in_rotation(names: list[str], start: int, most: int) -> list[str]:
     """Return the next names of a turn through all of them."""
     if len(names) <= most:
         return names
--- a/src/citronvalve/peers/lender.py
+++ b/src/citronvalve/peers/lender.py
@@ -12,14 +12,14 @@
 
 #: Asks of one message that are looked at.  It is made for a data centre
 #: whose 400 upstreams are all cold after its return.
-MOST_WANTS = 512
+MAX_SLOT_REQUESTS = 512
 
 
 class _Loan(NamedTuple):
     """Slots out until a moment."""
 
     slots: int
-    until: clock.Ms
+    expires_at: clock.Ms
 
 
 class Lender:
@@ -33,12 +33,12 @@
     def __init__(
         self, span: clock.Ms, invariants: invariant.Invariants
     ) -> None:
-        self._span = span
+        self._duration = span
         self._invariants = invariants
-        self.other_limit: Callable[[loankey.LoanKey], int] = lambda _: 0
+        self.default_limit: Callable[[loankey.LoanKey], int] = lambda _: 0
         self._limit_by_key: dict[loankey.LoanKey, int] = {}
-        self._loans: dict[loankey.LoanKey, dict[str, list[_Loan]]] = {}
-        self._want: dict[loankey.LoanKey, dict[str, _Loan]] = {}
+        self._loans_by_key: dict[loankey.LoanKey, dict[str, list[_Loan]]] = {}
+        self._requests_by_key: dict[loankey.LoanKey, dict[str, _Loan]] = {}
 
     def set_limit(self, key: loankey.LoanKey, limit: int) -> None:
         """Say how much of a limit there is; 0 ends it.
@@ -55,7 +55,7 @@
 
         :param key: the limit.
         """
-        return self._limit_by_key.get(key) or self.other_limit(key)
+        return self._limit_by_key.get(key) or self.default_limit(key)
 
     def lend(
         self,
@@ -73,44 +73,48 @@
         """
         key = want.key
         self._expire(key, now)
-        self._want.setdefault(key, {})[borrower] = _Loan(
-            want.slots, now + self._span
+        self._requests_by_key.setdefault(key, {})[borrower] = _Loan(
+            want.slots, now + self._duration
         )
         allowed = self._allowed(key, views)
         others = sum(
-            _held(loans)
-            for name, loans in self._loans.get(key, {}).items()
+            _counted_slots(loans)
+            for name, loans in self._loans_by_key.get(key, {}).items()
             if name != borrower
         )
-        fair = self._fair(key, borrower, allowed)
+        fair = self._fair_share(key, borrower, allowed)
         slots = max(0, min(want.slots, allowed - others, fair))
         if slots:
             self._record(key, borrower, slots, others, now)
         return slots
 
-    def out(self, key: loankey.LoanKey, now: clock.Ms) -> int:
+    def lent_slots(self, key: loankey.LoanKey, now: clock.Ms) -> int:
         """Return how many slots are out.
 
         :param key: the limit.
         :param now: monotonic time in ms.
         """
         self._expire(key, now)
-        return sum(map(_held, self._loans.get(key, {}).values()))
+        return sum(
+            map(_counted_slots, self._loans_by_key.get(key, {}).values())
+        )
 
     def clear(self) -> None:
         """Drop all loans, since this life starts as no one's keeper.
 
         Lending starts again only after the longest of them has run out.
         """
-        self._loans.clear()
-        self._want.clear()
+        self._loans_by_key.clear()
+        self._requests_by_key.clear()
 
     def prune(self, now: clock.Ms) -> None:
         """Drop what has run out.
 
         :param now: monotonic time in ms.
         """
-        for key in list(self._want.keys() | self._loans.keys()):
+        for key in list(
+            self._requests_by_key.keys() | self._loans_by_key.keys()
+        ):
             self._expire(key, now)
 
     def _record(
@@ -128,25 +132,28 @@
         )
         # A renewal with fewer slots may be lost on its way.  The larger loan
         # therefore counts until it has run out on its own.
-        loans = self._loans.setdefault(key, {}).setdefault(borrower, [])
-        loans.append(_Loan(slots, now + self._span))
+        loans = self._loans_by_key.setdefault(key, {}).setdefault(borrower, [])
+        loans.append(_Loan(slots, now + self._duration))
 
     def _allowed(self, key: loankey.LoanKey, views: viewing.Views) -> int:
         limit = self.limit(key)
         known, seen = views.known(), views.seen()
         if key.kind is loankey.LoanKind.TEAM:
-            return share.of_seen(key.keeper_key, limit, known, seen)
+            return share.of_seen(key.lender_key, limit, known, seen)
         # The limit of a cold upstream may be one slot, which can't be split.
-        most = share.is_most(key.keeper_key, known, seen)
+        most = share.is_most(key.lender_key, known, seen)
         return limit if most else 0
 
-    def _fair(self, key: loankey.LoanKey, borrower: str, allowed: int) -> int:
+    def _fair_share(
+        self, key: loankey.LoanKey, borrower: str, allowed: int
+    ) -> int:
         # Under more demand than slots, the first to ask would renew for
         # ever and the others starve.  Each may hold what is left when
         # those that want less have got theirs.
         left = allowed
         wants = sorted(
-            (loan.slots, name) for name, loan in self._want[key].items()
+            (loan.slots, name)
+            for name, loan in self._requests_by_key[key].items()
         )
         for served, (slots, name) in enumerate(wants):
             part = -(-left // (len(wants) - served))
@@ -156,20 +163,20 @@
         return 0
 
     def _expire(self, key: loankey.LoanKey, now: clock.Ms) -> None:
-        by_name = self._loans.get(key, {})
+        by_name = self._loans_by_key.get(key, {})
         for name, loans in list(by_name.items()):
-            by_name[name] = [loan for loan in loans if loan.until > now]
+            by_name[name] = [loan for loan in loans if loan.expires_at > now]
             if not by_name[name]:
                 del by_name[name]
-        wants = self._want.get(key, {})
+        wants = self._requests_by_key.get(key, {})
         for name, loan in list(wants.items()):
-            if loan.until <= now:
+            if loan.expires_at <= now:
                 del wants[name]
         if not by_name:
-            self._loans.pop(key, None)
+            self._loans_by_key.pop(key, None)
         if not wants:
-            self._want.pop(key, None)
+            self._requests_by_key.pop(key, None)
 
 
-def _held(loans: list[_Loan]) -> int:
+def _counted_slots(loans: list[_Loan]) -> int:
     return max(loan.slots for loan in loans)
--- a/src/citronvalve/peers/listener.py
+++ b/src/citronvalve/peers/listener.py
@@ -17,7 +17,7 @@
         :param delta: from the version before.
         """
 
-    def on_table_wrong(
+    def on_table_corrected(
         self,
         whole: tabledelta.TableDelta,
         wrong: tuple[tuple[str, str], ...],
@@ -40,5 +40,5 @@
         :param report: in own time.
         """
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         """This daemon had been declared dead; it keeps nothing now."""
--- a/src/citronvalve/peers/loan.py
+++ b/src/citronvalve/peers/loan.py
@@ -11,4 +11,4 @@
 
     key: loankey.LoanKey
     slots: int
-    until: clock.Ms
+    expires_at: clock.Ms
--- a/src/citronvalve/peers/loankey.py
+++ b/src/citronvalve/peers/loankey.py
@@ -8,7 +8,7 @@
 #: Team limits are spread over this many lenders a data centre.  A borrower
 #: asks each of them at most every two seconds; one lender of 52 borrowers
 #: handles some 26 asks a second.
-_LENDERS = 4
+_TEAM_LENDERS = 4
 
 
 class LoanKind(enum.IntEnum):
@@ -29,14 +29,14 @@
 
     kind: LoanKind
     name: str
-    start: str = ""
+    start_id: str = ""
 
     @property
-    def keeper_key(self) -> str:
+    def lender_key(self) -> str:
         """Return the key that the lender is chosen by."""
         if self.kind is LoanKind.COLD:
             return f"upstream/{self.name}"
         if self.kind is LoanKind.TEAM:
-            bucket = xxhash.xxh32_intdigest(self.name.encode()) % _LENDERS
+            bucket = xxhash.xxh32_intdigest(self.name.encode()) % _TEAM_LENDERS
             return f"lender/{bucket}"
         return "lender/weights"
--- a/src/citronvalve/peers/loanmanager.py
+++ b/src/citronvalve/peers/loanmanager.py
@@ -18,7 +18,7 @@
 #: Asks sent in one tick: 16 a second.  It is made for a data centre whose
 #: upstreams are all cold at once and kept by 52 members; loans then come
 #: later, and the messages stay within their budget.
-_ASKS_A_TICK = 2
+_MAX_REQUESTS_PER_TICK = 2
 
 
 class AddressedRequest(NamedTuple):
@@ -49,15 +49,15 @@
         expected: int,
     ) -> None:
         self._name = name
-        self._first = first
-        self._expected = expected
+        self._is_first = first
+        self._expected_daemons = expected
         self._timing = timing
-        self._standing = standing
-        self._views = viewing.Views(timing.settle)
-        self.lender = lender.Lender(timing.loan, invariants)
+        self._authority = standing
+        self._views = viewing.Views(timing.handover_delay)
+        self.lender = lender.Lender(timing.loan_duration, invariants)
         self.borrower = borrower.Borrower(timing)
 
-    def note(
+    def record_view(
         self, now: clock.Ms, alive: frozenset[str], known: frozenset[str]
     ) -> None:
         """Take the present view of the members.
@@ -66,17 +66,17 @@
         :param alive: the members alive.
         :param known: the members that count.
         """
-        if not self._standing.joining():
-            whole = share.padded(known, self._expected)
+        if not self._authority.joining():
+            whole = share.padded(known, self._expected_daemons)
             self._views.note(now, alive, whole)
 
-    def new_life(self) -> None:
+    def reset(self) -> None:
         """Drop every loan and start to wait out those of others."""
         self._views.clear()
         self.lender.clear()
         self.borrower.clear()
 
-    def answer(
+    def handle_request(
         self,
         ask: asks.LoanRequest,
         member: str,
@@ -90,21 +90,21 @@
         :param incarnation: its life; loans of an earlier one still count.
         :param now: monotonic time in ms.
         """
-        if not self._standing.acting():
+        if not self._authority.acting():
             return None
         life = f"{member}/{incarnation}"
         granted = tuple(
             loanresponse.SlotGrant(
                 want.key, self.lender.lend(want, life, self._views, now)
             )
-            for want in ask.slot_requests[: lender.MOST_WANTS]
+            for want in ask.slot_requests[: lender.MAX_SLOT_REQUESTS]
             if self._may_lend(want.key, now)
         )
         return loanresponse.LoanResponse(
-            ask.serial, self._timing.loan, granted
+            ask.serial, self._timing.loan_duration, granted
         )
 
-    def due(
+    def due_requests(
         self, alive: frozenset[str], now: clock.Ms
     ) -> list[AddressedRequest]:
         """Return the asks to send in this tick.
@@ -114,13 +114,15 @@
         """
         keeper_by_key = {}
         for key in self.borrower.keys():
-            keeper = self._views.keeper(key.keeper_key)
+            keeper = self._views.keeper(key.lender_key)
             if keeper in alive:
                 keeper_by_key[key] = keeper
-        due = self.borrower.due(keeper_by_key, now, _ASKS_A_TICK)
+        due = self.borrower.due_requests(
+            keeper_by_key, now, _MAX_REQUESTS_PER_TICK
+        )
         return [AddressedRequest(keeper, ask) for keeper, ask in due]
 
-    def take(
+    def apply_response(
         self, answer: loanresponse.LoanResponse, keeper: str, now: clock.Ms
     ) -> list[loans.Loan]:
         """Take a keeper's answer; return the loans that it gave.
@@ -129,7 +131,7 @@
         :param keeper: who lent it.
         :param now: monotonic time in ms.
         """
-        return self.borrower.take(answer, keeper, now)
+        return self.borrower.apply_response(answer, keeper, now)
 
     def slots(
         self, key: loankey.LoanKey, known: frozenset[str], now: clock.Ms
@@ -148,16 +150,16 @@
         """
         # Right after a stop the monotonic clock may not have moved, and a
         # loan that has run out for its keeper would look good here.
-        if self._standing.paused():
+        if self._authority.paused():
             return 0
-        held = self.borrower.held(key, now)
+        held = self.borrower.usable_slots(key, now)
         if held or key.kind is not loankey.LoanKind.TEAM:
             return held
-        if self.borrower.answered(key, now):
+        if self.borrower.has_response(key, now):
             return 0
         limit = self.lender.limit(key)
-        whole = share.padded(known, self._expected)
-        return share.shares(key.keeper_key, limit, whole).get(self._name, 0)
+        whole = share.padded(known, self._expected_daemons)
+        return share.shares(key.lender_key, limit, whole).get(self._name, 0)
 
     def loan(self, key: loankey.LoanKey, now: clock.Ms) -> loans.Loan | None:
         """Return the loan in force, or None.
@@ -165,7 +167,7 @@
         :param key: the limit.
         :param now: monotonic time in ms.
         """
-        if self._standing.paused():
+        if self._authority.paused():
             return None
         return self.borrower.loan(key, now)
 
@@ -176,10 +178,10 @@
             return False
         # Where operators say that one daemon is all there is, no other
         # can have lent.
-        if self._expected == 1 and len(self._views.known()) == 1:
+        if self._expected_daemons == 1 and len(self._views.known()) == 1:
             return True
         # A daemon that started on the far side of a cut knows of nobody,
         # and would take itself for the whole data centre.
-        if not (self._standing.met or self._first):
+        if not (self._authority.met or self._is_first):
             return False
-        return self._views.kept(key.keeper_key, self._name, now)
+        return self._views.kept(key.lender_key, self._name, now)
--- a/src/citronvalve/peers/membership.py
+++ b/src/citronvalve/peers/membership.py
@@ -154,9 +154,9 @@
         for name in self.alive() - {own}:
             silent = now - self._heard_at_by_name[name]
             held = self.member_by_name[name]
-            if silent >= self._timing.dead:
+            if silent >= self._timing.dead_after:
                 self._put(held._replace(state=members.MemberState.DEAD), now)
-            elif silent >= self._timing.suspect:
+            elif silent >= self._timing.suspect_after:
                 self.member_by_name[name] = held._replace(
                     state=members.MemberState.SUSPECT
                 )
@@ -184,7 +184,7 @@
     def _drop_old(self, now: clock.Ms) -> None:
         # VMs are replaced all the time, and each new one has a new name.  A
         # record is kept until no message about its life can be on its way.
-        keep = _KEEP_GONE * self._timing.forget
+        keep = _KEEP_GONE * self._timing.forget_after
         for name, heard_at in list(self._heard_at_by_name.items()):
             if name not in self.known() and now - heard_at > keep:
                 del self._heard_at_by_name[name]
@@ -197,7 +197,7 @@
         if 2 * len(self.alive()) <= len(self.known()):
             return
         for name, died_at in list(self._died_at_by_name.items()):
-            if now - died_at >= self._timing.forget:
+            if now - died_at >= self._timing.forget_after:
                 self.forget(name)
 
     def _beat(
--- a/src/citronvalve/peers/messages.py
+++ b/src/citronvalve/peers/messages.py
@@ -123,7 +123,7 @@
 
     sender: str
     stage: Stage
-    message: Broadcast
+    payload: Broadcast
 
 
 Message = (
--- a/src/citronvalve/peers/peer.py
+++ b/src/citronvalve/peers/peer.py
@@ -73,7 +73,7 @@
         To be asked right before each act, since the process may just have
         been stopped for a while.
         """
-        return self._state.standing.acting()
+        return self._state.authority.acting()
 
     def keeper_of(self, key: str) -> str | None:
         """Return the member of this data centre that keeps something.
@@ -131,7 +131,7 @@
 
         :param delta: from any version up to the one held here.
         """
-        return self.core.offer_table(delta)
+        return self.core.publish_table(delta)
 
     def is_table_doubted(self) -> bool:
         """Tell whether a peer holds other rows at the same version."""
@@ -142,7 +142,7 @@
 
         :param whole: the whole table, read from the platform.
         """
-        self.core.compare_table(whole)
+        self.core.reconcile_table(whole)
 
     def confirm_table(self, at: clock.Ms) -> None:
         """Note that the platform had nothing newer.
@@ -185,7 +185,7 @@
 
         :param report: of an upstream that it keeps.
         """
-        self.core.offer_load(report)
+        self.core.publish_load(report)
 
     def loads(self) -> dict[str, loads_.LoadReport]:
         """Return the newest report of each upstream, in own time."""
@@ -208,11 +208,11 @@
         :param start_id: which of its starts was lost.
         """
         fact = crashreport.CrashReport(fingerprint, upstream, start_id, 0)
-        self._state.crashes.hear(fact, self._clock.now())
+        self._state.crashes.record(fact, self._clock.now())
 
     def crashes(self) -> tuple[crashreport.CrashReport, ...]:
         """Return every crash that any daemon told of lately."""
-        return self._state.crashes.facts(self._clock.now())
+        return self._state.crashes.reports(self._clock.now())
 
     def set_limit(self, key: loankey.LoanKey, limit: int) -> None:
         """Say how many slots there are in all; 0 ends the limit.
@@ -223,7 +223,7 @@
         :param key: the limit.
         :param limit: slots.
         """
-        self._state.grants.lender.set_limit(key, limit)
+        self._state.loan_manager.lender.set_limit(key, limit)
 
     def set_other_limits(
         self, limit: Callable[[loankey.LoanKey], int]
@@ -232,7 +232,7 @@
 
         :param limit: returns the slots in all; 0 lends nothing.
         """
-        self._state.grants.lender.other_limit = limit
+        self._state.loan_manager.lender.default_limit = limit
 
     def want(self, key: loankey.LoanKey, slots: int) -> None:
         """Borrow up to some slots, and renew until told otherwise.
@@ -240,14 +240,14 @@
         :param key: the limit.
         :param slots: slots wanted; 0 stops.
         """
-        self._state.grants.borrower.want(key, slots)
+        self._state.loan_manager.borrower.request_slots(key, slots)
 
     def slots(self, key: loankey.LoanKey) -> int:
         """Return how many slots may be in use at this moment.
 
         :param key: the limit.
         """
-        return self._state.grants.slots(
+        return self._state.loan_manager.slots(
             key, self._state.membership.known(), self._clock.now()
         )
 
@@ -256,7 +256,7 @@
 
         :param key: the limit.
         """
-        return self._state.grants.loan(key, self._clock.now())
+        return self._state.loan_manager.loan(key, self._clock.now())
 
     def lends_for(self, datacentre: str) -> bool:
         """Tell whether cold upstreams of a data centre are lent from here.
@@ -298,10 +298,10 @@
         return statuses.PeerStatus(
             self.settings.name,
             self.settings.datacentre,
-            state.standing.incarnation,
+            state.authority.incarnation,
             self.is_acting(),
             self.is_watcher(),
-            state.standing.rejoins,
+            state.authority.rejoins,
             tuple(sorted(membership.alive())),
             tuple(sorted(membership.suspects())),
             tuple(sorted(m.name for m in membership.dead())),
@@ -311,5 +311,5 @@
             self.confirmation(state.table.version).silent,
             state.table.refused,
             len(state.loads.reports()),
-            dict(self.codec.junk_by_reason),
+            dict(self.codec.dropped_by_reason),
         )
--- a/src/citronvalve/peers/replier.py
+++ b/src/citronvalve/peers/replier.py
@@ -46,23 +46,26 @@
         """
         state, now = self._state, self._state.clock.now()
         if not near:
-            if not message.reply:
+            if not message.wants_reply:
                 return []
             reply = self._gossiper.introduction(now)
             return [outgoing.Outgoing(sender.address, reply)]
-        astray = message.roster not in (0, state.membership.digest())
+        astray = message.roster_digest not in (0, state.membership.digest())
         if astray and self._roster_due(now):
             self._roster_sent_at = now
-            reply = self._gossiper.roster(sender.name, now)
+            reply = self._gossiper.full_roster(sender.name, now)
             return [outgoing.Outgoing(sender.address, reply)]
-        if message.reply:
-            reply = self._gossiper.near(sender.name, now)
+        if message.wants_reply:
+            reply = self._gossiper.for_member(sender.name, now)
             return [outgoing.Outgoing(sender.address, reply)]
         return []
 
     def _roster_due(self, now: clock.Ms) -> bool:
         at = self._roster_sent_at
-        return at is None or now - at >= self._state.settings.timing.repair
+        return (
+            at is None
+            or now - at >= self._state.settings.timing.repair_interval
+        )
 
     def notify(self, sender: envelope.Sender) -> _Out:
         """Tell a peer that its life is over, once a second at most.
--- a/src/citronvalve/peers/schedule.py
+++ b/src/citronvalve/peers/schedule.py
@@ -28,7 +28,9 @@
     ) -> None:
         self._state = state
         self._gossiper = gossiper
-        self.pacer = pacers.Pacer(state.settings.timing.apart, state.rng)
+        self.pacer = pacers.Pacer(
+            state.settings.timing.send_interval, state.rng
+        )
         self._ticks = 0
         self._seeds: set[str] = set()
 
@@ -47,7 +49,7 @@
         """
         self._ticks += 1
         out = [*self._near(now), *self._far(now)]
-        joining = self._state.standing.joining()
+        joining = self._state.authority.joining()
         if joining or self._ticks % _KNOCK_TICKS == 0:
             out += self._knock(now)
         return out
@@ -63,8 +65,8 @@
         # A suspect is asked for an answer, and so is anyone who may
         # acknowledge a life that may not act yet.
         reply = target in state.membership.suspects()
-        reply = reply or state.standing.joining()
-        message = self._gossiper.near(target, now, reply)
+        reply = reply or state.authority.joining()
+        message = self._gossiper.for_member(target, now, reply)
         return [outgoing.Outgoing(held.address, message)]
 
     def _suspect(self, now: clock.Ms) -> str | None:
@@ -80,7 +82,7 @@
 
     def _far(self, now: clock.Ms) -> list[outgoing.Outgoing]:
         state = self._state
-        if not state.standing.acting():
+        if not state.authority.acting():
             return []
         name = self.pacer.oldest(
             [f"dc/{n}" for n in state.remote.names() if self._relays(n)], now
@@ -93,7 +95,7 @@
         if not contacts:
             return []
         address = state.rng.choice(contacts).address
-        message = self._gossiper.far(datacentre, now)
+        message = self._gossiper.for_datacentre(datacentre, now)
         return [outgoing.Outgoing(address, message)]
 
     def _relays(self, datacentre: str) -> bool:
@@ -120,7 +122,7 @@
         if target is None:
             return []
         self.pacer.sent(target, now)
-        message = self._gossiper.near("", now, reply=True)
+        message = self._gossiper.for_member("", now, reply=True)
         # A seed in another data centre introduces newcomers to each other
         # by what they tell of themselves.
         summary = self._gossiper.summary()
--- a/src/citronvalve/peers/sockets.py
+++ b/src/citronvalve/peers/sockets.py
@@ -56,7 +56,7 @@
         self.context = zmq.Context()
         self._in = self._socket()
         self._in.setsockopt(zmq.RCVHWM, _RECEIVE_QUEUE)
-        self._in.setsockopt(zmq.MAXMSGSIZE, codec.MOST_BYTES)
+        self._in.setsockopt(zmq.MAXMSGSIZE, codec.MAX_MESSAGE_BYTES)
         self._out = self._socket()
         self._out.setsockopt(zmq.SNDHWM, _SEND_QUEUE)
         self._out.setsockopt(zmq.ROUTER_MANDATORY, 1)
--- a/src/citronvalve/peers/state.py
+++ b/src/citronvalve/peers/state.py
@@ -37,18 +37,20 @@
         self.rng = rng
         self.invariants = invariants
         first = not set(settings.seeds) - {settings.address}
-        self.standing = authority.Authority(
+        self.authority = authority.Authority(
             clock_, timing, invariants, first or settings.expected == 1
         )
         self.membership = membership.Membership(timing, invariants)
         self.remote = remote.Remote(settings.datacentre)
         self.table = tablecopy.TableCopy(invariants)
-        self.loads = loadtable.LoadTable(settings.name, timing.refresh)
+        self.loads = loadtable.LoadTable(
+            settings.name, timing.refresh_interval
+        )
         self.crashes = crashtable.CrashTable()
-        self.grants = loanmanager.LoanManager(
+        self.loan_manager = loanmanager.LoanManager(
             settings.name,
             timing,
-            self.standing,
+            self.authority,
             invariants,
             first=first,
             expected=settings.expected,
@@ -56,7 +58,7 @@
         # Which data centres take loads of this one; empty means all, as in
         # a fleet of one region.
         self.neighbours: frozenset[str] = frozenset()
-        self._beat = 0
+        self._heartbeat_counter = 0
 
     def is_neighbour(self, datacentre: str) -> bool:
         """Tell whether a data centre wants loads of this one.
@@ -69,26 +71,28 @@
         """Return the other living members of this data centre."""
         return self.membership.alive() - {self.settings.name}
 
-    def live(self, now: clock.Ms) -> None:
+    def advance_heartbeat(self, now: clock.Ms) -> None:
         """Let the own heartbeat rise, or a new life begin.
 
         :param now: monotonic time in ms.
         """
-        self._beat += 1
+        self._heartbeat_counter += 1
         settings = self.settings
         record = member.Member(
             settings.name,
             settings.datacentre,
             settings.address,
-            self.standing.incarnation,
-            self._beat,
+            self.authority.incarnation,
+            self._heartbeat_counter,
             self.table.version,
         )
         self.membership.merge(record, now)
 
-    def note_view(self, now: clock.Ms) -> None:
+    def record_view(self, now: clock.Ms) -> None:
         """Tell the grants how the members look.
 
         :param now: monotonic time in ms.
         """
-        self.grants.note(now, self.membership.alive(), self.membership.known())
+        self.loan_manager.record_view(
+            now, self.membership.alive(), self.membership.known()
+        )
--- a/src/citronvalve/peers/tablesync.py
+++ b/src/citronvalve/peers/tablesync.py
@@ -55,7 +55,7 @@
         """
         wrong = self._state.table.compare(whole)
         if wrong:
-            self._listener.on_table_wrong(whole, wrong)
+            self._listener.on_table_corrected(whole, wrong)
             self._confirm()
 
     def take(self, page: tablepage.TablePage) -> None:
@@ -78,11 +78,11 @@
         :param now: monotonic time in ms.
         """
         table = self._state.table
-        if message.version != table.version:
+        if message.table_version != table.version:
             return
-        if message.digest != table.digest:
+        if message.table_digest != table.digest:
             table.is_doubted = True
-        elif message.table_age != gossip.NEVER:
+        elif message.table_age != gossip.UNKNOWN_AGE:
             table.confirm(now - message.table_age)
 
     def ask(self, sender: envelope.Sender, version: int) -> _Out:
@@ -97,7 +97,10 @@
         # A hundred peers may tell of a new version within a second, and a
         # full copy is large.  One that does not answer is passed over
         # after ``repair``.
-        if at is not None and now - at < self._state.settings.timing.repair:
+        if (
+            at is not None
+            and now - at < self._state.settings.timing.repair_interval
+        ):
             return []
         return self._ask_now(sender)
 
--- a/src/citronvalve/peers/task.py
+++ b/src/citronvalve/peers/task.py
@@ -61,7 +61,7 @@
 
     def dropped(self) -> dict[str, int]:
         """Return how many messages were dropped, by reason."""
-        dropped = self._peer.codec.junk_by_reason.copy()
+        dropped = self._peer.codec.dropped_by_reason.copy()
         dropped.update(self._sockets.dropped_by_reason)
         if self._gatekeeper is not None:
             dropped["unknown key"] += self._gatekeeper.refused
@@ -80,7 +80,7 @@
             eventlet.sleep(0)
 
     def _tick(self) -> None:
-        span = self._peer.settings.timing.tick / clock.SECOND
+        span = self._peer.settings.timing.tick_interval / clock.SECOND
         ticks = 0
         while True:
             self._send(self._peer.core.tick())
--- a/src/citronvalve/peers/timing.py
+++ b/src/citronvalve/peers/timing.py
@@ -31,26 +31,26 @@
     ``forget``: a dead member stops counting after this, if most remain.
     """
 
-    tick: clock.Ms = 125
-    apart: clock.Ms = 1_000
-    beat: clock.Ms = 1_000
-    suspect: clock.Ms = 3_000
-    dead: clock.Ms = 6_000
-    pause: clock.Ms = 3_000
-    alone: clock.Ms = 4_000
-    loan: clock.Ms = 4_000
-    slack: clock.Ms = 250
-    renew: clock.Ms = 2_000
-    repair: clock.Ms = 1_000
-    relay: clock.Ms = 1_000
-    refresh: clock.Ms = 1_000
-    forget: clock.Ms = 60_000
+    tick_interval: clock.Ms = 125
+    send_interval: clock.Ms = 1_000
+    heartbeat_interval: clock.Ms = 1_000
+    suspect_after: clock.Ms = 3_000
+    dead_after: clock.Ms = 6_000
+    pause_limit: clock.Ms = 3_000
+    join_timeout: clock.Ms = 4_000
+    loan_duration: clock.Ms = 4_000
+    loan_margin: clock.Ms = 250
+    renew_interval: clock.Ms = 2_000
+    repair_interval: clock.Ms = 1_000
+    relay_interval: clock.Ms = 1_000
+    refresh_interval: clock.Ms = 1_000
+    forget_after: clock.Ms = 60_000
 
     @property
-    def settle(self) -> clock.Ms:
+    def handover_delay(self) -> clock.Ms:
         """Return how long a new keeper waits before it lends.
 
         The old keeper may go on lending until it, too, sees the change,
         which is at most ``dead`` later; its last loan then runs out.
         """
-        return self.loan + self.dead
+        return self.loan_duration + self.dead_after
--- a/standins/memorylinks.py
+++ b/standins/memorylinks.py
@@ -117,7 +117,7 @@
         )
         self.node_by_name[name] = node
         self.stopped.discard(name)
-        self._tick_in(name, self.rng.randrange(self.timing.tick))
+        self._tick_in(name, self.rng.randrange(self.timing.tick_interval))
         return node
 
     def kill(self, name: str) -> None:
@@ -216,4 +216,4 @@
         # after its successor's began; only the newest counts.
         if sender == self._timer_by_name[name]:
             self.send(name, node.core.tick())
-            self._tick_in(name, self.timing.tick)
+            self._tick_in(name, self.timing.tick_interval)
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -147,7 +147,7 @@
     version = max(row.version for row in held)
     _SPOIL_BY_WHAT[what](held)
     context.daemon = _Daemon(context.store, watches)
-    context.daemon.peering.peer.offer_table(
+    context.daemon.peering.peer.publish_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
     assert context.daemon.view.table
@@ -247,7 +247,7 @@
 def step_before(context):
     held = _packed(context.before)
     version = max(row.version for row in held)
-    context.daemon.peering.peer.compare_table(
+    context.daemon.peering.peer.reconcile_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
 
--- a/tests/inforce/steps/inforce_steps.py
+++ b/tests/inforce/steps/inforce_steps.py
@@ -161,7 +161,7 @@
     if shown.code == exitcode.ExitCode.OK:
         # Nobody is named only once the dead one has counted as dead.
         passed = (time.monotonic() - context.killed_at) * 1_000
-        assert passed >= timing.Timing().dead, (passed, shown.text)
+        assert passed >= timing.Timing().dead_after, (passed, shown.text)
         for name, told in _told(context).items():
             alive = told["peers"]["alive"]
             assert context.killed not in alive, (name, alive)
--- a/tests/news/simulation.py
+++ b/tests/news/simulation.py
@@ -117,7 +117,7 @@
         elif isinstance(message, messages.Relayed):
             out = made.passed(message, self.now)
             if out is not None:
-                daemon.heard[message.message] += 1
+                daemon.heard[message.payload] += 1
                 self._send(daemon, out)
         else:
             daemon.heard[message] += 1
--- a/tests/peers/cluster.py
+++ b/tests/peers/cluster.py
@@ -16,10 +16,10 @@
 def start(context, name, expected=0):
     seeds = tuple(n for n in context.names if n != name)[:2]
     context.links.start(name, name[:2], seeds, expected=expected)
-    grants = state(context, name).grants
+    loan_manager = state(context, name).loan_manager
     for key, limit in ((COLD, 1), (TEAM, TEAM_LIMIT)):
-        grants.lender.set_limit(key, limit)
-        grants.borrower.want(key, limit)
+        loan_manager.lender.set_limit(key, limit)
+        loan_manager.borrower.request_slots(key, limit)
 
 
 def state(context, name):
@@ -29,7 +29,9 @@
 def held(context, key):
     held = {}
     for name, node in context.links.node_by_name.items():
-        slots = node.core.state.grants.borrower.held(key, node.clock.now())
+        slots = node.core.state.loan_manager.borrower.usable_slots(
+            key, node.clock.now()
+        )
         if slots:
             held[name] = slots
     return held
--- a/tests/peers/machines.py
+++ b/tests/peers/machines.py
@@ -44,7 +44,7 @@
         core = self.core(name)
         base = core.state.table.version
         newer = tuple(r for r in self.rows.values() if r.version > base)
-        core.offer_table(tabledelta.TableDelta(self.version, base, newer))
+        core.publish_table(tabledelta.TableDelta(self.version, base, newer))
 
     def check_calm(self, name):
         super().check_calm(name)
@@ -68,16 +68,18 @@
 
     def start(self, name):
         super().start(name)
-        grants = self.core(name).state.grants
+        loan_manager = self.core(name).state.loan_manager
         for key, limit in faultyfleet.LIMIT_BY_KEY.items():
-            grants.lender.set_limit(key, limit)
-            grants.borrower.want(key, limit)
+            loan_manager.lender.set_limit(key, limit)
+            loan_manager.borrower.request_slots(key, limit)
 
     def held(self, key):
         by_name = {}
         for name, node in self.links.node_by_name.items():
             now = node.clock.now()
-            slots = node.core.state.grants.borrower.held(key, now)
+            slots = node.core.state.loan_manager.borrower.usable_slots(
+                key, now
+            )
             if slots:
                 by_name[name] = slots
         return by_name
@@ -97,8 +99,8 @@
     def want(self, which, slots):
         name = self.names[which % len(self.names)]
         if name in self.links.node_by_name:
-            grants = self.core(name).state.grants
-            grants.borrower.want(faultyfleet.TEAM, slots)
+            loan_manager = self.core(name).state.loan_manager
+            loan_manager.borrower.request_slots(faultyfleet.TEAM, slots)
 
     def check_calm(self, name):
         super().check_calm(name)
@@ -123,12 +125,12 @@
     def look_at_stopped(self, name):
         # What a stopped process would answer if it woke at this moment,
         # before any message or timer reached it.
-        standing = self.core(name).state.standing
+        authority = self.core(name).state.authority
         since = self.links.stopped_at_by_name[name]
-        if self.links.clock.now() - since > self.links.timing.pause:
+        if self.links.clock.now() - since > self.links.timing.pause_limit:
             self.CHECKS.check(
                 "a process that was stopped for long does not act",
-                not standing.acting(),
+                not authority.acting(),
                 f"{name} stopped at {since}",
             )
         # A member that was cut off acts on its own side while the other
@@ -141,11 +143,11 @@
         buried = [
             other
             for other in running
-            if self.buries(other, name, standing.incarnation)
+            if self.buries(other, name, authority.incarnation)
         ]
         self.CHECKS.check(
             "a life that most buried while it was stopped does not act",
-            2 * len(buried) <= len(running) or not standing.acting(),
+            2 * len(buried) <= len(running) or not authority.acting(),
             f"{name} is buried by {buried}",
         )
 
--- a/tests/peers/steps/failure_steps.py
+++ b/tests/peers/steps/failure_steps.py
@@ -24,32 +24,32 @@
 
 
 def _keeper(context):
-    members = cluster.state(context, "d0-0").grants
-    return members._views.keeper(cluster.COLD.keeper_key)
+    members = cluster.state(context, "d0-0").loan_manager
+    return members._views.keeper(cluster.COLD.lender_key)
 
 
 @behave.when("its keeper is stopped for {span:d} ms and wakes")
 def step_stopped(context, span):
     context.keeper = _keeper(context)
-    context.life = cluster.state(context, context.keeper).standing.incarnation
+    context.life = cluster.state(context, context.keeper).authority.incarnation
     context.links.stop(context.keeper)
     context.links.run(span)
 
 
 @behave.then("the keeper does not act, and holds no loan")
 def step_not_acting(context):
-    assert not cluster.state(context, context.keeper).standing.acting()
+    assert not cluster.state(context, context.keeper).authority.acting()
     context.links.wake(context.keeper)
     context.links.run(0)
-    assert not cluster.state(context, context.keeper).standing.acting()
+    assert not cluster.state(context, context.keeper).authority.acting()
     assert context.keeper not in cluster.held(context, cluster.COLD)
 
 
 @behave.then("within {span:d} ms it acts in a new life")
 def step_new_life(context, span):
-    standing = cluster.state(context, context.keeper).standing
-    cluster.within(context, span, standing.acting)
-    assert standing.incarnation > context.life
+    authority = cluster.state(context, context.keeper).authority
+    cluster.within(context, span, authority.acting)
+    assert authority.incarnation > context.life
 
 
 @behave.when("a newcomer becomes its keeper")
@@ -64,14 +64,16 @@
 
 
 def _ranks_first(name, names):
-    return rendezvous.first(cluster.COLD.keeper_key, (name, *names)) == name
+    return rendezvous.first(cluster.COLD.lender_key, (name, *names)) == name
 
 
 @behave.given("the upstream bears 8 slots by now")
 def step_bears(context):
     context.links.after_each = lambda: None
     for name in context.names:
-        cluster.state(context, name).grants.lender.set_limit(cluster.COLD, 8)
+        cluster.state(context, name).loan_manager.lender.set_limit(
+            cluster.COLD, 8
+        )
 
 
 @behave.then("the slot is lent again within {span:d} ms, and never twice")
@@ -121,13 +123,13 @@
 def step_share(context, name):
     state = cluster.state(context, name)
     known = frozenset(context.names)
-    mine = share.shares(cluster.TEAM.keeper_key, cluster.TEAM_LIMIT, known)[
+    mine = share.shares(cluster.TEAM.lender_key, cluster.TEAM_LIMIT, known)[
         name
     ]
     now = state.clock.now()
     assert state.others(), "it is to be cut off, and not yet alone"
-    assert mine and state.grants.slots(cluster.TEAM, known, now) == mine
-    assert state.grants.slots(cluster.COLD, known, now) == 0
+    assert mine and state.loan_manager.slots(cluster.TEAM, known, now) == mine
+    assert state.loan_manager.slots(cluster.COLD, known, now) == 0
 
 
 @behave.when("a daemon starts alone, of {expected:d} expected")
--- a/tests/peers/steps/socket_steps.py
+++ b/tests/peers/steps/socket_steps.py
@@ -38,7 +38,7 @@
 _JUNK_BY_NAME = {
     "empty": b"",
     "random bytes": random.Random(1).randbytes(300),
-    "larger than the limit": b"\x00" * (codecs.MOST_BYTES + 1),
+    "larger than the limit": b"\x00" * (codecs.MAX_MESSAGE_BYTES + 1),
     "of another protocol": _gossip(_0=envelope.PROTOCOL + 1),
     "gossip with a bad field": _gossip(_3=["no", "gossip"]),
     "deeply nested": b"\x91" * 50_000,
@@ -59,7 +59,7 @@
 
 @behave.then('it counts one as "{reason}"')
 def step_counts(context, reason):
-    assert context.codec.junk_by_reason == {reason: 1}
+    assert context.codec.dropped_by_reason == {reason: 1}
 
 
 @behave.when("{count:d} messages are sent to a peer that does not read")
--- a/tests/peers/steps/spreading_steps.py
+++ b/tests/peers/steps/spreading_steps.py
@@ -49,7 +49,7 @@
 def step_large(context, count, size):
     cluster.begin(context, 3)
     delta = tabledelta.TableDelta(count, 0, _rows(count, size))
-    context.links.node_by_name["d0-0"].core.offer_table(delta)
+    context.links.node_by_name["d0-0"].core.publish_table(delta)
     context.links.run(10 * clock.SECOND)
     assert {
         cluster.state(context, n).table.version for n in context.names
@@ -79,7 +79,7 @@
 def step_edit(context):
     context.links.stop("d0-2")
     delta = tabledelta.TableDelta(7, 0, _rows(7, 10))
-    context.links.node_by_name["d0-1"].core.offer_table(delta)
+    context.links.node_by_name["d0-1"].core.publish_table(delta)
 
 
 @behave.then("{span:d} ms later d0-0 names d0-2 as silent")
@@ -102,7 +102,7 @@
 def step_crash(context):
     state = cluster.state(context, "d1-2")
     fact = crashreport.CrashReport("request", "engine-1", "start-1", 0)
-    state.crashes.hear(fact, state.clock.now())
+    state.crashes.record(fact, state.clock.now())
 
 
 @behave.then("within {span:d} ms every member knows of it")
@@ -111,7 +111,7 @@
         context,
         span,
         lambda: all(
-            cluster.state(context, name).crashes.facts(
+            cluster.state(context, name).crashes.reports(
                 cluster.state(context, name).clock.now()
             )
             for name in context.names
@@ -123,7 +123,7 @@
 def step_load(context):
     node = context.links.node_by_name["d1-2"]
     report = load.LoadReport("engine-1", "s", 1, 0, 8, node.clock.now())
-    node.core.offer_load(report)
+    node.core.publish_load(report)
     context.measured_at = context.links.clock.now()
 
 
--- a/tests/policy/steps/sharing_steps.py
+++ b/tests/policy/steps/sharing_steps.py
@@ -89,7 +89,7 @@
 @behave.when("its service times jump for one that is not its keeper")
 def step_jump(context):
     daemons = context.fleet.daemon_by_name
-    key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").keeper_key
+    key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").lender_key
     keeper = daemons["daemon-0"].peer.keeper_of(key)
     context.cold = next(d for n, d in daemons.items() if n != keeper)
     context.cold.upstream.ramp.restart(context.fleet.clock.now())
--- a/tests/storage/fleet.py
+++ b/tests/storage/fleet.py
@@ -122,7 +122,7 @@
         self.is_isolated = False
         #: Ms that messages to this daemon take.
         self.message_delay = _MESSAGE_DELAY
-        self.delays = delays.Delays()
+        self.delays = delays.DelayTracker()
         self.tail = tail.Tail(
             self.store_client,
             TABLE,
@@ -223,7 +223,7 @@
 
     def _receive_state(self, receiver, state, sent_at):
         now = self.sim.clock.now()
-        delay = receiver.delays.late(self.leader, sent_at, now)
+        delay = receiver.delays.excess_delay(self.leader, sent_at, now)
         receiver.tail.confirm(
             state._replace(age=state.age + delay), self.leader
         )
