--- a/benchmarks/peerfleet.py
+++ b/benchmarks/peerfleet.py
@@ -91,7 +91,7 @@
     for other, mates in by_place.items():
         chosen = links.rng.sample(mates, min(3, len(mates)))
         contacts = tuple(summary.Contact(one, one) for one in chosen)
-        state.remote.hear(
+        state.remote.apply(
             summary.Summary(other, 0, len(mates), 0, (), contacts), now
         )
 
--- a/src/citronvalve/daemon/loadnews.py
+++ b/src/citronvalve/daemon/loadnews.py
@@ -68,16 +68,16 @@
             }
             if own != last or now - told_at >= _LOADS_SAME:
                 last, told_at = own, now
-                self._send(self._spreading.report(own, now))
+                self._send(self._spreading.report_loads(own, now))
 
     def _tell_sums(self) -> None:
         while True:
             eventlet.sleep(self._pause() / clock.SECOND)
-            self._send(self._spreading.digests(self._env.clock.now()))
+            self._send(self._spreading.load_sums(self._env.clock.now()))
 
     def _pause(self) -> clock.Ms:
         pause = _LOADS_PRESSED if self.is_pressed() else _LOADS
-        near = self._spreading.neighbourhood
+        near = self._spreading.topology
         if near.is_direct:
             return pause
         return max(pause, _LOADS_EACH * near.size)
--- a/src/citronvalve/daemon/loadtask.py
+++ b/src/citronvalve/daemon/loadtask.py
@@ -52,7 +52,7 @@
         ]
         for report in self._pool.imap(self._ask, kept):
             if isinstance(report, load.LoadReport):
-                self._peer.offer_load(report)
+                self._peer.publish_load(report)
         return len(kept)
 
     def _known(self) -> list[declared.Upstream]:
--- a/src/citronvalve/daemon/newstask.py
+++ b/src/citronvalve/daemon/newstask.py
@@ -128,7 +128,7 @@
             self._tell_near(changes)
         # Each keeper sends it on to all daemons of its data centre.
         size = len(self._codec.encode(changes))
-        return size * self._spreading.neighbourhood.fan_out // _SPREAD_RATE
+        return size * self._spreading.topology.fan_out // _SPREAD_RATE
 
     def is_reader(self) -> bool:
         """Tell whether other daemons go by what this one reads.
@@ -142,7 +142,7 @@
         now = self._env.clock.now()
         if self._lease.hears_leader or now - self._started_at < _ACQUAINTED:
             return False
-        return self._spreading.neighbourhood.is_keeper(now)
+        return self._spreading.topology.is_coordinator(now)
 
     def tell_standstill(self, upstream: str) -> None:
         """Tell all daemons of an upstream that stands still.
@@ -175,7 +175,7 @@
     def has_company(self) -> bool:
         """Tell whether most of the other daemons were heard of just now."""
         others = len(self._lease.peer_by_name) - 1
-        heard = self._spreading.others_in_sight(self._env.clock.now())
+        heard = self._spreading.reachable_count(self._env.clock.now())
         return 2 * heard > others or not others
 
     def _receive(self) -> None:
@@ -203,7 +203,7 @@
         if len(peers) != self._known:
             self._known = len(peers)
             self._hellos_due = _HELLOS
-            self._spreading.settle(
+            self._spreading.set_daemons(
                 {name: peer.datacentre for name, peer in peers.items()}
             )
         if self._hellos_due:
@@ -216,11 +216,11 @@
 
     def _tell_all(self, item: messages.Broadcast) -> None:
         now = self._env.clock.now()
-        self._send_all(self._spreading.tell(item, now))
+        self._send_all(self._spreading.broadcast(item, now))
 
     def _tell_near(self, item: messages.Broadcast) -> None:
         now = self._env.clock.now()
-        self._send_all(self._spreading.tell_near(item, now))
+        self._send_all(self._spreading.broadcast_locally(item, now))
 
     def _send_all(self, out: Iterable[distributors.Outgoing]) -> None:
         peers = self._lease.peer_by_name
@@ -244,18 +244,18 @@
         self.on_standstill(message.upstream)
 
     def _on_loads(self, message: messages.DaemonLoads) -> None:
-        self._spreading.loads(message, self._env.clock.now())
+        self._spreading.apply_daemon_loads(message, self._env.clock.now())
 
     def _on_totals(self, message: messages.DatacentreLoads) -> None:
         now = self._env.clock.now()
-        self._send_all(self._spreading.totals(message, now))
+        self._send_all(self._spreading.apply_datacentre_loads(message, now))
 
     def _on_digest(self, message: messages.OtherLoads) -> None:
-        self._spreading.digest(message, self._env.clock.now())
+        self._spreading.apply_other_loads(message, self._env.clock.now())
 
     def _on_passed(self, message: messages.Relayed) -> None:
         now = self._env.clock.now()
-        onward = self._spreading.passed(message, now)
+        onward = self._spreading.forward(message, now)
         if onward is None:
             return
         self._send_all(onward)
--- a/src/citronvalve/daemon/peertask.py
+++ b/src/citronvalve/daemon/peertask.py
@@ -68,14 +68,14 @@
 
         :param delta: from the platform.
         """
-        self.peer.offer_table(_packed_delta(delta))
+        self.peer.publish_table(_packed_delta(delta))
 
     def compare_table(self, whole: deltas.Delta) -> None:
         """Replace the rows in force where they differ from the platform's.
 
         :param whole: all rows, as the own watcher read them.
         """
-        self.peer.compare_table(_packed_delta(whole))
+        self.peer.reconcile_table(_packed_delta(whole))
 
     def trouble(self) -> str:
         """Return why rows that arrived are not in force, if they are not."""
@@ -131,7 +131,7 @@
         settings.datacentre,
         f"tcp://{settings.peers}",
         tuple(f"tcp://{seed}" for seed in settings.seeds),
-        expected=settings.daemons_here,
+        expected_daemons=settings.daemons_here,
         public_key=settings.peer_public_key,
         secret_key=settings.peer_secret_key,
         allowed_keys=settings.fleet_public_keys,
--- a/src/citronvalve/daemon/sharing.py
+++ b/src/citronvalve/daemon/sharing.py
@@ -33,7 +33,7 @@
         self._wanted: set[loankey.LoanKey] = set()
         self._lost: set[tuple[str, str]] = set()
         self._stepped_at: clock.Ms = 0
-        peer.set_other_limits(self._warm_slots)
+        peer.set_default_limit(self._warm_slots)
 
     def step(self, now: clock.Ms) -> None:
         """Bring what is new either way.
@@ -62,14 +62,14 @@
                 loankey.LoanKind.COLD, want.upstream, want.start_id
             )
             wanted.add(key)
-            self._peer.want(key, want.slots)
-            if self._peer.keeps(key.lender_key):
+            self._peer.request_slots(key, want.slots)
+            if self._peer.is_coordinator_of(key.lender_key):
                 self._peer.set_limit(key, want.bound)
-            slots = self._peer.slots(key)
+            slots = self._peer.usable_slots(key)
             until = now + _HOLDS
             self._dispatcher.lend(want.upstream, slots, until, now)
         for key in self._wanted - wanted:
-            self._peer.want(key, 0)
+            self._peer.request_slots(key, 0)
             self._peer.set_limit(key, 0)
         self._wanted = wanted
 
@@ -94,6 +94,6 @@
             if known not in self._lost:
                 self._lost.add(known)
                 start_id = self._dispatcher.fleet.start_id(loss.upstream)
-                self._peer.offer_crash(*known, start_id)
+                self._peer.publish_crash(*known, start_id)
         if not facts:
             self._lost.clear()
--- a/src/citronvalve/daemon/tabletask.py
+++ b/src/citronvalve/daemon/tabletask.py
@@ -63,7 +63,7 @@
             self._watcher.skip_to(peer.table_version())
             self._read()
         now = self._env.clock.now()
-        doubted = peer.is_table_doubted()
+        doubted = peer.is_table_disputed()
         if self._comparing.is_due(now, peer.is_watcher(), doubted):
             self._compare(now)
         confirmed_at = peer.table_confirmed_at()
--- a/src/citronvalve/peers/authority.py
+++ b/src/citronvalve/peers/authority.py
@@ -30,7 +30,7 @@
         invariants: invariant.Invariants,
         first: bool = False,
     ) -> None:
-        self._first = first
+        self._is_first = first
         self._clock = clock_
         self._timing = timing
         self._invariants = invariants
@@ -39,86 +39,89 @@
         # clock puts its new life after the old one; should it lag, the
         # peers answer with the life they know, and one above is taken.
         self.incarnation = clock_.wall() // clock.SECOND + 1
-        self._buried = 0
-        self._known_since: clock.Ms | None = None
-        self._began = clock_.now()
-        self._echoed_at = clock_.now()
-        self._others = False
-        self.met = False
+        self._dead_incarnation = 0
+        self._joined_at: clock.Ms | None = None
+        self._started_at = clock_.now()
+        self._acknowledged_at = clock_.now()
+        self._has_others = False
+        self.has_met_peer = False
         self.rejoins = 0
 
-    def acting(self) -> bool:
+    def may_act(self) -> bool:
         """Tell whether this daemon may act at this very moment."""
-        if self._known_since is None or self._pause.paused():
+        if self._joined_at is None or self._pause.is_paused():
             return False
         # A daemon that nobody answers to may be buried already, also when
         # it never stopped.  Until its own view says that it is alone, it
         # leaves the acting to those that hear each other.
-        silent = self._clock.now() - self._echoed_at
-        if self._others and silent > self._timing.suspect_after:
+        silent = self._clock.now() - self._acknowledged_at
+        if self._has_others and silent > self._timing.suspect_after:
             return False
         self._invariants.check(
             "no dead incarnation acts",
-            self.incarnation > self._buried,
-            f"{self.incarnation} {self._buried}",
+            self.incarnation > self._dead_incarnation,
+            f"{self.incarnation} {self._dead_incarnation}",
         )
         return True
 
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Tell whether the process was just stopped for a while."""
-        return self._pause.paused()
+        return self._pause.is_paused()
 
-    def joining(self) -> bool:
+    def is_joining(self) -> bool:
         """Tell whether peers have yet to answer to this life."""
-        return self._known_since is None
+        return self._joined_at is None
 
     def tick(self, others: bool) -> bool:
         """Note that the process runs; tell whether a new life began.
 
         :param others: whether any other member is alive in this view.
         """
-        paused = self._pause.paused()
+        paused = self._pause.is_paused()
         self._pause.tick()
-        self._others = others
+        self._has_others = others
         if paused:
-            self.buried(self.incarnation)
+            self.mark_dead(self.incarnation)
             return True
-        waited = self._clock.now() - self._began
-        if self.joining() and not others and waited >= self._patience():
-            self._known_since = self._clock.now()
+        waited = self._clock.now() - self._started_at
+        if self.is_joining() and not others and waited >= self._join_timeout():
+            self._joined_at = self._clock.now()
         return False
 
-    def _patience(self) -> clock.Ms:
+    def _join_timeout(self) -> clock.Ms:
         # Without seeds there is nobody to wait for.  A peer abroad that
         # answered would have told of members here.
-        if self._first:
+        if self._is_first:
             return 0
-        return self._timing.join_timeout // (2 if self.met else 1)
+        return self._timing.join_timeout // (2 if self.has_met_peer else 1)
 
-    def echoed(self, incarnation: int) -> None:
+    def acknowledge(self, incarnation: int) -> None:
         """A peer answered to a life of this daemon.
 
         :param incarnation: the life that the peer knows.
         """
-        if self._pause.paused():
+        if self._pause.is_paused():
             return
         if incarnation != self.incarnation:
             return
-        self._echoed_at = self._clock.now()
-        if self.joining():
-            self._known_since = self._clock.now()
+        self._acknowledged_at = self._clock.now()
+        if self.is_joining():
+            self._joined_at = self._clock.now()
 
-    def buried(self, incarnation: int) -> None:
+    def mark_dead(self, incarnation: int) -> None:
         """Start a new life, since an old one was declared dead.
 
         :param incarnation: the life that is over.
         """
-        if incarnation < self.incarnation and incarnation <= self._buried:
+        if (
+            incarnation < self.incarnation
+            and incarnation <= self._dead_incarnation
+        ):
             return
-        self._buried = max(self._buried, incarnation)
+        self._dead_incarnation = max(self._dead_incarnation, incarnation)
         if incarnation < self.incarnation:
             return
         self.incarnation = incarnation + 1
-        self._known_since = None
-        self._began = self._clock.now()
+        self._joined_at = None
+        self._started_at = self._clock.now()
         self.rejoins += 1
--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -68,7 +68,7 @@
         self.state.advance_heartbeat(clock_.now())
         self._handler_by_type = {
             gossips.Gossip: self._on_gossip,
-            tablerequest.TableRequest: self._sync.on_ask,
+            tablerequest.TableRequest: self._sync.on_request,
             tablepage.TablePage: self._sync.on_page,
             notices.DeathNotice: self._on_notice,
             asks.LoanRequest: self._on_loan_request,
@@ -91,7 +91,7 @@
         state, now = self.state, self.state.clock.now()
         self._ticks += 1
         if state.authority.tick(bool(state.others())):
-            state.membership.woke(now)
+            state.membership.reset_timers(now)
         self._check_incarnation(now)
         if (
             now - self._heartbeat_at
@@ -132,10 +132,10 @@
         if sender.name == state.settings.name:
             return []
         near = sender.datacentre == state.settings.datacentre
-        state.authority.met = True
+        state.authority.has_met_peer = True
         if near and type(received.message) is not notices.DeathNotice:
             if state.membership.is_dead(sender.name, sender.incarnation):
-                return self._replier.notify(sender)
+                return self._replier.death_notice(sender)
             self._add_sender(sender, now)
         handler = self._handler_by_type[type(received.message)]
         out = handler(sender, received.message, now)
@@ -148,21 +148,21 @@
 
         :param delta: from the platform.
         """
-        return self._sync.offer(delta)
+        return self._sync.publish(delta)
 
     def reconcile_table(self, whole: tabledelta.TableDelta) -> None:
         """Replace the rows held where they differ from the platform's.
 
         :param whole: the whole table, read from the platform.
         """
-        self._sync.compare(whole)
+        self._sync.reconcile(whole)
 
     def publish_load(self, report: load.LoadReport) -> None:
         """Take in a load that this daemon measured.
 
         :param report: of an upstream that it keeps.
         """
-        self.state.loads.offer(report)
+        self.state.loads.record(report)
         self._listener.on_load(report)
 
     def confirmation(self, version: int) -> confirmations.Confirmation:
@@ -177,7 +177,7 @@
         ]
         silent = [m.name for m in living if m.version < version]
         members_ = len(living)
-        for summary in state.remote.all(state.clock.now()):
+        for summary in state.remote.summaries(state.clock.now()):
             members_ += summary.members
             if summary.version < version:
                 behind = ", ".join(summary.behind) or "some members"
@@ -206,20 +206,22 @@
         near = sender.datacentre == state.settings.datacentre
         if near:
             self._merge_members(message, now)
-        self._sync.hear_table(message, now)
+        self._sync.check_peer_table(message, now)
         for summary in message.summaries:
-            state.remote.hear(summary, now)
+            state.remote.apply(summary, now)
             if summary.datacentre == state.settings.datacentre:
-                self.schedule.add_seeds([c.address for c in summary.contacts])
+                self.schedule.set_extra_seeds(
+                    [c.address for c in summary.contacts]
+                )
         for rumor in message.loads:
             far = rumor.coordinator not in state.membership.member_by_name
-            if state.loads.hear(rumor, now, far):
+            if state.loads.apply(rumor, now, far):
                 self._listener.on_load(state.loads.report(rumor.upstream))
         for fact in message.crashes:
             state.crashes.record(fact, now)
         if message.page is not None:
-            self._sync.take(message.page)
-        out = self._sync.ask(sender, message.table_version)
+            self._sync.apply_page(message.page)
+        out = self._sync.request(sender, message.table_version)
         return out + self._replier.reply(sender, message, near)
 
     def _merge_members(self, message: gossips.Gossip, now: clock.Ms) -> None:
@@ -232,10 +234,10 @@
                 state.membership.merge(record, now)
         for beat in message.heartbeats:
             if beat.name != own:
-                state.membership.hear(beat, now)
+                state.membership.apply_heartbeat(beat, now)
         if message.known_incarnation > state.authority.incarnation:
-            state.authority.buried(message.known_incarnation)
-        state.authority.echoed(message.known_incarnation)
+            state.authority.mark_dead(message.known_incarnation)
+        state.authority.acknowledge(message.known_incarnation)
 
     def _check_own_record(self, record: members.Member) -> None:
         standing = self.state.authority
@@ -244,12 +246,12 @@
             members.MemberState.LEFT,
         )
         if over or record.incarnation > standing.incarnation:
-            standing.buried(record.incarnation)
+            standing.mark_dead(record.incarnation)
 
     def _on_notice(
         self, sender: envelope.Sender, message: notices.DeathNotice, now: int
     ) -> _Out:
-        self.state.authority.buried(message.incarnation)
+        self.state.authority.mark_dead(message.incarnation)
         return []
 
     def _on_loan_request(
--- a/src/citronvalve/peers/crashtable.py
+++ b/src/citronvalve/peers/crashtable.py
@@ -21,7 +21,7 @@
     def __init__(self, retention: clock.Ms = 600_000) -> None:
         self._retention = retention
         self._crashed_at_by_key: dict[tuple[str, str, str], clock.Ms] = {}
-        self.updates = updatequeue.UpdateQueue(most=_MAX_CRASHES)
+        self.updates = updatequeue.UpdateQueue(max_keys=_MAX_CRASHES)
 
     def record(self, fact: crashreport.CrashReport, now: clock.Ms) -> bool:
         """Take in a fact; tell whether it was new.
@@ -31,7 +31,7 @@
         """
         key = (fact.fingerprint, fact.upstream, fact.start_id)
         if key in self._crashed_at_by_key or fact.age >= self._retention:
-            self.updates.heard(key)
+            self.updates.record_duplicate(key)
             return False
         self._crashed_at_by_key[key] = now - max(0, fact.age)
         if len(self._crashed_at_by_key) > _MAX_CRASHES:
--- a/src/citronvalve/peers/gossipbuilder.py
+++ b/src/citronvalve/peers/gossipbuilder.py
@@ -65,7 +65,7 @@
             state.table.digest,
             membership.digest(),
             reply,
-            members=membership.news.take(
+            members=membership.updates.take(
                 _MAX_MEMBERS, membership.member_by_name.get
             ),
             heartbeats=self._heartbeats(),
@@ -73,8 +73,9 @@
             crashes=state.crashes.updates.take(
                 _MAX_CRASHES, lambda key: state.crashes.update_for(key, now)
             ),
-            summaries=state.remote.rumors.take(
-                _MAX_SUMMARIES, lambda name: state.remote.rumor(name, now)
+            summaries=state.remote.updates.take(
+                _MAX_SUMMARIES,
+                lambda name: state.remote.current_summary(name, now),
             ),
             page=self._page(held.version if held is not None else 0),
             table_age=self._table_age(now),
@@ -88,7 +89,7 @@
         """
         whole = self._state.membership.roster()[:_MAX_ROSTER_MEMBERS]
         return self.for_member(target, now)._replace(
-            members=whole, summaries=self._state.remote.all(now)
+            members=whole, summaries=self._state.remote.summaries(now)
         )
 
     def for_datacentre(
@@ -124,7 +125,7 @@
             0,
             state.table.version,
             state.table.digest,
-            summaries=(self.summary(), *state.remote.all(now)),
+            summaries=(self.summary(), *state.remote.summaries(now)),
         )
 
     def summary(self) -> summaries.Summary:
@@ -156,8 +157,10 @@
         # telling of it, and an answer to a suspicion without it says
         # nothing.
         membership = self._state.membership
-        own = membership.beat_of(self._state.settings.name)
-        told = membership.beats.take(_MAX_HEARTBEATS, membership.beat_of)
+        own = membership.heartbeat_of(self._state.settings.name)
+        told = membership.heartbeats.take(
+            _MAX_HEARTBEATS, membership.heartbeat_of
+        )
         return told if own is None or own in told else (own, *told)
 
     def _loads(self, target: str, now: clock.Ms) -> tuple:
@@ -165,7 +168,7 @@
         # tells its own measurements itself.  Passing all of them on took
         # most of the bytes for copies, and 400 upstreams were 19 s old.
         loads = self._state.loads
-        own = loads.own()
+        own = loads.own_upstreams()
         start = self._next_load_by_target.get(target, 0) if own else 0
         turn = _next_in_rotation(own, start, _MAX_OWN_LOADS)
         if len(self._next_load_by_target) > _MAX_TARGETS:
@@ -173,32 +176,32 @@
         self._next_load_by_target[target] = start + len(turn)
 
         def rumor(name: str):
-            return loads.rumor(name, now)
+            return loads.update_for(name, now)
 
         return (
             *(rumor(name) for name in turn),
-            *loads.rumors.take(_MAX_LOCAL_LOADS, rumor),
-            *loads.far_rumors.take(_MAX_REMOTE_LOADS, rumor),
+            *loads.updates.take(_MAX_LOCAL_LOADS, rumor),
+            *loads.remote_updates.take(_MAX_REMOTE_LOADS, rumor),
         )
 
     def _loads_for_datacentre(self, datacentre: str, now: clock.Ms) -> tuple:
         state = self._state
         if not state.is_neighbour(datacentre):
             return ()
-        names = sorted(state.loads.kept_by(state.membership.alive()))
+        names = sorted(state.loads.measured_by(state.membership.alive()))
         # A data centre with more upstreams than fit is known with more
         # age abroad.
         turn = _next_in_rotation(
             names, self._next_remote_load, _MAX_LOADS_TO_DATACENTRE
         )
         self._next_remote_load += len(turn)
-        return tuple(state.loads.rumor(name, now) for name in turn)
+        return tuple(state.loads.update_for(name, now) for name in turn)
 
     def _page(self, version: int) -> tablepage.TablePage | None:
         table = self._state.table
         if version >= table.version:
             return None
-        if table.bytes_after(version, _MAX_PAGE_BYTES) > _MAX_PAGE_BYTES:
+        if table.size_after(version, _MAX_PAGE_BYTES) > _MAX_PAGE_BYTES:
             return None
         return table.page_after(tablepage.Cursor(version + 1))
 
--- a/src/citronvalve/peers/lender.py
+++ b/src/citronvalve/peers/lender.py
@@ -61,7 +61,7 @@
         self,
         want: asks.SlotRequest,
         borrower: str,
-        views: viewing.Views,
+        views: viewing.ViewHistory,
         now: clock.Ms,
     ) -> int:
         """Lend slots to a borrower; return how many, maybe none.
@@ -135,13 +135,15 @@
         loans = self._loans_by_key.setdefault(key, {}).setdefault(borrower, [])
         loans.append(_Loan(slots, now + self._duration))
 
-    def _allowed(self, key: loankey.LoanKey, views: viewing.Views) -> int:
+    def _allowed(
+        self, key: loankey.LoanKey, views: viewing.ViewHistory
+    ) -> int:
         limit = self.limit(key)
-        known, seen = views.known(), views.seen()
+        known, seen = views.ever_known(), views.always_alive()
         if key.kind is loankey.LoanKind.TEAM:
-            return share.of_seen(key.lender_key, limit, known, seen)
+            return share.lendable_slots(key.lender_key, limit, known, seen)
         # The limit of a cold upstream may be one slot, which can't be split.
-        most = share.is_most(key.lender_key, known, seen)
+        most = share.is_majority(key.lender_key, known, seen)
         return limit if most else 0
 
     def _fair_share(
--- a/src/citronvalve/peers/loadsums.py
+++ b/src/citronvalve/peers/loadsums.py
@@ -7,10 +7,10 @@
 from citronvalve.peers import messages
 
 #: What a daemon told counts for so long; it tells the same again in it.
-_COUNTS: clock.Ms = 1_000
+_VALIDITY: clock.Ms = 1_000
 
 
-class _Told(NamedTuple):
+class _Reported(NamedTuple):
     counts: messages.RequestCounts
     daemons: int
     at: clock.Ms
@@ -20,10 +20,10 @@
     """What a keeper was told, by daemon and by other data centre."""
 
     def __init__(self) -> None:
-        self._told_by_daemon: dict[str, _Told] = {}
-        self._told_by_datacentre: dict[str, _Told] = {}
+        self._reported_by_daemon: dict[str, _Reported] = {}
+        self._reported_by_datacentre: dict[str, _Reported] = {}
 
-    def put(
+    def record_daemon(
         self, name: str, counts: messages.RequestCounts, now: clock.Ms
     ) -> None:
         """Take in a daemon's own requests.
@@ -32,9 +32,9 @@
         :param counts: its requests.
         :param now: monotonic ms.
         """
-        self._told_by_daemon[name] = _Told(counts, 1, now)
+        self._reported_by_daemon[name] = _Reported(counts, 1, now)
 
-    def put_totals(
+    def record_datacentre(
         self, totals: messages.DatacentreLoads, now: clock.Ms
     ) -> None:
         """Take in the requests of another data centre's daemons.
@@ -42,24 +42,24 @@
         :param totals: as its keeper tells them.
         :param now: monotonic ms.
         """
-        told = _Told(totals.by_upstream, totals.daemons, now)
-        self._told_by_datacentre[totals.datacentre] = told
+        told = _Reported(totals.by_upstream, totals.daemons, now)
+        self._reported_by_datacentre[totals.datacentre] = told
 
-    def here(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
+    def local(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
         """Return how many daemons here were heard, and their requests.
 
         :param now: monotonic ms.
         """
-        return _sum(self._lately(self._told_by_daemon, now).values())
+        return _sum(self._recent(self._reported_by_daemon, now).values())
 
-    def elsewhere(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
+    def remote(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
         """Return the same of the other data centres.
 
         :param now: monotonic ms.
         """
-        return _sum(self._lately(self._told_by_datacentre, now).values())
+        return _sum(self._recent(self._reported_by_datacentre, now).values())
 
-    def without(
+    def excluding(
         self, name: str, now: clock.Ms
     ) -> tuple[int, messages.RequestCounts]:
         """Return how many daemons were heard, and all requests but one's.
@@ -67,21 +67,21 @@
         :param name: the daemon that is left out.
         :param now: monotonic ms.
         """
-        here = self._lately(self._told_by_daemon, now)
+        here = self._recent(self._reported_by_daemon, now)
         here.pop(name, None)
-        far = self._lately(self._told_by_datacentre, now)
+        far = self._recent(self._reported_by_datacentre, now)
         return _sum([*here.values(), *far.values()])
 
-    def _lately(
-        self, told: dict[str, _Told], now: clock.Ms
-    ) -> dict[str, _Told]:
-        for key in [k for k, v in told.items() if now - v.at >= _COUNTS]:
+    def _recent(
+        self, told: dict[str, _Reported], now: clock.Ms
+    ) -> dict[str, _Reported]:
+        for key in [k for k, v in told.items() if now - v.at >= _VALIDITY]:
             del told[key]
         return dict(told)
 
 
 def _sum(
-    told: collections.abc.Iterable[_Told],
+    told: collections.abc.Iterable[_Reported],
 ) -> tuple[int, messages.RequestCounts]:
     daemons = 0
     counts: messages.RequestCounts = {}
--- a/src/citronvalve/peers/loanmanager.py
+++ b/src/citronvalve/peers/loanmanager.py
@@ -53,7 +53,7 @@
         self._expected_daemons = expected
         self._timing = timing
         self._authority = standing
-        self._views = viewing.Views(timing.handover_delay)
+        self._views = viewing.ViewHistory(timing.handover_delay)
         self.lender = lender.Lender(timing.loan_duration, invariants)
         self.borrower = borrower.Borrower(timing)
 
@@ -66,9 +66,9 @@
         :param alive: the members alive.
         :param known: the members that count.
         """
-        if not self._authority.joining():
-            whole = share.padded(known, self._expected_daemons)
-            self._views.note(now, alive, whole)
+        if not self._authority.is_joining():
+            whole = share.pad_members(known, self._expected_daemons)
+            self._views.record(now, alive, whole)
 
     def reset(self) -> None:
         """Drop every loan and start to wait out those of others."""
@@ -90,7 +90,7 @@
         :param incarnation: its life; loans of an earlier one still count.
         :param now: monotonic time in ms.
         """
-        if not self._authority.acting():
+        if not self._authority.may_act():
             return None
         life = f"{member}/{incarnation}"
         granted = tuple(
@@ -114,7 +114,7 @@
         """
         keeper_by_key = {}
         for key in self.borrower.keys():
-            keeper = self._views.keeper(key.lender_key)
+            keeper = self._views.coordinator(key.lender_key)
             if keeper in alive:
                 keeper_by_key[key] = keeper
         due = self.borrower.due_requests(
@@ -133,7 +133,7 @@
         """
         return self.borrower.apply_response(answer, keeper, now)
 
-    def slots(
+    def usable_slots(
         self, key: loankey.LoanKey, known: frozenset[str], now: clock.Ms
     ) -> int:
         """Return how many slots may be used at this moment.
@@ -150,7 +150,7 @@
         """
         # Right after a stop the monotonic clock may not have moved, and a
         # loan that has run out for its keeper would look good here.
-        if self._authority.paused():
+        if self._authority.is_paused():
             return 0
         held = self.borrower.usable_slots(key, now)
         if held or key.kind is not loankey.LoanKind.TEAM:
@@ -158,8 +158,10 @@
         if self.borrower.has_response(key, now):
             return 0
         limit = self.lender.limit(key)
-        whole = share.padded(known, self._expected_daemons)
-        return share.shares(key.lender_key, limit, whole).get(self._name, 0)
+        whole = share.pad_members(known, self._expected_daemons)
+        return share.split_limit(key.lender_key, limit, whole).get(
+            self._name, 0
+        )
 
     def loan(self, key: loankey.LoanKey, now: clock.Ms) -> loans.Loan | None:
         """Return the loan in force, or None.
@@ -167,7 +169,7 @@
         :param key: the limit.
         :param now: monotonic time in ms.
         """
-        if self._authority.paused():
+        if self._authority.is_paused():
             return None
         return self.borrower.loan(key, now)
 
@@ -178,10 +180,10 @@
             return False
         # Where operators say that one daemon is all there is, no other
         # can have lent.
-        if self._expected_daemons == 1 and len(self._views.known()) == 1:
+        if self._expected_daemons == 1 and len(self._views.ever_known()) == 1:
             return True
         # A daemon that started on the far side of a cut knows of nobody,
         # and would take itself for the whole data centre.
-        if not (self._authority.met or self._is_first):
+        if not (self._authority.has_met_peer or self._is_first):
             return False
-        return self._views.kept(key.lender_key, self._name, now)
+        return self._views.was_coordinator(key.lender_key, self._name, now)
--- a/src/citronvalve/peers/member.py
+++ b/src/citronvalve/peers/member.py
@@ -23,6 +23,6 @@
     datacentre: str
     address: str
     incarnation: int
-    beat: int = 0
+    heartbeat: int = 0
     version: int = 0
     state: MemberState = MemberState.ALIVE
--- a/src/citronvalve/peers/membership.py
+++ b/src/citronvalve/peers/membership.py
@@ -16,14 +16,14 @@
 #: Tellings of a join, death or leave: log2 of 52 members and one more, so
 #: that a message lost here or there leaves nobody out.  A full roster
 #: repairs the rest.
-_NEWS_TELLINGS = 7
+_MEMBER_TRANSMISSIONS = 7
 
 #: The record of a member that is gone stays for this many spans of
 #: forgetting: far longer than any message takes.
-_KEEP_GONE = 10
+_RECORD_RETENTION_FACTOR = 10
 
 #: Tellings of a heartbeat; the next one comes within a second anyway.
-_BEAT_TELLINGS = 3
+_HEARTBEAT_TRANSMISSIONS = 3
 
 
 class Membership:
@@ -41,8 +41,8 @@
         self.member_by_name: dict[str, members.Member] = {}
         self._heard_at_by_name: dict[str, clock.Ms] = {}
         self._died_at_by_name: dict[str, clock.Ms] = {}
-        self.news = updatequeue.UpdateQueue()
-        self.beats = updatequeue.UpdateQueue()
+        self.updates = updatequeue.UpdateQueue()
+        self.heartbeats = updatequeue.UpdateQueue()
         self._alive: frozenset[str] | None = None
         self._digest = 0
 
@@ -54,7 +54,7 @@
                 for name, member in self.member_by_name.items()
                 if member.state in _ALIVE
             )
-            self._digest = self._work_out_digest(self._alive)
+            self._digest = self._compute_digest(self._alive)
         return self._alive
 
     def known(self) -> frozenset[str]:
@@ -87,7 +87,7 @@
         self.alive()
         return self._digest
 
-    def _work_out_digest(self, alive: frozenset[str]) -> int:
+    def _compute_digest(self, alive: frozenset[str]) -> int:
         lives = sorted(
             (name, self.member_by_name[name].incarnation) for name in alive
         )
@@ -121,7 +121,9 @@
         if record.incarnation < held.incarnation or held.state not in _ALIVE:
             return False
         if record.state in _ALIVE:
-            return self._beat(held, record.beat, record.version, now)
+            return self._record_heartbeat(
+                held, record.heartbeat, record.version, now
+            )
         # Hearsay of a death loses against a beat heard lately: one member
         # behind a bad link must not bury a daemon that others hear.
         if (
@@ -132,7 +134,7 @@
             return True
         return False
 
-    def hear(self, beat: beats.Heartbeat, now: clock.Ms) -> bool:
+    def apply_heartbeat(self, beat: beats.Heartbeat, now: clock.Ms) -> bool:
         """Take in a heartbeat; tell whether it was a new one.
 
         :param beat: from its sender or passed on.
@@ -143,7 +145,7 @@
             return False
         if held.state not in _ALIVE:
             return False
-        return self._beat(held, beat.counter, beat.version, now)
+        return self._record_heartbeat(held, beat.counter, beat.version, now)
 
     def sweep(self, now: clock.Ms, own: str) -> None:
         """Suspect the silent and bury those silent for too long.
@@ -160,10 +162,10 @@
                 self.member_by_name[name] = held._replace(
                     state=members.MemberState.SUSPECT
                 )
-        self._forget(now)
-        self._drop_old(now)
+        self._forget_dead(now)
+        self._drop_old_records(now)
 
-    def woke(self, now: clock.Ms) -> None:
+    def reset_timers(self, now: clock.Ms) -> None:
         """Give every member time to be heard again.
 
         After a pause all others seem silent; burying them would make this
@@ -181,16 +183,16 @@
         """
         self._died_at_by_name.pop(name, None)
 
-    def _drop_old(self, now: clock.Ms) -> None:
+    def _drop_old_records(self, now: clock.Ms) -> None:
         # VMs are replaced all the time, and each new one has a new name.  A
         # record is kept until no message about its life can be on its way.
-        keep = _KEEP_GONE * self._timing.forget_after
+        keep = _RECORD_RETENTION_FACTOR * self._timing.forget_after
         for name, heard_at in list(self._heard_at_by_name.items()):
             if name not in self.known() and now - heard_at > keep:
                 del self._heard_at_by_name[name]
                 del self.member_by_name[name]
 
-    def _forget(self, now: clock.Ms) -> None:
+    def _forget_dead(self, now: clock.Ms) -> None:
         # Only the larger side of a cut forgets the other.  Otherwise both
         # sides of a long one would take themselves for the whole and lend
         # every limit twice.
@@ -200,12 +202,12 @@
             if now - died_at >= self._timing.forget_after:
                 self.forget(name)
 
-    def _beat(
+    def _record_heartbeat(
         self, held: members.Member, beat: int, version: int, now: clock.Ms
     ) -> bool:
-        if beat <= held.beat:
-            if beat == held.beat:
-                self.beats.heard(held.name)
+        if beat <= held.heartbeat:
+            if beat == held.heartbeat:
+                self.heartbeats.record_duplicate(held.name)
             return False
         self._invariants.check(
             "a dead incarnation does not come back",
@@ -213,12 +215,12 @@
             f"{held}",
         )
         self.member_by_name[held.name] = held._replace(
-            beat=beat,
+            heartbeat=beat,
             version=max(version, held.version),
             state=members.MemberState.ALIVE,
         )
         self._heard_at_by_name[held.name] = now
-        self.beats.put(held.name, _BEAT_TELLINGS)
+        self.heartbeats.put(held.name, _HEARTBEAT_TRANSMISSIONS)
         return True
 
     def _put(self, record: members.Member, now: clock.Ms) -> None:
@@ -235,14 +237,14 @@
         self._died_at_by_name.pop(record.name, None)
         if record.state is members.MemberState.DEAD:
             self._died_at_by_name[record.name] = now
-        self.news.put(record.name, _NEWS_TELLINGS, urgent=True)
+        self.updates.put(record.name, _MEMBER_TRANSMISSIONS, urgent=True)
         self._alive = None
 
     def roster(self) -> tuple[members.Member, ...]:
         """Return every record, for a newcomer or a repair."""
         return tuple(self.member_by_name.values())
 
-    def beat_of(self, name: str) -> beats.Heartbeat | None:
+    def heartbeat_of(self, name: str) -> beats.Heartbeat | None:
         """Return a member's last heartbeat, or ``None`` once it is dead.
 
         :param name: the member.
@@ -250,12 +252,14 @@
         held = self.member_by_name.get(name)
         if held is None or held.state not in _ALIVE:
             return None
-        return beats.Heartbeat(name, held.incarnation, held.beat, held.version)
+        return beats.Heartbeat(
+            name, held.incarnation, held.heartbeat, held.version
+        )
 
-    def raise_beats(self, names: Iterable[str]) -> None:
+    def prioritize_heartbeats(self, names: Iterable[str]) -> None:
         """Tell some heartbeats before all others.
 
         :param names: the members.
         """
         for name in names:
-            self.beats.put(name, _BEAT_TELLINGS, urgent=True)
+            self.heartbeats.put(name, _HEARTBEAT_TRANSMISSIONS, urgent=True)
--- a/src/citronvalve/peers/pacer.py
+++ b/src/citronvalve/peers/pacer.py
@@ -19,20 +19,20 @@
     """
 
     def __init__(self, apart: clock.Ms, rng: random.Random) -> None:
-        self._apart = apart
+        self._interval = apart
         self._rng = rng
         self._sent_at_by_target: dict[str, clock.Ms] = {}
 
-    def free(self, target: str, now: clock.Ms) -> bool:
+    def may_send(self, target: str, now: clock.Ms) -> bool:
         """Tell whether a target may be written to.
 
         :param target: name or address.
         :param now: monotonic time in ms.
         """
         sent_at = self._sent_at_by_target.get(target)
-        return sent_at is None or now - sent_at >= self._apart
+        return sent_at is None or now - sent_at >= self._interval
 
-    def sent(self, target: str, now: clock.Ms) -> None:
+    def record_sent(self, target: str, now: clock.Ms) -> None:
         """Note a message.
 
         :param target: name or address.
@@ -40,16 +40,18 @@
         """
         self._sent_at_by_target[target] = now
 
-    def pick(self, targets: Iterable[str], now: clock.Ms) -> str | None:
+    def pick_random(self, targets: Iterable[str], now: clock.Ms) -> str | None:
         """Pick a free target by chance, or ``None``.
 
         :param targets: names or addresses.
         :param now: monotonic time in ms.
         """
-        free = sorted(name for name in targets if self.free(name, now))
+        free = sorted(name for name in targets if self.may_send(name, now))
         return self._rng.choice(free) if free else None
 
-    def oldest(self, targets: Iterable[str], now: clock.Ms) -> str | None:
+    def pick_least_recent(
+        self, targets: Iterable[str], now: clock.Ms
+    ) -> str | None:
         """Pick the free target that was written to longest ago.
 
         Chance decides between equals; every target has its turn, so that a
@@ -58,12 +60,12 @@
         :param targets: names or addresses.
         :param now: monotonic time in ms.
         """
-        free = [name for name in targets if self.free(name, now)]
+        free = [name for name in targets if self.may_send(name, now)]
         if not free:
             return None
         sent_at = self._sent_at_by_target
         oldest = min(sent_at.get(name, -1) for name in free)
-        return self.pick(
+        return self.pick_random(
             [name for name in free if sent_at.get(name, -1) == oldest], now
         )
 
--- a/src/citronvalve/peers/pause.py
+++ b/src/citronvalve/peers/pause.py
@@ -20,7 +20,7 @@
         self._limit = limit
         self.tick()
 
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Tell whether the last tick is too long ago to trust one's view."""
         gap = self._clock.now() - self._now
         drift = abs(self._clock.wall() - self._wall - gap)
--- a/src/citronvalve/peers/peer.py
+++ b/src/citronvalve/peers/peer.py
@@ -73,21 +73,23 @@
         To be asked right before each act, since the process may just have
         been stopped for a while.
         """
-        return self._state.authority.acting()
+        return self._state.authority.may_act()
 
-    def keeper_of(self, key: str) -> str | None:
+    def coordinator_of(self, key: str) -> str | None:
         """Return the member of this data centre that keeps something.
 
         :param key: what is kept, such as ``upstream/engine-1``.
         """
         return rendezvous.first(key, self._state.membership.alive())
 
-    def keeps(self, key: str) -> bool:
+    def is_coordinator_of(self, key: str) -> bool:
         """Tell whether this daemon is the keeper, and may act.
 
         :param key: what is kept.
         """
-        return self.is_acting() and (self.keeper_of(key) == self.settings.name)
+        return self.is_acting() and (
+            self.coordinator_of(key) == self.settings.name
+        )
 
     def polls(self, upstream: str, datacentre: str) -> bool:
         """Tell whether this daemon asks an upstream for its load.
@@ -126,18 +128,18 @@
         """Return the rows of the table as they are in force here."""
         return self._state.table.rows()
 
-    def offer_table(self, delta: tabledelta.TableDelta) -> bool:
+    def publish_table(self, delta: tabledelta.TableDelta) -> bool:
         """Spread a version that a watcher read; tell whether it is newer.
 
         :param delta: from any version up to the one held here.
         """
         return self.core.publish_table(delta)
 
-    def is_table_doubted(self) -> bool:
+    def is_table_disputed(self) -> bool:
         """Tell whether a peer holds other rows at the same version."""
-        return self._state.table.is_doubted
+        return self._state.table.is_disputed
 
-    def compare_table(self, whole: tabledelta.TableDelta) -> None:
+    def reconcile_table(self, whole: tabledelta.TableDelta) -> None:
         """Replace the rows held where they differ from the platform's.
 
         :param whole: the whole table, read from the platform.
@@ -163,7 +165,9 @@
         state = self._state
         mates = sorted(state.membership.alive())
         far = {
-            s.datacentre: s.members for s in state.remote.all(0) if s.members
+            s.datacentre: s.members
+            for s in state.remote.summaries(0)
+            if s.members
         }
         before = sum(
             count
@@ -180,7 +184,7 @@
         """
         return self.core.confirmation(version)
 
-    def offer_load(self, report: loads_.LoadReport) -> None:
+    def publish_load(self, report: loads_.LoadReport) -> None:
         """Spread a load that this daemon measured.
 
         :param report: of an upstream that it keeps.
@@ -198,7 +202,7 @@
         """
         self._state.neighbours = datacentres
 
-    def offer_crash(
+    def publish_crash(
         self, fingerprint: str, upstream: str, start_id: str
     ) -> None:
         """Spread that an upstream was lost while it ran a request.
@@ -225,7 +229,7 @@
         """
         self._state.loan_manager.lender.set_limit(key, limit)
 
-    def set_other_limits(
+    def set_default_limit(
         self, limit: Callable[[loankey.LoanKey], int]
     ) -> None:
         """Say how much to lend where this daemon sets no limit by itself.
@@ -234,7 +238,7 @@
         """
         self._state.loan_manager.lender.default_limit = limit
 
-    def want(self, key: loankey.LoanKey, slots: int) -> None:
+    def request_slots(self, key: loankey.LoanKey, slots: int) -> None:
         """Borrow up to some slots, and renew until told otherwise.
 
         :param key: the limit.
@@ -242,12 +246,12 @@
         """
         self._state.loan_manager.borrower.request_slots(key, slots)
 
-    def slots(self, key: loankey.LoanKey) -> int:
+    def usable_slots(self, key: loankey.LoanKey) -> int:
         """Return how many slots may be in use at this moment.
 
         :param key: the limit.
         """
-        return self._state.loan_manager.slots(
+        return self._state.loan_manager.usable_slots(
             key, self._state.membership.known(), self._clock.now()
         )
 
@@ -273,12 +277,12 @@
             return datacentre == home
         return rendezvous.first(f"home/{datacentre}", (home, *others)) == home
 
-    def hint_vms(self, addresses: list[str]) -> None:
+    def set_extra_seeds(self, addresses: list[str]) -> None:
         """Take addresses of daemons from the platform's lagging list.
 
         :param addresses: where to knock; they prove nothing.
         """
-        self.core.schedule.add_seeds(addresses)
+        self.core.schedule.set_extra_seeds(addresses)
 
     def forget(self, name: str) -> None:
         """Stop counting a dead member, since its VM is gone for good.
@@ -293,7 +297,7 @@
         membership = state.membership
         far = tuple(
             statuses.FarStatus(s.datacentre, s.age, s.members, s.version)
-            for s in state.remote.all(self._clock.now())
+            for s in state.remote.summaries(self._clock.now())
         )
         return statuses.PeerStatus(
             self.settings.name,
@@ -309,7 +313,7 @@
             state.table.version,
             f"{state.table.digest:016x}",
             self.confirmation(state.table.version).silent,
-            state.table.refused,
+            state.table.pages_refused,
             len(state.loads.reports()),
             dict(self.codec.dropped_by_reason),
         )
--- a/src/citronvalve/peers/peersettings.py
+++ b/src/citronvalve/peers/peersettings.py
@@ -22,7 +22,7 @@
     address: str
     seeds: tuple[str, ...] = ()
     timing: timings.Timing = timings.Timing()
-    expected: int = 0
+    expected_daemons: int = 0
     public_key: str = ""
     secret_key: str = ""
     allowed_keys: tuple[str, ...] = ()
--- a/src/citronvalve/peers/remote.py
+++ b/src/citronvalve/peers/remote.py
@@ -5,15 +5,15 @@
 from citronvalve.peers import updatequeue
 
 #: Tellings inside a data centre; the next summary comes soon.
-_TELLINGS = 4
+_TRANSMISSIONS = 4
 
 #: A summary that says nothing new is passed on this seldom.  It is made for
 #: 30 other data centres: at once a second their summaries alone would take
 #: most of 19 KB/s.
-_RENEW: clock.Ms = 5 * clock.SECOND
+_UNCHANGED_INTERVAL: clock.Ms = 5 * clock.SECOND
 
 
-class Remote:
+class RemoteDatacentres:
     """The newest summary of each other data centre.
 
     :param own: name of this daemon's data centre.
@@ -23,7 +23,7 @@
         self._own = own
         self._summary_by_name: dict[str, summaries.Summary] = {}
         self._seen_at_by_name: dict[str, clock.Ms] = {}
-        self.rumors = updatequeue.UpdateQueue()
+        self.updates = updatequeue.UpdateQueue()
 
     def names(self) -> list[str]:
         """Return the other data centres that were ever heard of."""
@@ -43,7 +43,7 @@
         """
         return self._summary_by_name[name].contacts
 
-    def hear(self, summary: summaries.Summary, now: clock.Ms) -> bool:
+    def apply(self, summary: summaries.Summary, now: clock.Ms) -> bool:
         """Take in a summary; tell whether it is passed on.
 
         :param summary: of any data centre.
@@ -55,21 +55,21 @@
         held = self._summary_by_name.get(name)
         seen_at = now - max(0, summary.age)
         if held is not None and seen_at <= self._seen_at_by_name[name]:
-            self.rumors.heard(name)
+            self.updates.record_duplicate(name)
             return False
         fresh = (
             held is None
             or held._replace(age=0, contacts=())
             != summary._replace(age=0, contacts=())
-            or seen_at - self._seen_at_by_name[name] >= _RENEW
+            or seen_at - self._seen_at_by_name[name] >= _UNCHANGED_INTERVAL
         )
         if fresh:
             self._summary_by_name[name] = summary
             self._seen_at_by_name[name] = seen_at
-            self.rumors.put(name, _TELLINGS)
+            self.updates.put(name, _TRANSMISSIONS)
         return fresh
 
-    def rumor(self, name: str, now: clock.Ms) -> summaries.Summary:
+    def current_summary(self, name: str, now: clock.Ms) -> summaries.Summary:
         """Return a summary in the form in which it travels.
 
         :param name: a data centre.
@@ -79,9 +79,9 @@
             age=max(0, now - self._seen_at_by_name[name])
         )
 
-    def all(self, now: clock.Ms) -> tuple[summaries.Summary, ...]:
+    def summaries(self, now: clock.Ms) -> tuple[summaries.Summary, ...]:
         """Return every summary, with its age.
 
         :param now: monotonic time in ms.
         """
-        return tuple(self.rumor(name, now) for name in self.names())
+        return tuple(self.current_summary(name, now) for name in self.names())
--- a/src/citronvalve/peers/replier.py
+++ b/src/citronvalve/peers/replier.py
@@ -28,7 +28,7 @@
         pacer: pacers.Pacer,
     ) -> None:
         self._state = state
-        self._gossiper = gossiper
+        self._gossip_builder = gossiper
         self._pacer = pacer
         self._roster_sent_at: clock.Ms | None = None
 
@@ -48,15 +48,15 @@
         if not near:
             if not message.wants_reply:
                 return []
-            reply = self._gossiper.introduction(now)
+            reply = self._gossip_builder.introduction(now)
             return [outgoing.Outgoing(sender.address, reply)]
         astray = message.roster_digest not in (0, state.membership.digest())
         if astray and self._roster_due(now):
             self._roster_sent_at = now
-            reply = self._gossiper.full_roster(sender.name, now)
+            reply = self._gossip_builder.full_roster(sender.name, now)
             return [outgoing.Outgoing(sender.address, reply)]
         if message.wants_reply:
-            reply = self._gossiper.for_member(sender.name, now)
+            reply = self._gossip_builder.for_member(sender.name, now)
             return [outgoing.Outgoing(sender.address, reply)]
         return []
 
@@ -67,16 +67,16 @@
             or now - at >= self._state.settings.timing.repair_interval
         )
 
-    def notify(self, sender: envelope.Sender) -> _Out:
+    def death_notice(self, sender: envelope.Sender) -> _Out:
         """Tell a peer that its life is over, once a second at most.
 
         :param sender: the peer, speaking from a buried life.
         """
         state, now = self._state, self._state.clock.now()
         target = f"notice/{sender.name}"
-        if not self._pacer.free(target, now):
+        if not self._pacer.may_send(target, now):
             return []
-        self._pacer.sent(target, now)
+        self._pacer.record_sent(target, now)
         held = state.membership.member_by_name[sender.name]
         over = held.incarnation
         if held.state in (
--- a/src/citronvalve/peers/schedule.py
+++ b/src/citronvalve/peers/schedule.py
@@ -13,7 +13,7 @@
 _RELAYS = 2
 
 #: Ticks between two knocks at an address that does not answer.
-_KNOCK_TICKS = 8
+_PROBE_INTERVAL_TICKS = 8
 
 
 class Schedule:
@@ -27,20 +27,20 @@
         self, state: states.State, gossiper: gossipers.GossipBuilder
     ) -> None:
         self._state = state
-        self._gossiper = gossiper
+        self._gossip_builder = gossiper
         self.pacer = pacers.Pacer(
             state.settings.timing.send_interval, state.rng
         )
         self._ticks = 0
-        self._seeds: set[str] = set()
+        self._extra_seeds: set[str] = set()
 
-    def add_seeds(self, addresses: list[str]) -> None:
+    def set_extra_seeds(self, addresses: list[str]) -> None:
         """Take addresses to knock at beside the settings' seeds.
 
         :param addresses: from the platform's list, or from another data
             centre.  They are hints only.
         """
-        self._seeds = set(addresses)
+        self._extra_seeds = set(addresses)
 
     def tick(self, now: clock.Ms) -> list[outgoing.Outgoing]:
         """Return the gossip to send in this tick.
@@ -48,63 +48,66 @@
         :param now: monotonic time in ms.
         """
         self._ticks += 1
-        out = [*self._near(now), *self._far(now)]
-        joining = self._state.authority.joining()
-        if joining or self._ticks % _KNOCK_TICKS == 0:
-            out += self._knock(now)
+        out = [*self._to_member(now), *self._to_datacentre(now)]
+        joining = self._state.authority.is_joining()
+        if joining or self._ticks % _PROBE_INTERVAL_TICKS == 0:
+            out += self._probe_address(now)
         return out
 
-    def _near(self, now: clock.Ms) -> list[outgoing.Outgoing]:
+    def _to_member(self, now: clock.Ms) -> list[outgoing.Outgoing]:
         state = self._state
-        target = self._suspect(now) or self._behind(now)
-        target = target or self.pacer.oldest(sorted(state.others()), now)
+        target = self._pick_suspect(now) or self._pick_outdated(now)
+        target = target or self.pacer.pick_least_recent(
+            sorted(state.others()), now
+        )
         if target is None:
             return []
-        self.pacer.sent(target, now)
+        self.pacer.record_sent(target, now)
         held = state.membership.member_by_name[target]
         # A suspect is asked for an answer, and so is anyone who may
         # acknowledge a life that may not act yet.
         reply = target in state.membership.suspects()
-        reply = reply or state.authority.joining()
-        message = self._gossiper.for_member(target, now, reply)
+        reply = reply or state.authority.is_joining()
+        message = self._gossip_builder.for_member(target, now, reply)
         return [outgoing.Outgoing(held.address, message)]
 
-    def _suspect(self, now: clock.Ms) -> str | None:
-        return self.pacer.pick(self._state.membership.suspects(), now)
+    def _pick_suspect(self, now: clock.Ms) -> str | None:
+        return self.pacer.pick_random(self._state.membership.suspects(), now)
 
-    def _behind(self, now: clock.Ms) -> str | None:
+    def _pick_outdated(self, now: clock.Ms) -> str | None:
         state = self._state
         by_name = state.membership.member_by_name
         version = state.table.version
-        return self.pacer.pick(
+        return self.pacer.pick_random(
             [n for n in state.others() if by_name[n].version < version], now
         )
 
-    def _far(self, now: clock.Ms) -> list[outgoing.Outgoing]:
+    def _to_datacentre(self, now: clock.Ms) -> list[outgoing.Outgoing]:
         state = self._state
-        if not state.authority.acting():
+        if not state.authority.may_act():
             return []
-        name = self.pacer.oldest(
-            [f"dc/{n}" for n in state.remote.names() if self._relays(n)], now
+        name = self.pacer.pick_least_recent(
+            [f"dc/{n}" for n in state.remote.names() if self._is_relay_to(n)],
+            now,
         )
         if name is None:
             return []
-        self.pacer.sent(name, now)
+        self.pacer.record_sent(name, now)
         datacentre = name.removeprefix("dc/")
         contacts = state.remote.contacts(datacentre)
         if not contacts:
             return []
         address = state.rng.choice(contacts).address
-        message = self._gossiper.for_datacentre(datacentre, now)
+        message = self._gossip_builder.for_datacentre(datacentre, now)
         return [outgoing.Outgoing(address, message)]
 
-    def _relays(self, datacentre: str) -> bool:
+    def _is_relay_to(self, datacentre: str) -> bool:
         state = self._state
         key = f"relay/{datacentre}"
         ranked = rendezvous.rank(key, state.membership.alive())
         return state.settings.name in ranked[:_RELAYS]
 
-    def _knock(self, now: clock.Ms) -> list[outgoing.Outgoing]:
+    def _probe_address(self, now: clock.Ms) -> list[outgoing.Outgoing]:
         """Write to an address that may be anyone's.
 
         After a cut both sides hold each other dead, and a whole data centre
@@ -113,18 +116,18 @@
         """
         state = self._state
         addresses = {member.address for member in state.membership.dead()}
-        addresses |= self._seeds | set(state.settings.seeds)
+        addresses |= self._extra_seeds | set(state.settings.seeds)
         addresses -= {
             state.membership.member_by_name[name].address
             for name in state.membership.alive()
         }
-        target = self.pacer.pick(addresses, now)
+        target = self.pacer.pick_random(addresses, now)
         if target is None:
             return []
-        self.pacer.sent(target, now)
-        message = self._gossiper.for_member("", now, reply=True)
+        self.pacer.record_sent(target, now)
+        message = self._gossip_builder.for_member("", now, reply=True)
         # A seed in another data centre introduces newcomers to each other
         # by what they tell of themselves.
-        summary = self._gossiper.summary()
+        summary = self._gossip_builder.summary()
         message = message._replace(summaries=(summary,))
         return [outgoing.Outgoing(target, message)]
--- a/src/citronvalve/peers/share.py
+++ b/src/citronvalve/peers/share.py
@@ -14,10 +14,10 @@
 
 
 #: Starts the names that stand for members never heard of.
-_UNMET = "?"
+_PLACEHOLDER_PREFIX = "?"
 
 
-def padded(known: frozenset[str], expected: int) -> frozenset[str]:
+def pad_members(known: frozenset[str], expected: int) -> frozenset[str]:
     """Add members that were never heard of, up to the expected number.
 
     Two daemons that both start anew on the smaller side of a cut know only
@@ -28,10 +28,10 @@
     :param expected: how many there should be; 0 when nobody says.
     """
     unmet = range(expected - len(known))
-    return known | {f"{_UNMET}{number}" for number in unmet}
+    return known | {f"{_PLACEHOLDER_PREFIX}{number}" for number in unmet}
 
 
-def shares(key: str, limit: int, known: Iterable[str]) -> dict[str, int]:
+def split_limit(key: str, limit: int, known: Iterable[str]) -> dict[str, int]:
     """Split a limit over members; the shares add up to it at most.
 
     :param key: what is limited; its ranking takes the remainder.
@@ -44,12 +44,12 @@
     each, rest = divmod(limit, len(ranked))
     # The other side of a cut may rank real names where this one has none.
     # The remainder then goes to that side alone.
-    if any(name.startswith(_UNMET) for name in ranked):
+    if any(name.startswith(_PLACEHOLDER_PREFIX) for name in ranked):
         rest = 0
     return {name: each + (i < rest) for i, name in enumerate(ranked)}
 
 
-def of_seen(
+def lendable_slots(
     key: str, limit: int, known: frozenset[str], seen: frozenset[str]
 ) -> int:
     """Return what a keeper may lend that sees only some of the members.
@@ -64,11 +64,11 @@
     """
     if seen >= known:
         return limit
-    by_name = shares(key, limit, known)
+    by_name = split_limit(key, limit, known)
     return sum(by_name[name] for name in seen & known)
 
 
-def is_most(key: str, known: frozenset[str], seen: frozenset[str]) -> bool:
+def is_majority(key: str, known: frozenset[str], seen: frozenset[str]) -> bool:
     """Tell whether a side holds most members, or half and the first of them.
 
     At most one side of a cut does, so a limit that may not be split (a cold
--- a/src/citronvalve/peers/sockets.py
+++ b/src/citronvalve/peers/sockets.py
@@ -20,14 +20,14 @@
 #: A connection that carried nothing for this long is dropped and made anew:
 #: something between the two ends may have lost track of it without a word,
 #: while new connections work.
-_HEARTBEAT = 3 * clock.SECOND
+_HEARTBEAT_INTERVAL = 3 * clock.SECOND
 _HEARTBEAT_TIMEOUT = 9 * clock.SECOND
 
 #: Connections are closed after this time without a message to send.
-_IDLE = 2 * clock.MINUTE
+_IDLE_TIMEOUT = 2 * clock.MINUTE
 
-_RECONNECT = 200
-_RECONNECT_MOST = 5 * clock.SECOND
+_RECONNECT_INTERVAL = 200
+_MAX_RECONNECT_INTERVAL = 5 * clock.SECOND
 
 
 class _Connection(NamedTuple):
@@ -54,27 +54,27 @@
         self._settings = settings
         self._clock = clock_
         self.context = zmq.Context()
-        self._in = self._socket()
-        self._in.setsockopt(zmq.RCVHWM, _RECEIVE_QUEUE)
-        self._in.setsockopt(zmq.MAXMSGSIZE, codec.MAX_MESSAGE_BYTES)
-        self._out = self._socket()
-        self._out.setsockopt(zmq.SNDHWM, _SEND_QUEUE)
-        self._out.setsockopt(zmq.ROUTER_MANDATORY, 1)
+        self._receiver = self._create_socket()
+        self._receiver.setsockopt(zmq.RCVHWM, _RECEIVE_QUEUE)
+        self._receiver.setsockopt(zmq.MAXMSGSIZE, codec.MAX_MESSAGE_BYTES)
+        self._sender = self._create_socket()
+        self._sender.setsockopt(zmq.SNDHWM, _SEND_QUEUE)
+        self._sender.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self._connection_by_address: dict[str, _Connection] = {}
         self._serial = 0
         self.dropped_by_reason: collections.Counter[str] = (
             collections.Counter()
         )
         if settings.secret_key:
-            self._secure()
+            self._enable_curve()
 
     def bind(self) -> None:
         """Start to listen at this daemon's address."""
-        self._in.bind(self._settings.address)
+        self._receiver.bind(self._settings.address)
 
     def receive(self) -> bytes:
         """Wait for a message; other tasks run meanwhile."""
-        return self._in.recv_multipart()[-1]
+        return self._receiver.recv_multipart()[-1]
 
     def send(self, address: str, data: bytes) -> bool:
         """Send without ever waiting; tell whether it was queued.
@@ -84,7 +84,7 @@
         """
         try:
             routing_id = self._connect(address)
-            self._out.send_multipart([routing_id, data], zmq.NOBLOCK)
+            self._sender.send_multipart([routing_id, data], zmq.NOBLOCK)
         except zmq.Again:
             self.dropped_by_reason["queue full"] += 1
         except zmq.ZMQError:
@@ -97,14 +97,14 @@
         """Close connections to addresses that are no longer written to."""
         now = self._clock.now()
         for address, held in list(self._connection_by_address.items()):
-            if now - held.used_at > _IDLE:
+            if now - held.used_at > _IDLE_TIMEOUT:
                 del self._connection_by_address[address]
-                self._out.disconnect(address)
+                self._sender.disconnect(address)
 
     def close(self) -> None:
         """Close both sockets."""
-        self._in.close(linger=0)
-        self._out.close(linger=_RECONNECT)
+        self._receiver.close(linger=0)
+        self._sender.close(linger=_RECONNECT_INTERVAL)
         self.context.term()
 
     def _connect(self, address: str) -> bytes:
@@ -113,27 +113,27 @@
         if held is None:
             self._serial += 1
             routing_id = b"peer-%d" % self._serial
-            self._out.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
-            self._out.connect(address)
+            self._sender.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
+            self._sender.connect(address)
             held = _Connection(routing_id, now)
         self._connection_by_address[address] = held._replace(used_at=now)
         return held.routing_id
 
-    def _socket(self):
+    def _create_socket(self):
         socket = self.context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT)
-        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT)
-        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MOST)
+        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_INTERVAL)
+        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _MAX_RECONNECT_INTERVAL)
         return socket
 
-    def _secure(self) -> None:
+    def _enable_curve(self) -> None:
         public = self._settings.public_key.encode()
         secret = self._settings.secret_key.encode()
-        for socket in (self._in, self._out):
+        for socket in (self._receiver, self._sender):
             socket.curve_publickey = public
             socket.curve_secretkey = secret
-        self._in.curve_server = True
-        self._in.zap_domain = b"peers"
-        self._out.curve_serverkey = public
+        self._receiver.curve_server = True
+        self._receiver.zap_domain = b"peers"
+        self._sender.curve_serverkey = public
--- a/src/citronvalve/peers/state.py
+++ b/src/citronvalve/peers/state.py
@@ -38,10 +38,10 @@
         self.invariants = invariants
         first = not set(settings.seeds) - {settings.address}
         self.authority = authority.Authority(
-            clock_, timing, invariants, first or settings.expected == 1
+            clock_, timing, invariants, first or settings.expected_daemons == 1
         )
         self.membership = membership.Membership(timing, invariants)
-        self.remote = remote.Remote(settings.datacentre)
+        self.remote = remote.RemoteDatacentres(settings.datacentre)
         self.table = tablecopy.TableCopy(invariants)
         self.loads = loadtable.LoadTable(
             settings.name, timing.refresh_interval
@@ -53,7 +53,7 @@
             self.authority,
             invariants,
             first=first,
-            expected=settings.expected,
+            expected=settings.expected_daemons,
         )
         # Which data centres take loads of this one; empty means all, as in
         # a fleet of one region.
--- a/src/citronvalve/peers/tablecopy.py
+++ b/src/citronvalve/peers/tablecopy.py
@@ -14,7 +14,7 @@
 
 #: Bytes of rows in one page.  A message of 64 KiB takes about a
 #: millisecond to handle, which delays tokens by as much.
-_PAGE_BYTES = 48 * 1_024
+_MAX_PAGE_BYTES = 48 * 1_024
 
 _CHANGE_OVERHEAD = 16
 
@@ -48,14 +48,14 @@
         self.version = 0
         self.digest = 0
         self._row_by_key: dict[tuple[str, str], changes.Change] = {}
-        self._order: list[tablepage.Cursor] = []
-        self._staged: dict[tuple[str, str], changes.Change] = {}
+        self._cursors: list[tablepage.Cursor] = []
+        self._staged_by_key: dict[tuple[str, str], changes.Change] = {}
         self._staged_from = tablepage.Cursor(0)
         # Set once a digest did not match: the next try takes every row,
         # since the fault may lie in a row held here.
-        self._whole = False
-        self.refused = 0
-        self.is_doubted = False
+        self._needs_full_copy = False
+        self.pages_refused = 0
+        self.is_disputed = False
         self.confirmed_at: clock.Ms | None = None
 
     def confirm(self, at: clock.Ms) -> None:
@@ -76,7 +76,7 @@
         self._commit(delta.version, delta.changes)
         return True
 
-    def compare(
+    def reconcile(
         self, whole: tabledelta.TableDelta
     ) -> tuple[tuple[str, str], ...]:
         """Replace the rows held if any of them differs from the platform's.
@@ -87,19 +87,19 @@
         """
         if whole.version < self.version:
             return ()
-        self.is_doubted = False
+        self.is_disputed = False
         row_by_key = {(row.table, row.key): row for row in whole.changes}
         wrong = tuple(
             key
             for key in sorted(self._row_by_key.keys() | row_by_key.keys())
-            if self._is_wrong(key, row_by_key.get(key))
+            if self._differs(key, row_by_key.get(key))
         )
         if wrong:
             self._clear()
-            self._put(whole.version, whole.changes)
+            self._write(whole.version, whole.changes)
         return wrong
 
-    def _is_wrong(
+    def _differs(
         self, key: tuple[str, str], stored: changes.Change | None
     ) -> bool:
         # What was written after the version held here is only new.
@@ -112,11 +112,11 @@
 
         :param start: the end of what the receiver holds.
         """
-        at = bisect.bisect_right(self._order, start)
+        at = bisect.bisect_right(self._cursors, start)
         taken: list[changes.Change] = []
         size = 0
-        while at < len(self._order) and size < _PAGE_BYTES:
-            place = self._order[at]
+        while at < len(self._cursors) and size < _MAX_PAGE_BYTES:
+            place = self._cursors[at]
             row = self._row_by_key[place.table, place.key]
             size += len(row.value) + len(row.key) + _CHANGE_OVERHEAD
             taken.append(row)
@@ -126,41 +126,41 @@
             self.digest,
             start,
             tuple(taken),
-            at == len(self._order),
+            at == len(self._cursors),
         )
 
-    def after(self, version: int) -> tuple[changes.Change, ...]:
+    def rows_after(self, version: int) -> tuple[changes.Change, ...]:
         """Return all rows newer than a version.
 
         :param version: what the receiver holds.
         """
-        at = bisect.bisect_right(self._order, tablepage.Cursor(version + 1))
+        at = bisect.bisect_right(self._cursors, tablepage.Cursor(version + 1))
         return tuple(
             self._row_by_key[place.table, place.key]
-            for place in self._order[at:]
+            for place in self._cursors[at:]
         )
 
-    def bytes_after(self, version: int, most: int) -> int:
+    def size_after(self, version: int, most: int) -> int:
         """Return about how large the rows after a version are.
 
         :param version: what the receiver holds.
         :param most: stop counting here.
         """
-        at = bisect.bisect_right(self._order, tablepage.Cursor(version + 1))
+        at = bisect.bisect_right(self._cursors, tablepage.Cursor(version + 1))
         size = 0
-        for place in self._order[at:]:
+        for place in self._cursors[at:]:
             row = self._row_by_key[place.table, place.key]
             size += len(row.value) + len(row.key) + _CHANGE_OVERHEAD
             if size > most:
                 break
         return size
 
-    def wanted(self) -> tablepage.Cursor:
+    def next_cursor(self) -> tablepage.Cursor:
         """Return the place from which this copy needs rows."""
-        held = 0 if self._whole else self.version + 1
+        held = 0 if self._needs_full_copy else self.version + 1
         return max(self._staged_from, tablepage.Cursor(held))
 
-    def take(self, page: tablepage.TablePage) -> bool:
+    def apply_page(self, page: tablepage.TablePage) -> bool:
         """Take a page in; tell whether the version rose.
 
         Pages are staged until the last one: a table half old and half new
@@ -170,32 +170,32 @@
         """
         if page.version <= self.version:
             return False
-        if page.start > self.wanted():
-            self.refused += 1
+        if page.start > self.next_cursor():
+            self.pages_refused += 1
             return False
         for row in page.changes:
-            held = self._staged.get((row.table, row.key))
+            held = self._staged_by_key.get((row.table, row.key))
             if held is None or held.version < row.version:
-                self._staged[row.table, row.key] = row
-        if not page.last:
+                self._staged_by_key[row.table, row.key] = row
+        if not page.is_last:
             if page.changes:
                 end = _cursor(page.changes[-1])
-                self._staged_from = max(end, self.wanted())
+                self._staged_from = max(end, self.next_cursor())
             return False
         return self._finish(page)
 
     def _finish(self, page: tablepage.TablePage) -> bool:
-        rows = tuple(self._staged.values())
-        whole = self._whole
+        rows = tuple(self._staged_by_key.values())
+        whole = self._needs_full_copy
         digest = self._digest_with(rows, whole)
-        self._staged = {}
+        self._staged_by_key = {}
         self._staged_from = tablepage.Cursor(0)
         # Pages of peers that differ, or a row spoilt on the way, would leave
         # a hole that no later delta fills.  The digest finds it, and the
         # copy is taken again in whole.
-        self._whole = digest != page.digest
-        if self._whole:
-            self.refused += 1
+        self._needs_full_copy = digest != page.digest
+        if self._needs_full_copy:
+            self.pages_refused += 1
             return False
         if whole:
             self._clear()
@@ -204,10 +204,10 @@
 
     def _clear(self) -> None:
         self._row_by_key = {}
-        self._order = []
+        self._cursors = []
         self.digest = 0
 
-    def _newer(self, rows: tuple[changes.Change, ...]):
+    def _newer_rows(self, rows: tuple[changes.Change, ...]):
         for row in rows:
             held = self._row_by_key.get((row.table, row.key))
             if held is None or held.version < row.version:
@@ -219,7 +219,7 @@
         if whole:
             return functools.reduce(operator.xor, map(_digest, rows), 0)
         digest = self.digest
-        for held, row in self._newer(rows):
+        for held, row in self._newer_rows(rows):
             digest ^= _digest(row) ^ (_digest(held) if held else 0)
         return digest
 
@@ -229,15 +229,15 @@
             version > self.version,
             f"{self.version} to {version}",
         )
-        self._put(version, rows)
+        self._write(version, rows)
 
-    def _put(self, version: int, rows: tuple[changes.Change, ...]) -> None:
+    def _write(self, version: int, rows: tuple[changes.Change, ...]) -> None:
         digest = self._digest_with(rows)
-        for held, row in list(self._newer(rows)):
+        for held, row in list(self._newer_rows(rows)):
             if held is not None:
-                place = bisect.bisect_left(self._order, _cursor(held))
-                del self._order[place]
-            bisect.insort(self._order, _cursor(row))
+                place = bisect.bisect_left(self._cursors, _cursor(held))
+                del self._cursors[place]
+            bisect.insort(self._cursors, _cursor(row))
             self._row_by_key[row.table, row.key] = row
         self.version = version
         self.digest = digest
--- a/src/citronvalve/peers/tablepage.py
+++ b/src/citronvalve/peers/tablepage.py
@@ -23,4 +23,4 @@
     digest: int
     start: Cursor
     changes: tuple[change.Change, ...]
-    last: bool
+    is_last: bool
--- a/src/citronvalve/peers/tablesync.py
+++ b/src/citronvalve/peers/tablesync.py
@@ -34,10 +34,10 @@
     ) -> None:
         self._state = state
         self._listener = listener
-        self._confirm = confirm
-        self._asked_at: clock.Ms | None = None
+        self._announce = confirm
+        self._requested_at: clock.Ms | None = None
 
-    def offer(self, delta: tabledelta.TableDelta) -> bool:
+    def publish(self, delta: tabledelta.TableDelta) -> bool:
         """Take a version that a watcher read; tell whether it is newer.
 
         :param delta: from the platform.
@@ -45,29 +45,29 @@
         before = self._state.table.version
         risen = self._state.table.apply(delta)
         if risen:
-            self._on_risen(before)
+            self._on_new_version(before)
         return risen
 
-    def compare(self, whole: tabledelta.TableDelta) -> None:
+    def reconcile(self, whole: tabledelta.TableDelta) -> None:
         """Replace the rows held where they differ from the platform's.
 
         :param whole: the whole table, read from the platform.
         """
-        wrong = self._state.table.compare(whole)
+        wrong = self._state.table.reconcile(whole)
         if wrong:
             self._listener.on_table_corrected(whole, wrong)
-            self._confirm()
+            self._announce()
 
-    def take(self, page: tablepage.TablePage) -> None:
+    def apply_page(self, page: tablepage.TablePage) -> None:
         """Take rows in.
 
         :param page: from any peer.
         """
         before = self._state.table.version
-        if self._state.table.take(page):
-            self._on_risen(before)
+        if self._state.table.apply_page(page):
+            self._on_new_version(before)
 
-    def hear_table(self, message: gossip.Gossip, now: clock.Ms) -> None:
+    def check_peer_table(self, message: gossip.Gossip, now: clock.Ms) -> None:
         """Compare a peer's table with the own one by version and digest.
 
         With the same rows, this version was the newest when the peer's was.
@@ -81,11 +81,11 @@
         if message.table_version != table.version:
             return
         if message.table_digest != table.digest:
-            table.is_doubted = True
+            table.is_disputed = True
         elif message.table_age != gossip.UNKNOWN_AGE:
             table.confirm(now - message.table_age)
 
-    def ask(self, sender: envelope.Sender, version: int) -> _Out:
+    def request(self, sender: envelope.Sender, version: int) -> _Out:
         """Ask a peer for what is missing here, one peer at a time.
 
         :param sender: a peer.
@@ -93,7 +93,7 @@
         """
         if version <= self._state.table.version:
             return []
-        at, now = self._asked_at, self._state.clock.now()
+        at, now = self._requested_at, self._state.clock.now()
         # A hundred peers may tell of a new version within a second, and a
         # full copy is large.  One that does not answer is passed over
         # after ``repair``.
@@ -102,9 +102,9 @@
             and now - at < self._state.settings.timing.repair_interval
         ):
             return []
-        return self._ask_now(sender)
+        return self._request_now(sender)
 
-    def on_ask(
+    def on_request(
         self,
         sender: envelope.Sender,
         message: tablerequest.TableRequest,
@@ -128,22 +128,24 @@
         :param message: the rows.
         :param now: monotonic time in ms.
         """
-        before = self._state.table.wanted()
-        self.take(message)
-        if message.last or self._state.table.wanted() <= before:
+        before = self._state.table.next_cursor()
+        self.apply_page(message)
+        if message.is_last or self._state.table.next_cursor() <= before:
             return []
-        return self._ask_now(sender)
+        return self._request_now(sender)
 
-    def _ask_now(self, sender: envelope.Sender) -> _Out:
-        self._asked_at = self._state.clock.now()
-        ask = tablerequest.TableRequest(self._state.table.wanted())
+    def _request_now(self, sender: envelope.Sender) -> _Out:
+        self._requested_at = self._state.clock.now()
+        ask = tablerequest.TableRequest(self._state.table.next_cursor())
         return [outgoing.Outgoing(sender.address, ask)]
 
-    def _on_risen(self, before: int) -> None:
+    def _on_new_version(self, before: int) -> None:
         table = self._state.table
         self._listener.on_table(
-            tabledelta.TableDelta(table.version, before, table.after(before))
+            tabledelta.TableDelta(
+                table.version, before, table.rows_after(before)
+            )
         )
         # The confirmation travels with the heartbeat; it does not wait
         # for the next one.
-        self._confirm()
+        self._announce()
--- a/src/citronvalve/peers/task.py
+++ b/src/citronvalve/peers/task.py
@@ -12,7 +12,7 @@
 _log = logbook.Logger(__name__)
 
 #: Ticks between two looks for idle connections.
-_IDLE_TICKS = 80
+_IDLE_CHECK_INTERVAL_TICKS = 80
 
 
 class PeerTask:
@@ -29,7 +29,7 @@
         self._peer = peer
         self._clock = clock_
         self._sockets = sockets.Sockets(peer.settings, clock_)
-        self._gatekeeper: authenticator.Authenticator | None = None
+        self._authenticator: authenticator.Authenticator | None = None
         self._threads: list = []
         self.received = 0
         self.sent = 0
@@ -40,7 +40,7 @@
         """Listen, and start to find the others."""
         settings = self._peer.settings
         if settings.secret_key:
-            self._gatekeeper = authenticator.Authenticator(
+            self._authenticator = authenticator.Authenticator(
                 self._sockets.context,
                 (settings.public_key, *settings.allowed_keys),
             )
@@ -55,16 +55,16 @@
         for thread in self._threads:
             thread.kill()
         self._send(self._peer.core.leave())
-        if self._gatekeeper is not None:
-            self._gatekeeper.close()
+        if self._authenticator is not None:
+            self._authenticator.close()
         self._sockets.close()
 
     def dropped(self) -> dict[str, int]:
         """Return how many messages were dropped, by reason."""
         dropped = self._peer.codec.dropped_by_reason.copy()
         dropped.update(self._sockets.dropped_by_reason)
-        if self._gatekeeper is not None:
-            dropped["unknown key"] += self._gatekeeper.refused
+        if self._authenticator is not None:
+            dropped["unknown key"] += self._authenticator.refused
         return dict(dropped)
 
     def _receive(self) -> None:
@@ -85,7 +85,7 @@
         while True:
             self._send(self._peer.core.tick())
             ticks += 1
-            if ticks % _IDLE_TICKS == 0:
+            if ticks % _IDLE_CHECK_INTERVAL_TICKS == 0:
                 self._sockets.close_idle()
             eventlet.sleep(span)
 
--- a/src/citronvalve/peers/views.py
+++ b/src/citronvalve/peers/views.py
@@ -13,19 +13,19 @@
     since: clock.Ms
     alive: frozenset[str]
     known: frozenset[str]
-    keeper_by_key: dict[str, str | None]
+    coordinator_by_key: dict[str, str | None]
 
-    def keeper(self, key: str) -> str | None:
+    def coordinator(self, key: str) -> str | None:
         """Return the keeper of a key; worked out once a view.
 
         :param key: what is kept.
         """
-        if key not in self.keeper_by_key:
-            self.keeper_by_key[key] = rendezvous.first(key, self.alive)
-        return self.keeper_by_key[key]
+        if key not in self.coordinator_by_key:
+            self.coordinator_by_key[key] = rendezvous.first(key, self.alive)
+        return self.coordinator_by_key[key]
 
 
-class Views:
+class ViewHistory:
     """The views of the last while.
 
     Two daemons see a change at different times.  Whoever relies only on what
@@ -42,7 +42,7 @@
         """Forget the past, since this life may not rely on it."""
         self._views.clear()
 
-    def note(
+    def record(
         self, now: clock.Ms, alive: frozenset[str], known: frozenset[str]
     ) -> None:
         """Take the present view.
@@ -59,35 +59,35 @@
         ):
             self._views.popleft()
 
-    def settled(self, now: clock.Ms) -> bool:
+    def is_settled(self, now: clock.Ms) -> bool:
         """Tell whether the views reach back through the whole span.
 
         :param now: monotonic time in ms.
         """
         return bool(self._views) and self._views[0].since <= now - self._span
 
-    def kept(self, key: str, name: str, now: clock.Ms) -> bool:
+    def was_coordinator(self, key: str, name: str, now: clock.Ms) -> bool:
         """Tell whether a member was the keeper through the whole span.
 
         :param key: what is kept.
         :param name: the member.
         :param now: monotonic time in ms.
         """
-        return self.settled(now) and all(
-            view.keeper(key) == name for view in self._views
+        return self.is_settled(now) and all(
+            view.coordinator(key) == name for view in self._views
         )
 
-    def keeper(self, key: str) -> str | None:
+    def coordinator(self, key: str) -> str | None:
         """Return the keeper of a key in the present view.
 
         :param key: what is kept.
         """
-        return self._views[-1].keeper(key) if self._views else None
+        return self._views[-1].coordinator(key) if self._views else None
 
-    def seen(self) -> frozenset[str]:
+    def always_alive(self) -> frozenset[str]:
         """Return the members that were alive all the time."""
         return frozenset.intersection(*(view.alive for view in self._views))
 
-    def known(self) -> frozenset[str]:
+    def ever_known(self) -> frozenset[str]:
         """Return the members that counted at any time."""
         return frozenset().union(*(view.known for view in self._views))
--- a/tests/news/news.feature
+++ b/tests/news/news.feature
@@ -1,12 +1,12 @@
-Feature: What many daemons tell each other stays small and right
-  Each daemon places requests by what all others have at a replica. If every
-  one told every other one, 82 daemons would exchange 44,000 messages a second
-  and spend more processor on them than on their requests.
+Feature: Daemons exchange their request counts with few messages
+  Each daemon places requests by the requests of all daemons at a replica. If
+  each daemon sent its counts to every other one, 82 daemons would exchange
+  44,000 messages a second and spend more CPU on them than on their requests.
 
   Scenario Outline: <count> daemons know of each other's requests
     Given <count> daemons in <places> data centres, each with requests
     When 3000 ms pass
-    Then each believes the true number of requests at each replica
+    Then each daemon counts all requests at each replica
     And in 1 s a daemon receives <usual> messages at the median, none over <most>
 
     Examples:
@@ -17,43 +17,42 @@
       | 82    | 3      | 15    | 300  |
       | 100   | 5      | 15    | 300  |
 
-  Scenario: the keeper of a data centre is killed
-    The others there hear nothing of anybody else. Each takes the next in rank
-    for the keeper within a second, and tells it; until then they go by what
-    they knew.
+  Scenario: the coordinator of a data centre is killed
+    The other daemons there get no counts until each of them reports to the
+    next in rank, within a second. Until then they use the last known counts.
 
     Given 82 daemons in 3 data centres, each with requests
     When 3000 ms pass
-    And a keeper is killed
+    And a coordinator is killed
     And 2500 ms pass
-    Then each believes the true number of requests at each replica
+    Then each daemon counts all requests at each replica
 
-  Scenario: the three best keepers of a data centre are killed at once
+  Scenario: the three highest-ranked daemons of a data centre are killed at once
     Given 82 daemons in 3 data centres, each with requests
     When 3000 ms pass
     And the three daemons that rank highest in place-1 are killed
     And 4000 ms pass
-    Then each believes the true number of requests at each replica
+    Then each daemon counts all requests at each replica
 
   Scenario: a data centre is cut off and comes back
-    While the cut lasts, each side knows its own requests only. What the other
-    side had before must not count for longer, or its replicas look full.
+    During the cut each side knows only its own requests. If the old counts of
+    the other side stayed valid, its replicas would look full.
 
     Given 82 daemons in 3 data centres, each with requests
     When 3000 ms pass
     And place-1 is cut off
     And 3000 ms pass
-    Then in place-1 each believes the requests of place-1 only
+    Then in place-1 each daemon counts only the requests of place-1
     When the cut heals
     And 2500 ms pass
-    Then each believes the true number of requests at each replica
+    Then each daemon counts all requests at each replica
 
-  Scenario Outline: news of one reach all of <count>
+  Scenario Outline: a broadcast reaches all of <count> daemons
     Given <count> daemons in <places> data centres, each with requests
     When 3000 ms pass
-    And d-5 tells all that a replica stands still
+    And d-5 broadcasts that a replica is stalled
     And 500 ms pass
-    Then every other daemon has heard it once
+    Then every other daemon receives it once
 
     Examples:
       | count | places |
@@ -61,26 +60,26 @@
       | 82    | 3      |
       | 66    | 4      |
 
-  Scenario: half of all daemons notice at once that a replica stands still
-    Each that notices tells all. Told directly that would be 3,300 messages
-    within some ms, in the very moment in which requests have to move.
+  Scenario: half of all daemons detect a stalled replica at once
+    Each of them broadcasts it. Sent directly that would be 3,300 messages
+    within some ms, just when requests have to move to other replicas.
 
     Given 82 daemons in 3 data centres, each with requests
     When 3000 ms pass
-    And 41 daemons tell all that the same replica stands still
+    And 41 daemons broadcast that the same replica is stalled
     And 500 ms pass
-    Then every daemon has heard it
-    And the news took 400 messages at most
+    Then every other daemon receives it
+    And the broadcasts take 400 messages at most
 
   Scenario: a large configuration is packed
-    Twelve versions a second of it would fill the keepers' links.
+    Twelve versions a second of it would fill the coordinators' links.
 
     Given a change of a configuration with 300 routes
-    Then it takes 12000 bytes at most and is read as it was
+    Then it takes 12000 bytes at most and is decoded unchanged
 
-  Scenario Outline: bytes that are <what>
-    When bytes come that are <what>
-    Then there is no message, and a reason
+  Scenario Outline: invalid bytes arrive: <what>
+    When bytes arrive that are <what>
+    Then decoding returns a reason and no message
 
     Examples:
       | what            |
@@ -91,11 +90,11 @@
       | a bomb          |
 
   Scenario Outline: <message> of the last release is read
-    Guards against daemons that go deaf to each other while a release is
-    rolled out.
+    During a rollout daemons of two releases run. Each must read the messages
+    of the other.
 
-    When <message> of the last release comes
-    Then it is read, without what that release did not tell
+    When <message> of the last release arrives
+    Then it is decoded, with defaults for the new fields
 
     Examples:
       | message   |
--- a/tests/news/simulation.py
+++ b/tests/news/simulation.py
@@ -1,49 +1,56 @@
-"""Daemons in memory that spread news; messages take some ms."""
+"""In-memory daemons that exchange messages over links with a delay."""
 
 import collections
 import random
 
+from citronvalve.model import clock
 from citronvalve.peers import distributor
 from citronvalve.peers import messages
 from citronvalve.policy import upstreamchoice
 
-TICK = 10
-PAUSE = 150
-HOP = 4
+TICK: clock.Ms = 10
+REPORT_INTERVAL: clock.Ms = 150
+LINK_DELAY: clock.Ms = 4
 
 
 class Daemon:
-    """One daemon: what it has, and what it has been told."""
+    """A daemon with its own requests and counts of its messages."""
 
     def __init__(self, name, datacentre):
         self.name = name
         self.datacentre = datacentre
-        self.book = upstreamchoice.LoadBook()
-        self.spreading = distributor.Distributor(name, datacentre, self.book)
-        self.counts = {}
-        self.heard = collections.Counter()
-        self.sent = 0
-        self.got = 0
+        self.loads = upstreamchoice.LoadBook()
+        self.distributor = distributor.Distributor(
+            name, datacentre, self.loads
+        )
+        self.request_counts = {}
+        self.received_by_payload = collections.Counter()
+        self.sent_count = 0
+        self.received_count = 0
 
 
-class World:
-    """All daemons, with links that can be cut."""
+class Simulation:
+    """All daemons, on links that can be cut."""
 
-    def __init__(self, count, places):
+    def __init__(self, count, datacentre_count):
         self.now = 100_000
-        self.chance = random.Random(7)
-        names = {f"d-{i}": f"place-{i % places}" for i in range(count)}
+        self.rng = random.Random(7)
+        names = {
+            f"d-{i}": f"place-{i % datacentre_count}" for i in range(count)
+        }
         self.daemon_by_name = {
-            name: Daemon(name, place) for name, place in names.items()
+            name: Daemon(name, datacentre)
+            for name, datacentre in names.items()
         }
         self.dead = set()
         self.cut = set()
         self._queue = []
         for daemon in self.daemon_by_name.values():
-            daemon.spreading.settle(names)
-        # Each has its own moment for its timer.
-        self._phase = {
-            name: self.chance.randrange(0, PAUSE, TICK) for name in names
+            daemon.distributor.set_daemons(names)
+        # The report timers of the daemons have different phases.
+        self._phase_by_name = {
+            name: self.rng.randrange(0, REPORT_INTERVAL, TICK)
+            for name in names
         }
 
     @property
@@ -55,47 +62,50 @@
             if name not in self.dead
         ]
 
-    def run(self, span):
-        """Let time pass."""
-        until = self.now + span
-        while self.now < until:
+    def run(self, duration):
+        """Advance the time and deliver what is due."""
+        end = self.now + duration
+        while self.now < end:
             self.now += TICK
             self._deliver()
             for daemon in self.alive:
-                if (self.now - self._phase[daemon.name]) % PAUSE:
+                phase = self._phase_by_name[daemon.name]
+                if (self.now - phase) % REPORT_INTERVAL:
                     continue
-                out = daemon.spreading.report(daemon.counts, self.now)
-                out += daemon.spreading.digests(self.now)
+                out = daemon.distributor.report_loads(
+                    daemon.request_counts, self.now
+                )
+                out += daemon.distributor.load_sums(self.now)
                 self._send(daemon, out)
 
-    def tell(self, name, item):
-        """Let a daemon tell all others something."""
+    def broadcast(self, name, payload):
+        """Send a payload from one daemon to all others."""
         daemon = self.daemon_by_name[name]
-        self._send(daemon, daemon.spreading.tell(item, self.now))
+        self._send(daemon, daemon.distributor.broadcast(payload, self.now))
 
-    def keepers(self):
-        """Return the daemons that others take for a keeper."""
+    def coordinators(self):
+        """Return the daemons that any daemon takes for its coordinator."""
         return {
-            daemon.spreading.neighbourhood.keeper(self.now)
+            daemon.distributor.topology.coordinator(self.now)
             for daemon in self.alive
         }
 
-    def believed(self, daemon, upstream):
-        """Return how many requests a daemon believes an upstream has."""
-        held = daemon.book.of(upstream)
-        held.mine = daemon.counts.get(upstream, (0, 0))[0]
-        return held.total(self.now)
+    def request_total(self, daemon, upstream):
+        """Return how many requests a daemon counts at an upstream."""
+        load = daemon.loads.of(upstream)
+        load.mine = daemon.request_counts.get(upstream, (0, 0))[0]
+        return load.total(self.now)
 
     def _send(self, daemon, out):
         for name, message in out:
-            daemon.sent += 1
+            daemon.sent_count += 1
             other = self.daemon_by_name[name]
             if daemon.datacentre != other.datacentre and self.cut & {
                 daemon.datacentre,
                 other.datacentre,
             }:
                 continue
-            self._queue.append((self.now + HOP, name, message))
+            self._queue.append((self.now + LINK_DELAY, name, message))
 
     def _deliver(self):
         due = [entry for entry in self._queue if entry[0] <= self.now]
@@ -103,21 +113,22 @@
         for _, name, message in due:
             if name not in self.dead:
                 daemon = self.daemon_by_name[name]
-                daemon.got += 1
-                self._take(daemon, message)
+                daemon.received_count += 1
+                self._handle(daemon, message)
 
-    def _take(self, daemon, message):
-        made = daemon.spreading
+    def _handle(self, daemon, message):
+        receiver = daemon.distributor
         if isinstance(message, messages.DaemonLoads):
-            made.loads(message, self.now)
+            receiver.apply_daemon_loads(message, self.now)
         elif isinstance(message, messages.DatacentreLoads):
-            self._send(daemon, made.totals(message, self.now))
+            out = receiver.apply_datacentre_loads(message, self.now)
+            self._send(daemon, out)
         elif isinstance(message, messages.OtherLoads):
-            made.digest(message, self.now)
+            receiver.apply_other_loads(message, self.now)
         elif isinstance(message, messages.Relayed):
-            out = made.passed(message, self.now)
+            out = receiver.forward(message, self.now)
             if out is not None:
-                daemon.heard[message.payload] += 1
+                daemon.received_by_payload[message.payload] += 1
                 self._send(daemon, out)
         else:
-            daemon.heard[message] += 1
+            daemon.received_by_payload[message] += 1
--- a/tests/news/steps/codec_steps.py
+++ b/tests/news/steps/codec_steps.py
@@ -1,4 +1,4 @@
-"""Steps about news as bytes."""
+"""Steps about encoding and decoding messages."""
 
 import random
 import zlib
@@ -13,20 +13,20 @@
 from citronvalve.storage import tablestate
 
 
-def _configuration(routes):
-    chance = random.Random(3)
-    made = [
+def _configuration(count):
+    rng = random.Random(3)
+    routes = [
         {
-            "Name": f"r-{chance.getrandbits(32):x}",
-            "Host": f"h{chance.getrandbits(16):x}.example",
-            "Prefix": f"/p{chance.getrandbits(32):x}/",
+            "Name": f"r-{rng.getrandbits(32):x}",
+            "Host": f"h{rng.getrandbits(16):x}.example",
+            "Prefix": f"/p{rng.getrandbits(32):x}/",
             "Kind": "streaming",
             "TimeoutMs": 8_000,
             "MaxAttempts": 2,
         }
-        for _ in range(routes)
+        for _ in range(count)
     ]
-    return rows.Row("op", "config", {"Routes": made}, 7)
+    return rows.Row("op", "config", {"Routes": routes}, 7)
 
 
 @behave.given("a change of a configuration with {count:d} routes")
@@ -37,13 +37,13 @@
     context.data = context.codec.encode(context.message)
 
 
-@behave.then("it takes {most:d} bytes at most and is read as it was")
+@behave.then("it takes {most:d} bytes at most and is decoded unchanged")
 def step_size(context, most):
     assert len(context.data) <= most, len(context.data)
     assert context.codec.decode(context.data) == context.message
 
 
-_BAD = {
+_INVALID_BY_NAME = {
     "nothing": b"",
     "another codec's": b"\2abc",
     "cut": None,
@@ -52,39 +52,43 @@
 }
 
 
-@behave.when("bytes come that are {what}")
-def step_bad(context, what):
+@behave.when("bytes arrive that are {what}")
+def step_invalid(context, what):
     codec = messagecodec.MessageCodec()
-    whole = codec.encode(
+    valid = codec.encode(
         messages.TableChanges(1, "op", 6, 7, (_configuration(40),), ())
     )
-    data = _BAD[what] if _BAD[what] is not None else whole[:-5]
-    context.read = codec.decode(data)
+    data = (
+        _INVALID_BY_NAME[what]
+        if _INVALID_BY_NAME[what] is not None
+        else valid[:-5]
+    )
+    context.decoded = codec.decode(data)
 
 
-@behave.then("there is no message, and a reason")
+@behave.then("decoding returns a reason and no message")
 def step_reason(context):
-    assert isinstance(context.read, missing.Missing), context.read
-    assert context.read.reason
+    assert isinstance(context.decoded, missing.Missing), context.decoded
+    assert context.decoded.reason
 
 
-#: As arrays: each field of a message in its order, the tag first.
-_LAST_RELEASE = {
+#: Messages as arrays: the tag, then the fields in their order.
+_LAST_RELEASE_BY_NAME = {
     "a beat": ["beat", "d-1", 9, 3, [["op", 5, 6, 70]]],
     "a reading": ["changes", 9, "op", 5, 6, [], ["gone"]],
 }
 
 
-@behave.when("{message} of the last release comes")
+@behave.when("{message} of the last release arrives")
 def step_old(context, message):
-    data = msgspec.msgpack.encode(_LAST_RELEASE[message])
-    context.read = messagecodec.MessageCodec().decode(b"\0" + data)
+    data = msgspec.msgpack.encode(_LAST_RELEASE_BY_NAME[message])
+    context.decoded = messagecodec.MessageCodec().decode(b"\0" + data)
 
 
-@behave.then("it is read, without what that release did not tell")
-def step_old_read(context):
-    told = tablestate.TableState("op", 5, 6, 70)
-    assert context.read in (
-        messages.Heartbeat("d-1", 9, 3, (told,)),
+@behave.then("it is decoded, with defaults for the new fields")
+def step_old_decoded(context):
+    state = tablestate.TableState("op", 5, 6, 70)
+    assert context.decoded in (
+        messages.Heartbeat("d-1", 9, 3, (state,)),
         messages.TableChanges(9, "op", 5, 6, (), ("gone",)),
-    ), context.read
+    ), context.decoded
--- a/tests/news/steps/news_steps.py
+++ b/tests/news/steps/news_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what daemons tell each other."""
+"""Steps about the messages between daemons."""
 
 import statistics
 
@@ -6,55 +6,55 @@
 
 from citronvalve.peers import messages
 from citronvalve.peers import rendezvous
-from tests.news import simulation as worlds
+from tests.news import simulation as simulations
 
 _REPLICAS = ("r-1", "r-2", "r-3")
-_STILL = messages.Stall("r-1")
+_STALL = messages.Stall("r-1")
 
 
 @behave.given(
     "{count:d} daemons in {places:d} data centres, each with requests"
 )
 def step_daemons(context, count, places):
-    context.world = worlds.World(count, places)
-    for number, daemon in enumerate(context.world.alive):
+    context.simulation = simulations.Simulation(count, places)
+    for number, daemon in enumerate(context.simulation.alive):
         upstream = _REPLICAS[number % len(_REPLICAS)]
-        daemon.counts = {upstream: (1 + number % 4, number % 2)}
+        daemon.request_counts = {upstream: (1 + number % 4, number % 2)}
 
 
 @behave.when("{span:d} ms pass")
 def step_pass(context, span):
-    context.world.run(span)
+    context.simulation.run(span)
 
 
-def _true(context, upstream, place=None):
+def _expected_total(context, upstream, datacentre=None):
     return sum(
-        daemon.counts.get(upstream, (0, 0))[0]
-        for daemon in context.world.alive
-        if place in (None, daemon.datacentre)
+        daemon.request_counts.get(upstream, (0, 0))[0]
+        for daemon in context.simulation.alive
+        if datacentre in (None, daemon.datacentre)
     )
 
 
-@behave.then("each believes the true number of requests at each replica")
-def step_true(context):
+@behave.then("each daemon counts all requests at each replica")
+def step_all_requests(context):
     for upstream in _REPLICAS:
-        true = _true(context, upstream)
+        expected = _expected_total(context, upstream)
         wrong = {
-            daemon.name: context.world.believed(daemon, upstream)
-            for daemon in context.world.alive
-            if context.world.believed(daemon, upstream) != true
+            daemon.name: context.simulation.request_total(daemon, upstream)
+            for daemon in context.simulation.alive
+            if context.simulation.request_total(daemon, upstream) != expected
         }
-        assert not wrong, (upstream, true, wrong)
+        assert not wrong, (upstream, expected, wrong)
 
 
-@behave.then("in {place} each believes the requests of {same} only")
-def step_only(context, place, same):
+@behave.then("in {place} each daemon counts only the requests of {same}")
+def step_local_requests(context, place, same):
     for upstream in _REPLICAS:
-        true = _true(context, upstream, place)
-        for daemon in context.world.alive:
+        expected = _expected_total(context, upstream, place)
+        for daemon in context.simulation.alive:
             if daemon.datacentre == same:
-                believed = context.world.believed(daemon, upstream)
-                assert believed == true, (daemon.name, believed, true)
+                total = context.simulation.request_total(daemon, upstream)
+                assert total == expected, (daemon.name, total, expected)
 
 
 @behave.then(
@@ -62,81 +62,83 @@
     "none over {most:d}"
 )
 def step_messages(context, usual, most):
-    for daemon in context.world.alive:
-        daemon.got = 0
-    context.world.run(1_000)
-    got = [daemon.got for daemon in context.world.alive]
-    assert statistics.median(got) <= usual, statistics.median(got)
-    assert max(got) <= most, max(got)
+    for daemon in context.simulation.alive:
+        daemon.received_count = 0
+    context.simulation.run(1_000)
+    counts = [daemon.received_count for daemon in context.simulation.alive]
+    assert statistics.median(counts) <= usual, statistics.median(counts)
+    assert max(counts) <= most, max(counts)
 
 
-@behave.when("a keeper is killed")
+@behave.when("a coordinator is killed")
 def step_kill(context):
-    context.world.dead.add(sorted(context.world.keepers())[0])
+    coordinators = sorted(context.simulation.coordinators())
+    context.simulation.dead.add(coordinators[0])
 
 
 @behave.when("the three daemons that rank highest in {place} are killed")
 def step_kill_three(context, place):
     names = [
         daemon.name
-        for daemon in context.world.alive
+        for daemon in context.simulation.alive
         if daemon.datacentre == place
     ]
-    context.world.dead.update(rendezvous.rank(place, names)[:3])
+    context.simulation.dead.update(rendezvous.rank(place, names)[:3])
 
 
 @behave.when("{place} is cut off")
 def step_cut(context, place):
-    context.world.cut.add(place)
+    context.simulation.cut.add(place)
 
 
 @behave.when("the cut heals")
 def step_heal(context):
-    context.world.cut.clear()
+    context.simulation.cut.clear()
 
 
-@behave.when("d-5 tells all that a replica stands still")
-def step_tell(context):
-    context.told = {"d-5"}
-    context.world.tell("d-5", _STILL)
+@behave.when("d-5 broadcasts that a replica is stalled")
+def step_broadcast(context):
+    context.senders = {"d-5"}
+    context.simulation.broadcast("d-5", _STALL)
 
 
-@behave.when("{count:d} daemons tell all that the same replica stands still")
-def step_tell_many(context, count):
-    for daemon in context.world.alive:
-        daemon.sent = 0
-    quiet = worlds.World(len(context.world.alive), 3)
+@behave.when("{count:d} daemons broadcast that the same replica is stalled")
+def step_broadcast_many(context, count):
+    for daemon in context.simulation.alive:
+        daemon.sent_count = 0
+    quiet = simulations.Simulation(len(context.simulation.alive), 3)
     quiet.run(3_000)
     for daemon in quiet.alive:
-        daemon.sent = 0
+        daemon.sent_count = 0
     quiet.run(500)
-    context.usual = sum(daemon.sent for daemon in quiet.alive)
-    context.told = {d.name for d in context.world.alive[:count]}
-    for name in context.told:
-        context.world.tell(name, _STILL)
+    context.usual = sum(daemon.sent_count for daemon in quiet.alive)
+    context.senders = {d.name for d in context.simulation.alive[:count]}
+    for name in context.senders:
+        context.simulation.broadcast(name, _STALL)
 
 
-@behave.then("every other daemon has heard it once")
+@behave.then("every other daemon receives it once")
 def step_once(context):
     counts = {
-        daemon.name: daemon.heard[_STILL]
-        for daemon in context.world.alive
-        if daemon.name not in context.told
+        daemon.name: daemon.received_by_payload[_STALL]
+        for daemon in context.simulation.alive
+        if daemon.name not in context.senders
     }
     assert set(counts.values()) == {1}, counts
 
 
-@behave.then("every daemon has heard it")
+@behave.then("every other daemon receives it")
 def step_all(context):
-    deaf = [
+    missed = [
         daemon.name
-        for daemon in context.world.alive
-        if not daemon.heard[_STILL] and daemon.name not in context.told
+        for daemon in context.simulation.alive
+        if not daemon.received_by_payload[_STALL]
+        and daemon.name not in context.senders
     ]
-    assert not deaf, deaf
+    assert not missed, missed
 
 
-@behave.then("the news took {most:d} messages at most")
+@behave.then("the broadcasts take {most:d} messages at most")
 def step_took(context, most):
-    sent = sum(daemon.sent for daemon in context.world.alive)
+    sent = sum(daemon.sent_count for daemon in context.simulation.alive)
     assert sent - context.usual <= most, sent - context.usual
--- a/tests/peers/faultyfleet.py
+++ b/tests/peers/faultyfleet.py
@@ -154,6 +154,6 @@
         mates = {n for n in self.names if n.split("-")[0] == name[:2]}
         self.CHECKS.check(
             "after the faults everyone sees everyone and acts",
-            state.membership.alive() == mates and state.authority.acting(),
+            state.membership.alive() == mates and state.authority.may_act(),
             f"{name} sees {sorted(state.membership.alive())}",
         )
--- a/tests/peers/machines.py
+++ b/tests/peers/machines.py
@@ -130,7 +130,7 @@
         if self.links.clock.now() - since > self.links.timing.pause_limit:
             self.CHECKS.check(
                 "a process that was stopped for long does not act",
-                not authority.acting(),
+                not authority.may_act(),
                 f"{name} stopped at {since}",
             )
         # A member that was cut off acts on its own side while the other
@@ -147,7 +147,7 @@
         ]
         self.CHECKS.check(
             "a life that most buried while it was stopped does not act",
-            2 * len(buried) <= len(running) or not authority.acting(),
+            2 * len(buried) <= len(running) or not authority.may_act(),
             f"{name} is buried by {buried}",
         )
 
--- a/tests/peers/steps/failure_steps.py
+++ b/tests/peers/steps/failure_steps.py
@@ -25,7 +25,7 @@
 
 def _keeper(context):
     members = cluster.state(context, "d0-0").loan_manager
-    return members._views.keeper(cluster.COLD.lender_key)
+    return members._views.coordinator(cluster.COLD.lender_key)
 
 
 @behave.when("its keeper is stopped for {span:d} ms and wakes")
@@ -38,17 +38,17 @@
 
 @behave.then("the keeper does not act, and holds no loan")
 def step_not_acting(context):
-    assert not cluster.state(context, context.keeper).authority.acting()
+    assert not cluster.state(context, context.keeper).authority.may_act()
     context.links.wake(context.keeper)
     context.links.run(0)
-    assert not cluster.state(context, context.keeper).authority.acting()
+    assert not cluster.state(context, context.keeper).authority.may_act()
     assert context.keeper not in cluster.held(context, cluster.COLD)
 
 
 @behave.then("within {span:d} ms it acts in a new life")
 def step_new_life(context, span):
     authority = cluster.state(context, context.keeper).authority
-    cluster.within(context, span, authority.acting)
+    cluster.within(context, span, authority.may_act)
     assert authority.incarnation > context.life
 
 
@@ -123,13 +123,16 @@
 def step_share(context, name):
     state = cluster.state(context, name)
     known = frozenset(context.names)
-    mine = share.shares(cluster.TEAM.lender_key, cluster.TEAM_LIMIT, known)[
-        name
-    ]
+    mine = share.split_limit(
+        cluster.TEAM.lender_key, cluster.TEAM_LIMIT, known
+    )[name]
     now = state.clock.now()
     assert state.others(), "it is to be cut off, and not yet alone"
-    assert mine and state.loan_manager.slots(cluster.TEAM, known, now) == mine
-    assert state.loan_manager.slots(cluster.COLD, known, now) == 0
+    assert (
+        mine
+        and state.loan_manager.usable_slots(cluster.TEAM, known, now) == mine
+    )
+    assert state.loan_manager.usable_slots(cluster.COLD, known, now) == 0
 
 
 @behave.when("a daemon starts alone, of {expected:d} expected")
@@ -187,7 +190,7 @@
         context, cluster.CALM, lambda: "d0-2" not in membership.alive()
     )
     now = cluster.state(context, "d0-0").clock.now()
-    membership.merge(old._replace(beat=old.beat + 1), now)
+    membership.merge(old._replace(heartbeat=old.heartbeat + 1), now)
 
 
 @behave.then("d0-0 still holds d0-2 dead")
--- a/tests/peers/steps/socket_steps.py
+++ b/tests/peers/steps/socket_steps.py
@@ -106,7 +106,7 @@
     )
     running = task.PeerTask(made, now)
     if server:
-        running._sockets._out.curve_serverkey = server.encode()
+        running._sockets._sender.curve_serverkey = server.encode()
     running.start()
     context.add_cleanup(running.stop)
     return made, running
--- a/tests/peers/steps/spreading_steps.py
+++ b/tests/peers/steps/spreading_steps.py
@@ -31,17 +31,17 @@
 @behave.when("another copy takes it with one row spoilt")
 def step_spoilt(context):
     context.other = tablecopy.TableCopy(invariant.Invariants())
-    page = context.copy.page_after(context.other.wanted())
+    page = context.copy.page_after(context.other.next_cursor())
     bad = page.changes[3]._replace(value=b"spoilt")
     changes = (*page.changes[:3], bad, *page.changes[4:])
-    assert not context.other.take(page._replace(changes=changes))
+    assert not context.other.apply_page(page._replace(changes=changes))
 
 
 @behave.then("the spoilt table is refused, and the whole one is taken next")
 def step_refused(context):
-    assert (context.other.version, context.other.refused) == (0, 1)
-    page = context.copy.page_after(context.other.wanted())
-    assert context.other.take(page)
+    assert (context.other.version, context.other.pages_refused) == (0, 1)
+    page = context.copy.page_after(context.other.next_cursor())
+    assert context.other.apply_page(page)
     assert context.other.digest == context.copy.digest
 
 
--- a/tests/policy/steps/sharing_steps.py
+++ b/tests/policy/steps/sharing_steps.py
@@ -90,7 +90,7 @@
 def step_jump(context):
     daemons = context.fleet.daemon_by_name
     key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").lender_key
-    keeper = daemons["daemon-0"].peer.keeper_of(key)
+    keeper = daemons["daemon-0"].peer.coordinator_of(key)
     context.cold = next(d for n, d in daemons.items() if n != keeper)
     context.cold.upstream.ramp.restart(context.fleet.clock.now())
 
