--- a/src/citronvalve/peers/__init__.py
+++ b/src/citronvalve/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons tell each other: membership, gossip and grants."""
+"""Communication among daemons: membership, gossip, loans and messages."""
--- a/src/citronvalve/peers/authenticator.py
+++ b/src/citronvalve/peers/authenticator.py
@@ -1,4 +1,4 @@
-"""Lets in only those peers that hold the fleet's own key."""
+"""Accepts only peers that hold a key of the fleet."""
 
 from collections.abc import Iterable
 
@@ -6,19 +6,20 @@
 from eventlet.green import zmq
 from zmq.utils import z85
 
-#: Where libzmq asks, by the ZeroMQ authentication protocol (RFC 27).
+#: Address of the handler in the ZeroMQ Authentication Protocol (RFC 27).
 _ENDPOINT = "inproc://zeromq.zap.01"
 
 
 class Authenticator:
-    """Answers libzmq's question whether a client's key is known.
+    """Handles libzmq's authentication requests by the client's key.
 
-    CURVE alone lets anyone in who knows the server's public key, which is
-    no secret.  A client proves here that it holds the fleet's secret key,
-    since its public one is the fleet's.
+    CURVE alone accepts any client that knows the server's public key, which
+    is not secret.  A client with the fleet's public key has proved that it
+    holds the secret key.
 
-    :param context: the context of the sockets to guard.
-    :param keys: the public keys in Z85 that are let in.
+    :param context: the context of the sockets to protect.
+    :param keys: the accepted public keys in Z85.
+    :ivar refused: number of connections refused.
     """
 
     def __init__(self, context: zmq.Context, keys: Iterable[str]) -> None:
@@ -30,7 +31,7 @@
         self._thread = eventlet.spawn(self._run)
 
     def close(self) -> None:
-        """Stop answering."""
+        """Stop handling requests."""
         self._thread.kill()
         self._socket.close()
 
--- a/src/citronvalve/peers/authority.py
+++ b/src/citronvalve/peers/authority.py
@@ -1,4 +1,4 @@
-"""Whether this daemon may act as keeper, watcher or lender."""
+"""Whether this daemon may act as coordinator, watcher or lender."""
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
@@ -7,20 +7,22 @@
 
 
 class Authority:
-    """A life that others know of may act; a paused or buried one may not.
+    """Tracks whether this daemon's incarnation may act.
 
-    A process that was stopped wakes with its old view: it takes itself for
-    the keeper while another has taken over, and both would lend the same
-    slots.  It therefore asks :meth:`acting` before each act, and after a
-    pause or the news of its death starts a new life, which acts once a peer
-    has answered to it.
+    A process resumes from a pause with an outdated view.  It would consider
+    itself the coordinator while another one has taken over, and both would
+    lend the same slots.  It therefore checks :meth:`may_act` before each
+    action.  After a pause, or when it was declared dead, it starts a new
+    incarnation, which may act once a peer has acknowledged it.
 
     :param clock_: the clock.
-    :param timing: the fleet's spans.
-    :param invariants: where promises are asserted.
-    :param first: whether there is nobody here to wait for.
-    :ivar met: whether any peer was ever heard; a daemon that started while
-        all its seeds were out of reach can't know what others hold.
+    :param timing: the fleet's timing.
+    :param invariants: checks the invariants.
+    :param is_first: whether there is no other daemon to wait for.
+    :ivar incarnation: the current incarnation.
+    :ivar has_met_peer: whether any message arrived; a daemon that started
+        while all its seeds were unreachable can't know the loans of others.
+    :ivar rejoins: number of new incarnations since the start.
     """
 
     def __init__(
@@ -28,16 +30,17 @@
         clock_: clock.Clock,
         timing: timings.Timing,
         invariants: invariant.Invariants,
-        first: bool = False,
+        is_first: bool = False,
     ) -> None:
-        self._is_first = first
+        self._is_first = is_first
         self._clock = clock_
         self._timing = timing
         self._invariants = invariants
         self._pause = pause.PauseDetector(clock_, timing.pause_limit)
-        # A VM that comes back under its old name keeps nothing.  The wall
-        # clock puts its new life after the old one; should it lag, the
-        # peers answer with the life they know, and one above is taken.
+        # A VM that restarts under its name coordinates nothing.  By the wall
+        # clock its incarnation is higher than the previous one.  If the clock
+        # lags, peers reply with the incarnation that they know, and this
+        # daemon takes the next one.
         self.incarnation = clock_.wall() // clock.SECOND + 1
         self._dead_incarnation = 0
         self._joined_at: clock.Ms | None = None
@@ -48,14 +51,13 @@
         self.rejoins = 0
 
     def may_act(self) -> bool:
-        """Tell whether this daemon may act at this very moment."""
+        """Return whether this daemon may act at this moment."""
         if self._joined_at is None or self._pause.is_paused():
             return False
-        # A daemon that nobody answers to may be buried already, also when
-        # it never stopped.  Until its own view says that it is alone, it
-        # leaves the acting to those that hear each other.
-        silent = self._clock.now() - self._acknowledged_at
-        if self._has_others and silent > self._timing.suspect_after:
+        # A daemon without replies may already be marked dead, even if it was
+        # not paused.  It doesn't act until it is alone in its own view.
+        silence = self._clock.now() - self._acknowledged_at
+        if self._has_others and silence > self._timing.suspect_after:
             return False
         self._invariants.check(
             "no dead incarnation acts",
@@ -65,40 +67,44 @@
         return True
 
     def is_paused(self) -> bool:
-        """Tell whether the process was just stopped for a while."""
+        """Return whether the process was just paused."""
         return self._pause.is_paused()
 
     def is_joining(self) -> bool:
-        """Tell whether peers have yet to answer to this life."""
+        """Return whether no peer has acknowledged this incarnation yet."""
         return self._joined_at is None
 
-    def tick(self, others: bool) -> bool:
-        """Note that the process runs; tell whether a new life began.
+    def tick(self, has_others: bool) -> bool:
+        """Record that the process runs; return whether it was paused.
 
-        :param others: whether any other member is alive in this view.
+        :param has_others: whether any other member is alive in this view.
         """
-        paused = self._pause.is_paused()
+        was_paused = self._pause.is_paused()
         self._pause.tick()
-        self._has_others = others
-        if paused:
+        self._has_others = has_others
+        if was_paused:
             self.mark_dead(self.incarnation)
             return True
         waited = self._clock.now() - self._started_at
-        if self.is_joining() and not others and waited >= self._join_timeout():
+        if (
+            self.is_joining()
+            and not has_others
+            and waited >= self._join_timeout()
+        ):
             self._joined_at = self._clock.now()
         return False
 
     def _join_timeout(self) -> clock.Ms:
-        # Without seeds there is nobody to wait for.  A peer abroad that
-        # answered would have told of members here.
+        # Without seeds there is no daemon to wait for.  A peer of another data
+        # centre that replied would have sent the members of this one.
         if self._is_first:
             return 0
         return self._timing.join_timeout // (2 if self.has_met_peer else 1)
 
     def acknowledge(self, incarnation: int) -> None:
-        """A peer answered to a life of this daemon.
+        """Record that a peer knows an incarnation of this daemon.
 
-        :param incarnation: the life that the peer knows.
+        :param incarnation: the incarnation that the peer knows.
         """
         if self._pause.is_paused():
             return
@@ -109,9 +115,9 @@
             self._joined_at = self._clock.now()
 
     def mark_dead(self, incarnation: int) -> None:
-        """Start a new life, since an old one was declared dead.
+        """Start a new incarnation if the current one was declared dead.
 
-        :param incarnation: the life that is over.
+        :param incarnation: the dead incarnation.
         """
         if (
             incarnation < self.incarnation
--- a/src/citronvalve/peers/borrower.py
+++ b/src/citronvalve/peers/borrower.py
@@ -1,26 +1,26 @@
-"""The borrower's side of grants: what was asked for and what is held."""
+"""The borrower's side of loans."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.peers import loan as loans
 from citronvalve.peers import loankey
-from citronvalve.peers import loanrequest as asks
+from citronvalve.peers import loanrequest as loanrequests
 from citronvalve.peers import loanresponse
 from citronvalve.peers import timing as timings
 
 
 class _Pending(NamedTuple):
-    """An ask on its way; only its own answer counts."""
+    """The last request to a lender; only its own response counts."""
 
     serial: int
     sent_at: clock.Ms
 
 
 class Borrower:
-    """Wants slots, asks their keepers in batches and holds what it got.
+    """Requests slots from their lenders in batches and keeps the loans.
 
-    :param timing: the fleet's spans.
+    :param timing: the fleet's timing.
     """
 
     def __init__(self, timing: timings.Timing) -> None:
@@ -32,10 +32,10 @@
         self._unrequested: set[loankey.LoanKey] = set()
 
     def request_slots(self, key: loankey.LoanKey, slots: int) -> None:
-        """Say how many slots are needed from now on; 0 needs none.
+        """Set how many slots to borrow; 0 borrows none.
 
         :param key: the limit.
-        :param slots: at most what the work at hand can use.
+        :param slots: the most that current requests can use.
         """
         if slots:
             if key not in self._slots_by_key:
@@ -47,67 +47,67 @@
 
     def due_requests(
         self,
-        keepers: dict[loankey.LoanKey, str],
+        lender_by_key: dict[loankey.LoanKey, str],
         now: clock.Ms,
-        most: int,
-    ) -> list[tuple[str, asks.LoanRequest]]:
-        """Return the asks to send now, one a keeper.
+        max_requests: int,
+    ) -> list[tuple[str, loanrequests.LoanRequest]]:
+        """Return the requests to send, one for each lender.
 
-        :param keepers: the keeper of each wanted limit.
+        :param lender_by_key: the lender of each requested limit.
         :param now: monotonic time in ms.
-        :param most: asks at once; the others have their turn later.
+        :param max_requests: maximum number; the others follow later.
         """
-        keys_by_keeper: dict[str, list[loankey.LoanKey]] = {}
-        for key, keeper in keepers.items():
-            keys_by_keeper.setdefault(keeper, []).append(key)
+        keys_by_lender: dict[str, list[loankey.LoanKey]] = {}
+        for key, lender in lender_by_key.items():
+            keys_by_lender.setdefault(lender, []).append(key)
         due = [
-            keeper
-            for keeper, keys in keys_by_keeper.items()
+            lender
+            for lender, keys in keys_by_lender.items()
             if self._is_due(
-                keeper, not self._unrequested.isdisjoint(keys), now
+                lender, not self._unrequested.isdisjoint(keys), now
             )
         ]
         due.sort(key=self._requested_at)
         return [
-            (keeper, self._request(keeper, keys_by_keeper[keeper], now))
-            for keeper in due[:most]
+            (lender, self._request(lender, keys_by_lender[lender], now))
+            for lender in due[:max_requests]
         ]
 
     def keys(self) -> list[loankey.LoanKey]:
-        """Return the limits that slots are wanted of."""
+        """Return the limits of which slots are requested."""
         return list(self._slots_by_key)
 
     def apply_response(
-        self, answer: loanresponse.LoanResponse, keeper: str, now: clock.Ms
+        self, response: loanresponse.LoanResponse, lender: str, now: clock.Ms
     ) -> list[loans.Loan]:
-        """Take an answer in; return the loans that it gave.
+        """Apply a response; return the loans that it granted.
 
-        :param answer: from a keeper.
-        :param keeper: the keeper.
+        :param response: from a lender.
+        :param lender: the lender.
         :param now: monotonic time in ms.
         """
-        pending = self._pending_by_lender.get(keeper)
-        # A late answer to an earlier ask, or a repeated one, says nothing
-        # about what the keeper counts now.
-        if pending is None or pending.serial != answer.serial:
+        pending = self._pending_by_lender.get(lender)
+        # A late response to an earlier request, or a duplicate, doesn't match
+        # what the lender counts.
+        if pending is None or pending.serial != response.serial:
             return []
-        self._pending_by_lender[keeper] = pending._replace(serial=0)
-        span = (
-            min(answer.duration, self._timing.loan_duration)
+        self._pending_by_lender[lender] = pending._replace(serial=0)
+        duration = (
+            min(response.duration, self._timing.loan_duration)
             - self._timing.loan_margin
         )
-        until = pending.sent_at + span
-        taken = [
-            loans.Loan(granted.key, granted.slots, until)
-            for granted in answer.grants
-            if granted.key in self._slots_by_key and until > now
+        expires_at = pending.sent_at + duration
+        granted = [
+            loans.Loan(grant.key, grant.slots, expires_at)
+            for grant in response.grants
+            if grant.key in self._slots_by_key and expires_at > now
         ]
-        for loan in taken:
+        for loan in granted:
             self._loan_by_key[loan.key] = loan
-        return taken
+        return granted
 
     def usable_slots(self, key: loankey.LoanKey, now: clock.Ms) -> int:
-        """Return how many slots are lent at this moment.
+        """Return how many slots are lent to this daemon at this moment.
 
         :param key: the limit.
         :param now: monotonic time in ms.
@@ -116,7 +116,7 @@
         return loan.slots if loan is not None else 0
 
     def loan(self, key: loankey.LoanKey, now: clock.Ms) -> loans.Loan | None:
-        """Return the loan in force, even one of no slots, or None.
+        """Return the current loan, which may be of 0 slots, or None.
 
         :param key: the limit.
         :param now: monotonic time in ms.
@@ -125,7 +125,7 @@
         return loan if loan is not None and loan.expires_at > now else None
 
     def has_response(self, key: loankey.LoanKey, now: clock.Ms) -> bool:
-        """Tell whether a keeper lately said how much it lends, even none.
+        """Return whether a lender's response is in force, even of 0 slots.
 
         :param key: the limit.
         :param now: monotonic time in ms.
@@ -133,12 +133,12 @@
         return self.loan(key, now) is not None
 
     def clear(self) -> None:
-        """Drop all loans: a life that is over holds none."""
+        """Drop all loans, which a dead incarnation may not use."""
         self._loan_by_key.clear()
         self._pending_by_lender.clear()
 
     def prune(self, now: clock.Ms) -> None:
-        """Drop what has run out.
+        """Drop expired loans.
 
         :param now: monotonic time in ms.
         """
@@ -147,27 +147,30 @@
                 del self._loan_by_key[key]
 
     def _request(
-        self, keeper: str, keys: list[loankey.LoanKey], now: clock.Ms
-    ) -> asks.LoanRequest:
+        self, lender: str, keys: list[loankey.LoanKey], now: clock.Ms
+    ) -> loanrequests.LoanRequest:
         self._serial += 1
-        self._pending_by_lender[keeper] = _Pending(self._serial, now)
+        self._pending_by_lender[lender] = _Pending(self._serial, now)
         self._unrequested.difference_update(keys)
-        return asks.LoanRequest(
+        return loanrequests.LoanRequest(
             self._serial,
             tuple(
-                asks.SlotRequest(key, self._slots_by_key[key]) for key in keys
+                loanrequests.SlotRequest(key, self._slots_by_key[key])
+                for key in keys
             ),
         )
 
-    def _requested_at(self, keeper: str) -> clock.Ms:
-        pending = self._pending_by_lender.get(keeper)
+    def _requested_at(self, lender: str) -> clock.Ms:
+        pending = self._pending_by_lender.get(lender)
         return pending.sent_at if pending is not None else -1
 
-    def _is_due(self, keeper: str, new: bool, now: clock.Ms) -> bool:
-        pending = self._pending_by_lender.get(keeper)
+    def _is_due(self, lender: str, has_new_key: bool, now: clock.Ms) -> bool:
+        pending = self._pending_by_lender.get(lender)
         if pending is None:
             return True
-        wait = (
-            self._timing.send_interval if new else self._timing.renew_interval
+        interval = (
+            self._timing.send_interval
+            if has_new_key
+            else self._timing.renew_interval
         )
-        return now - pending.sent_at >= wait
+        return now - pending.sent_at >= interval
--- a/src/citronvalve/peers/change.py
+++ b/src/citronvalve/peers/change.py
@@ -1,4 +1,4 @@
-"""One row of the table as it travels between daemons."""
+"""A row of the table as sent between daemons."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 class Change(NamedTuple):
     """A row written at ``version``; an empty ``value`` means deleted.
 
-    ``value`` is opaque here: the table's own encoding of a stored row.
+    ``value`` is the table's encoding of a stored row and opaque here.
     """
 
     table: str
--- a/src/citronvalve/peers/codec.py
+++ b/src/citronvalve/peers/codec.py
@@ -1,4 +1,4 @@
-"""Turns messages into bytes and back; what does not fit is junk."""
+"""Encodes and decodes messages; drops invalid ones."""
 
 import collections
 from typing import Any
@@ -15,9 +15,9 @@
 from citronvalve.peers import tablepage
 from citronvalve.peers import tablerequest
 
-#: Bytes of the largest message.  A full page of the table is 48 KiB and a
-#: row at most 16 KiB; anything larger is not ours, and would hold up the
-#: relaying of tokens while it is decoded.
+#: Maximum size of a message.  A full page of the table is 48 KiB and a row
+#: at most 16 KiB.  Decoding a larger message, which no daemon sends, would
+#: delay the relaying of tokens.
 MAX_MESSAGE_BYTES = 96 * 1_024
 
 _TYPE_BY_KIND = {
@@ -33,16 +33,16 @@
 
 
 class Received(NamedTuple):
-    """A good message and who sent it."""
+    """A valid message and its sender."""
 
     sender: envelope.Sender
     message: Any
 
 
 class Codec:
-    """Encodes and decodes, and counts what it drops by reason.
+    """Encodes and decodes messages.
 
-    :ivar junk_by_reason: how many messages were dropped.
+    :ivar dropped_by_reason: number of messages dropped.
     """
 
     def __init__(self) -> None:
@@ -72,24 +72,24 @@
         )
 
     def decode(self, data: bytes) -> Received | invalidmessage.InvalidMessage:
-        """Decode a message, whoever sent it.
+        """Decode a message; count it as dropped if it is invalid.
 
         :param data: as received.
         """
         if len(data) > MAX_MESSAGE_BYTES:
             return self._drop("too large")
         try:
-            opened = self._envelope_decoder.decode(data)
+            decoded = self._envelope_decoder.decode(data)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             return self._drop("no envelope")
-        if opened.protocol != envelope.PROTOCOL:
+        if decoded.protocol != envelope.PROTOCOL:
             return self._drop("other protocol version")
         try:
-            decoder = self._decoder_by_kind[opened.kind]
-            body = decoder.decode(opened.body)
+            decoder = self._decoder_by_kind[decoded.kind]
+            body = decoder.decode(decoded.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return self._drop(f"bad {opened.kind.name.lower()}")
-        return Received(opened.sender, body)
+            return self._drop(f"bad {decoded.kind.name.lower()}")
+        return Received(decoded.sender, body)
 
     def _drop(self, reason: str) -> invalidmessage.InvalidMessage:
         self.dropped_by_reason[reason] += 1
--- a/src/citronvalve/peers/confirmation.py
+++ b/src/citronvalve/peers/confirmation.py
@@ -1,13 +1,14 @@
-"""How far a version of the table has come."""
+"""Which members have confirmed a version of the table."""
 
 from typing import NamedTuple
 
 
 class Confirmation(NamedTuple):
-    """Who holds a version or a later one.
+    """State of a version of the table across the fleet.
 
-    ``silent`` names members that have not confirmed it; a data centre
-    that tells no more than a number is named with it.
+    ``members`` is the number of members.  ``silent`` names those that hold
+    no version as new as this; members of another data centre are listed
+    under its name.
     """
 
     version: int
@@ -16,5 +17,5 @@
 
     @property
     def in_force(self) -> bool:
-        """Tell whether every member has confirmed the version."""
+        """Return whether every member has confirmed the version."""
         return not self.silent
--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -1,4 +1,4 @@
-"""One daemon among its peers: messages and ticks in, messages out."""
+"""The protocol between peers, without I/O."""
 
 import random
 
@@ -11,8 +11,8 @@
 from citronvalve.peers import gossip as gossips
 from citronvalve.peers import gossipbuilder
 from citronvalve.peers import listener as listeners
-from citronvalve.peers import loanrequest as asks
-from citronvalve.peers import loanresponse as lents
+from citronvalve.peers import loanrequest as loanrequests
+from citronvalve.peers import loanresponse as loanresponses
 from citronvalve.peers import member as members
 from citronvalve.peers import notice as notices
 from citronvalve.peers import outgoing
@@ -27,21 +27,23 @@
 
 _Out = list[outgoing.Outgoing]
 
-#: Ticks between two looks for what has run out.
+#: Ticks between two removals of expired state.
 _PRUNE_INTERVAL_TICKS = 40
 
-#: Ticks between two looks for silent members.
+#: Ticks between two checks for silent members.
 _SWEEP_INTERVAL_TICKS = 2
 
 
 class Core:
-    """Everything but the sockets; runs in a test as it runs in a daemon.
+    """Handles messages and ticks, and returns the messages to send.
 
-    :param settings: this daemon among its peers.
+    :param settings: this daemon's settings.
     :param clock_: the clock.
-    :param rng: chance.
-    :param invariants: where promises are asserted.
-    :param listener: told of new tables and loans.
+    :param rng: source of randomness.
+    :param invariants: checks the invariants.
+    :param listener: called with new tables, loans and loads.
+    :ivar state: what this daemon knows of its peers.
+    :ivar schedule: chooses the recipients of gossip.
     """
 
     def __init__(
@@ -71,13 +73,13 @@
             tablerequest.TableRequest: self._sync.on_request,
             tablepage.TablePage: self._sync.on_page,
             notices.DeathNotice: self._on_notice,
-            asks.LoanRequest: self._on_loan_request,
-            lents.LoanResponse: self._on_loan_response,
+            loanrequests.LoanRequest: self._on_loan_request,
+            loanresponses.LoanResponse: self._on_loan_response,
         }
 
     @property
     def sender(self) -> envelope.Sender:
-        """Return this daemon as its messages name it."""
+        """Return this daemon as the sender of its messages."""
         settings = self.state.settings
         return envelope.Sender(
             settings.name,
@@ -87,7 +89,7 @@
         )
 
     def tick(self) -> _Out:
-        """Do what is due; to be called every ``timing.tick`` ms."""
+        """Do what is due; called every ``timing.tick_interval`` ms."""
         state, now = self.state, self.state.clock.now()
         self._ticks += 1
         if state.authority.tick(bool(state.others())):
@@ -106,34 +108,34 @@
         return [*self.schedule.tick(now), *self.loan_requests(now)]
 
     def loan_requests(self, now: clock.Ms) -> _Out:
-        """Return the asks for loans that are due.
+        """Return the loan requests that are due.
 
         :param now: monotonic time in ms.
         """
         state = self.state
         out = []
-        for asked in state.loan_manager.due_requests(
+        for addressed in state.loan_manager.due_requests(
             state.membership.alive(), now
         ):
-            if asked.lender == state.settings.name:
-                self._lend_to_self(asked.request, now)
+            if addressed.lender == state.settings.name:
+                self._lend_to_self(addressed.request, now)
                 continue
-            keeper = state.membership.member_by_name[asked.lender]
-            out.append(outgoing.Outgoing(keeper.address, asked.request))
+            lender = state.membership.member_by_name[addressed.lender]
+            out.append(outgoing.Outgoing(lender.address, addressed.request))
         return out
 
     def handle(self, received: codec.Received) -> _Out:
-        """Take in a message; return what is to be answered.
+        """Handle a message; return the replies.
 
-        :param received: decoded, with its sender.
+        :param received: the decoded message and its sender.
         """
         state, now = self.state, self.state.clock.now()
         sender = received.sender
         if sender.name == state.settings.name:
             return []
-        near = sender.datacentre == state.settings.datacentre
+        is_local = sender.datacentre == state.settings.datacentre
         state.authority.has_met_peer = True
-        if near and type(received.message) is not notices.DeathNotice:
+        if is_local and type(received.message) is not notices.DeathNotice:
             if state.membership.is_dead(sender.name, sender.incarnation):
                 return self._replier.death_notice(sender)
             self._add_sender(sender, now)
@@ -144,48 +146,48 @@
         return out
 
     def publish_table(self, delta: tabledelta.TableDelta) -> bool:
-        """Take a version that a watcher read; tell whether it is newer.
+        """Apply a version that a watcher read; return whether it is newer.
 
-        :param delta: from the platform.
+        :param delta: as read from the platform.
         """
         return self._sync.publish(delta)
 
-    def reconcile_table(self, whole: tabledelta.TableDelta) -> None:
-        """Replace the rows held where they differ from the platform's.
+    def reconcile_table(self, full: tabledelta.TableDelta) -> None:
+        """Replace the rows known if they differ from the platform's.
 
-        :param whole: the whole table, read from the platform.
+        :param full: the full table, read from the platform.
         """
-        self._sync.reconcile(whole)
+        self._sync.reconcile(full)
 
     def publish_load(self, report: load.LoadReport) -> None:
-        """Take in a load that this daemon measured.
+        """Record a load that this daemon measured.
 
-        :param report: of an upstream that it keeps.
+        :param report: of an upstream that it coordinates.
         """
         self.state.loads.record(report)
         self._listener.on_load(report)
 
     def confirmation(self, version: int) -> confirmations.Confirmation:
-        """Return who has confirmed a version of the table.
+        """Return which members have confirmed a version of the table.
 
         :param version: the version, or a later one.
         """
         state = self.state
-        living = [
+        alive = [
             state.membership.member_by_name[name]
             for name in sorted(state.membership.alive())
         ]
-        silent = [m.name for m in living if m.version < version]
-        members_ = len(living)
+        silent = [m.name for m in alive if m.version < version]
+        member_count = len(alive)
         for summary in state.remote.summaries(state.clock.now()):
-            members_ += summary.members
+            member_count += summary.members
             if summary.version < version:
                 behind = ", ".join(summary.behind) or "some members"
                 silent.append(f"{summary.datacentre}: {behind}")
-        return confirmations.Confirmation(version, members_, tuple(silent))
+        return confirmations.Confirmation(version, member_count, tuple(silent))
 
     def leave(self) -> _Out:
-        """Say goodbye, so that nobody waits for this daemon to die."""
+        """Announce the leave, so that peers need not detect it."""
         state = self.state
         own = state.membership.member_by_name[state.settings.name]
         left = own._replace(state=members.MemberState.LEFT)
@@ -203,8 +205,8 @@
         self, sender: envelope.Sender, message: gossips.Gossip, now: clock.Ms
     ) -> _Out:
         state = self.state
-        near = sender.datacentre == state.settings.datacentre
-        if near:
+        is_local = sender.datacentre == state.settings.datacentre
+        if is_local:
             self._merge_members(message, now)
         self._sync.check_peer_table(message, now)
         for summary in message.summaries:
@@ -213,16 +215,18 @@
                 self.schedule.set_extra_seeds(
                     [c.address for c in summary.contacts]
                 )
-        for rumor in message.loads:
-            far = rumor.coordinator not in state.membership.member_by_name
-            if state.loads.apply(rumor, now, far):
-                self._listener.on_load(state.loads.report(rumor.upstream))
-        for fact in message.crashes:
-            state.crashes.record(fact, now)
+        for update in message.loads:
+            is_remote = (
+                update.coordinator not in state.membership.member_by_name
+            )
+            if state.loads.apply(update, now, is_remote):
+                self._listener.on_load(state.loads.report(update.upstream))
+        for report in message.crashes:
+            state.crashes.record(report, now)
         if message.page is not None:
             self._sync.apply_page(message.page)
         out = self._sync.request(sender, message.table_version)
-        return out + self._replier.reply(sender, message, near)
+        return out + self._replier.reply(sender, message, is_local)
 
     def _merge_members(self, message: gossips.Gossip, now: clock.Ms) -> None:
         state = self.state
@@ -232,21 +236,21 @@
                 self._check_own_record(record)
             elif record.datacentre == state.settings.datacentre:
                 state.membership.merge(record, now)
-        for beat in message.heartbeats:
-            if beat.name != own:
-                state.membership.apply_heartbeat(beat, now)
+        for heartbeat in message.heartbeats:
+            if heartbeat.name != own:
+                state.membership.apply_heartbeat(heartbeat, now)
         if message.known_incarnation > state.authority.incarnation:
             state.authority.mark_dead(message.known_incarnation)
         state.authority.acknowledge(message.known_incarnation)
 
     def _check_own_record(self, record: members.Member) -> None:
-        standing = self.state.authority
-        over = record.state in (
+        authority = self.state.authority
+        is_over = record.state in (
             members.MemberState.DEAD,
             members.MemberState.LEFT,
         )
-        if over or record.incarnation > standing.incarnation:
-            standing.mark_dead(record.incarnation)
+        if is_over or record.incarnation > authority.incarnation:
+            authority.mark_dead(record.incarnation)
 
     def _on_notice(
         self, sender: envelope.Sender, message: notices.DeathNotice, now: int
@@ -255,19 +259,22 @@
         return []
 
     def _on_loan_request(
-        self, sender: envelope.Sender, message: asks.LoanRequest, now: clock.Ms
+        self,
+        sender: envelope.Sender,
+        message: loanrequests.LoanRequest,
+        now: clock.Ms,
     ) -> _Out:
-        answer = self.state.loan_manager.handle_request(
+        response = self.state.loan_manager.handle_request(
             message, sender.name, sender.incarnation, now
         )
-        if answer is None:
+        if response is None:
             return []
-        return [outgoing.Outgoing(sender.address, answer)]
+        return [outgoing.Outgoing(sender.address, response)]
 
     def _on_loan_response(
         self,
         sender: envelope.Sender,
-        message: lents.LoanResponse,
+        message: loanresponses.LoanResponse,
         now: clock.Ms,
     ) -> _Out:
         for loan in self.state.loan_manager.apply_response(
@@ -276,17 +283,19 @@
             self._listener.on_loan(loan)
         return []
 
-    def _lend_to_self(self, ask: asks.LoanRequest, now: clock.Ms) -> None:
+    def _lend_to_self(
+        self, request: loanrequests.LoanRequest, now: clock.Ms
+    ) -> None:
         own = self.sender
-        answer = self.state.loan_manager.handle_request(
-            ask, own.name, own.incarnation, now
+        response = self.state.loan_manager.handle_request(
+            request, own.name, own.incarnation, now
         )
-        if answer is not None:
-            self._on_loan_response(own, answer, now)
+        if response is not None:
+            self._on_loan_response(own, response, now)
 
     def _add_sender(self, sender: envelope.Sender, now: clock.Ms) -> None:
-        held = self.state.membership.member_by_name.get(sender.name)
-        if held is None or sender.incarnation > held.incarnation:
+        known = self.state.membership.member_by_name.get(sender.name)
+        if known is None or sender.incarnation > known.incarnation:
             self.state.membership.merge(
                 members.Member(
                     sender.name,
@@ -302,10 +311,10 @@
         self.state.advance_heartbeat(now)
 
     def _check_incarnation(self, now: clock.Ms) -> None:
-        standing = self.state.authority
-        if standing.incarnation == self._active_incarnation:
+        authority = self.state.authority
+        if authority.incarnation == self._active_incarnation:
             return
-        self._active_incarnation = standing.incarnation
+        self._active_incarnation = authority.incarnation
         self.state.loan_manager.reset()
         self._advance_heartbeat(now)
         self._listener.on_new_incarnation()
--- a/src/citronvalve/peers/crashreport.py
+++ b/src/citronvalve/peers/crashreport.py
@@ -1,4 +1,4 @@
-"""News that one request took an upstream down."""
+"""A report that a request crashed an upstream."""
 
 from typing import NamedTuple
 
@@ -8,8 +8,8 @@
 class CrashReport(NamedTuple):
     """An upstream was lost while it ran a request.
 
-    ``fingerprint`` names the request's content; facts about one fingerprint
-    from different upstreams add up, whichever daemon saw them.
+    ``fingerprint`` identifies the request's content.  Reports about the same
+    fingerprint from different upstreams add up across all daemons.
     """
 
     fingerprint: str
--- a/src/citronvalve/peers/crashtable.py
+++ b/src/citronvalve/peers/crashtable.py
@@ -1,21 +1,22 @@
-"""Which requests took which upstreams down, in every data centre."""
+"""The crashes of upstreams that any daemon reported."""
 
 from citronvalve.model import clock
 from citronvalve.peers import crashreport
 from citronvalve.peers import updatequeue
 
-#: Tellings of a fact: missing one may cost another upstream.
+#: Transmissions of a report; a daemon that misses it may crash another
+#: upstream with the same request.
 _TRANSMISSIONS = 7
 
-#: Facts held.  A flood of crashes drops the oldest; a crash that matters
-#: comes again.
+#: Reports held.  Beyond it the oldest is dropped; a request that goes on
+#: crashing upstreams is reported again.
 _MAX_CRASHES = 4_096
 
 
 class CrashTable:
-    """Facts by request, upstream and start.
+    """Crash reports by request, upstream and start.
 
-    :param keep: ms that a fact stays.
+    :param retention: ms for which a report is kept.
     """
 
     def __init__(self, retention: clock.Ms = 600_000) -> None:
@@ -23,24 +24,24 @@
         self._crashed_at_by_key: dict[tuple[str, str, str], clock.Ms] = {}
         self.updates = updatequeue.UpdateQueue(max_keys=_MAX_CRASHES)
 
-    def record(self, fact: crashreport.CrashReport, now: clock.Ms) -> bool:
-        """Take in a fact; tell whether it was new.
+    def record(self, report: crashreport.CrashReport, now: clock.Ms) -> bool:
+        """Record a report; return whether it is new.
 
-        :param fact: an own one or one told by a peer.
+        :param report: from this daemon or a peer.
         :param now: monotonic time in ms.
         """
-        key = (fact.fingerprint, fact.upstream, fact.start_id)
-        if key in self._crashed_at_by_key or fact.age >= self._retention:
+        key = (report.fingerprint, report.upstream, report.start_id)
+        if key in self._crashed_at_by_key or report.age >= self._retention:
             self.updates.record_duplicate(key)
             return False
-        self._crashed_at_by_key[key] = now - max(0, fact.age)
+        self._crashed_at_by_key[key] = now - max(0, report.age)
         if len(self._crashed_at_by_key) > _MAX_CRASHES:
             del self._crashed_at_by_key[next(iter(self._crashed_at_by_key))]
         self.updates.put(key, _TRANSMISSIONS, urgent=True)
         return True
 
     def reports(self, now: clock.Ms) -> tuple[crashreport.CrashReport, ...]:
-        """Return every fact that still stands.
+        """Return all reports that have not expired.
 
         :param now: monotonic time in ms.
         """
@@ -50,9 +51,9 @@
     def update_for(
         self, key: tuple[str, str, str], now: clock.Ms
     ) -> crashreport.CrashReport | None:
-        """Return a fact in the form in which it travels.
+        """Return a report with its current age, or ``None``.
 
-        :param key: fingerprint, upstream and start.
+        :param key: fingerprint, upstream and start id.
         :param now: monotonic time in ms.
         """
         return (
@@ -60,12 +61,12 @@
         )
 
     def prune(self, now: clock.Ms) -> None:
-        """Drop the facts that have run out.
+        """Drop expired reports.
 
         :param now: monotonic time in ms.
         """
-        for key, at in list(self._crashed_at_by_key.items()):
-            if now - at >= self._retention:
+        for key, crashed_at in list(self._crashed_at_by_key.items()):
+            if now - crashed_at >= self._retention:
                 del self._crashed_at_by_key[key]
 
     def _report(
--- a/src/citronvalve/peers/delays.py
+++ b/src/citronvalve/peers/delays.py
@@ -1,16 +1,16 @@
-"""How much later than usual the messages of other daemons arrive."""
+"""Measures how late the messages of other daemons arrive."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 
-#: The fastest message of this long, or of twice as long, is the usual one.  A
-#: sender whose monotonic clock stood still seems late until it has passed.
+#: The minimum delay is taken over this window and the one before.  A sender
+#: whose monotonic clock stood still seems late until both have passed.
 _WINDOW: clock.Ms = 30_000
 
 
 class _MinimumDelay(NamedTuple):
-    """Least difference of the clocks in this window and the one before."""
+    """Minimum clock difference in the current and the previous window."""
 
     window_start: clock.Ms
     current: clock.Ms
@@ -18,11 +18,11 @@
 
 
 class DelayTracker:
-    """Compares when messages were sent and when they came.
+    """Compares send and receive times of messages by sender.
 
-    The daemons' clocks have different origins, so that only the change of
-    the difference tells something.  A queue between two daemons, or before
-    a task that has too little processor, makes old statements look fresh.
+    The monotonic clocks have different origins, so only changes of their
+    difference are meaningful.  Queueing between two daemons, or before a
+    task that lacks CPU time, would make old information look fresh.
     """
 
     def __init__(self) -> None:
@@ -31,18 +31,18 @@
     def excess_delay(
         self, sender: str, sent_at: clock.Ms, now: clock.Ms
     ) -> clock.Ms:
-        """Take in a message; return by how many ms it is later than usual.
+        """Record a message; return its delay in ms beyond the minimum.
 
         :param sender: the daemon that sent it.
-        :param sent_at: by the sender's monotonic clock, in ms.
-        :param now: by the own one.
+        :param sent_at: the sender's monotonic time in ms.
+        :param now: this daemon's monotonic time in ms.
         """
-        took = now - sent_at
-        held = self._minimum_by_sender.get(sender)
-        if held is None:
-            held = _MinimumDelay(now, took, took)
-        elif now - held.window_start >= _WINDOW:
-            held = _MinimumDelay(now, took, held.current)
-        held = held._replace(current=min(held.current, took))
-        self._minimum_by_sender[sender] = held
-        return took - min(held.current, held.previous)
+        delay = now - sent_at
+        minimum = self._minimum_by_sender.get(sender)
+        if minimum is None:
+            minimum = _MinimumDelay(now, delay, delay)
+        elif now - minimum.window_start >= _WINDOW:
+            minimum = _MinimumDelay(now, delay, minimum.current)
+        minimum = minimum._replace(current=min(minimum.current, delay))
+        self._minimum_by_sender[sender] = minimum
+        return delay - min(minimum.current, minimum.previous)
--- a/src/citronvalve/peers/distributor.py
+++ b/src/citronvalve/peers/distributor.py
@@ -1,42 +1,41 @@
-"""Brings news and loads to every daemon, directly or by the keepers."""
+"""Distributes messages and loads, directly or by coordinators."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.peers import loadsums
 from citronvalve.peers import messages
-from citronvalve.peers import topology as neighbourhoods
+from citronvalve.peers import topology as topologies
 from citronvalve.policy import upstreamchoice
 from citronvalve.policy import upstreamload
 
-#: The same word on an upstream is passed on once in this time: all daemons
-#: that wait for a replica notice at about the same moment that it stands
-#: still.
+#: The same message about an upstream is forwarded once in this time, since all
+#: daemons that wait for a replica detect its stall at about the same time.
 _REPEAT_WINDOW: clock.Ms = 500
 
-#: Whose requests a keeper's sum stands for among those that daemons told.
+#: Name under which the sum by a coordinator is kept among those of daemons.
 _OTHERS_KEY = "by the keeper"
 
 
 class Outgoing(NamedTuple):
-    """A message and the daemon that it goes to."""
+    """A message and the name of its recipient."""
 
     name: str
     message: messages.Message
 
 
 class Distributor:
-    """Decides who is told what; sends nothing itself.
+    """Decides which messages go to which daemons; does no I/O.
 
-    With few daemons each tells all others.  With many, each tells one
-    keeper of its data centre, which tells the others there and the keepers
-    elsewhere: two messages a daemon and period in place of one for each
-    other daemon.
+    With few daemons each sends to all others.  With many, each sends to the
+    coordinator of its data centre, which sends to the others there and to
+    the coordinators elsewhere.  That takes two messages a daemon and period
+    instead of one for each other daemon.
 
     :param name: this daemon.
-    :param datacentre: where it stands.
-    :param book: takes the requests of the others.
-    :ivar neighbourhood: who the keepers are.
+    :param datacentre: its data centre.
+    :param loads: gets the requests of other daemons.
+    :ivar topology: knows the coordinators.
     """
 
     def __init__(
@@ -50,58 +49,60 @@
         self._other_loads_at: clock.Ms | None = None
         self._names: list[str] = []
         self._forwarded_at_by_payload: dict[messages.Broadcast, clock.Ms] = {}
-        self.topology = neighbourhoods.Topology(name, datacentre)
+        self.topology = topologies.Topology(name, datacentre)
 
     def set_daemons(self, datacentre_by_name: dict[str, str]) -> None:
-        """Take in which daemons there are.
+        """Set the daemons of the fleet.
 
-        :param datacentre_by_name: all of them, with this one.
+        :param datacentre_by_name: all daemons, with this one.
         """
         self._names = [n for n in datacentre_by_name if n != self._name]
         self.topology.set_daemons(datacentre_by_name)
 
     def reachable_count(self, now: clock.Ms) -> int:
-        """Return how many other daemons were heard of lately.
+        """Return how many other daemons are reachable, also by relay.
 
         :param now: monotonic ms.
         """
-        direct = self.topology.reachable_count(now)
+        reachable = self.topology.reachable_count(now)
         if self._other_loads_at is None:
-            return direct
-        lately = now - self._other_loads_at < neighbourhoods.REACHABLE_FOR
-        return max(direct, self._reported_daemons if lately else 0)
+            return reachable
+        is_recent = now - self._other_loads_at < topologies.REACHABLE_FOR
+        return max(reachable, self._reported_daemons if is_recent else 0)
 
     def broadcast(
-        self, item: messages.Broadcast, now: clock.Ms
+        self, payload: messages.Broadcast, now: clock.Ms
     ) -> list[Outgoing]:
-        """Return the messages that bring an item to all daemons.
+        """Return the messages that bring a payload to all daemons.
 
-        :param item: the news.
+        :param payload: the payload.
         :param now: monotonic ms.
         """
         if self.topology.is_direct:
-            return [Outgoing(name, item) for name in self._names]
-        return self._forward(messages.Stage.UP, item, "", now)
+            return [Outgoing(name, payload) for name in self._names]
+        return self._forward(messages.Stage.UP, payload, "", now)
 
     def broadcast_locally(
-        self, item: messages.Broadcast, now: clock.Ms
+        self, payload: messages.Broadcast, now: clock.Ms
     ) -> list[Outgoing]:
-        """Return the messages that bring an item to the same data centre.
+        """Return the messages that bring a payload to this data centre.
 
-        :param item: the news.
+        :param payload: the payload.
         :param now: monotonic ms.
         """
-        near = self.topology
-        if near.is_direct:
-            return [Outgoing(name, item) for name in near.local_peers]
-        return self._relayed(near.reporters(now), messages.Stage.DOWN, item)
+        topology = self.topology
+        if topology.is_direct:
+            return [Outgoing(name, payload) for name in topology.local_peers]
+        return self._relayed(
+            topology.reporters(now), messages.Stage.DOWN, payload
+        )
 
     def forward(
         self, message: messages.Relayed, now: clock.Ms
     ) -> list[Outgoing] | None:
-        """Return how news go on, or None for what was passed on just now.
+        """Return the messages that forward a relayed one, None if repeated.
 
-        :param message: as it came.
+        :param message: as received.
         :param now: monotonic ms.
         """
         self.topology.record_contact(message.sender, now)
@@ -114,7 +115,7 @@
     def report_loads(
         self, counts: messages.RequestCounts, now: clock.Ms
     ) -> list[Outgoing]:
-        """Return the messages that tell this daemon's own requests.
+        """Return the messages that report this daemon's own requests.
 
         :param counts: its requests.
         :param now: monotonic ms.
@@ -128,12 +129,12 @@
         ]
 
     def load_sums(self, now: clock.Ms) -> list[Outgoing]:
-        """Return the sums that a keeper tells.
+        """Return the messages with the sums that a coordinator sends.
 
         :param now: monotonic ms.
         """
-        near = self.topology
-        if near.is_direct:
+        topology = self.topology
+        if topology.is_direct:
             return []
         out = [
             Outgoing(
@@ -142,15 +143,15 @@
                     self._name, *self._sums.excluding(name, now)
                 ),
             )
-            for name in near.reporters(now)
+            for name in topology.reporters(now)
         ]
-        if near.is_coordinator(now):
+        if topology.is_coordinator(now):
             count, counts = self._sums.local(now)
             totals = messages.DatacentreLoads(
                 self._name, self._datacentre, count, counts
             )
             out += [
-                Outgoing(name, totals) for name in near.remote_targets(now)
+                Outgoing(name, totals) for name in topology.remote_targets(now)
             ]
             self._apply_own_sums(now)
         return out
@@ -158,44 +159,49 @@
     def apply_daemon_loads(
         self, message: messages.DaemonLoads, now: clock.Ms
     ) -> None:
-        """Take in another daemon's own requests.
+        """Apply another daemon's own requests.
 
-        :param message: as it came.
+        :param message: as received.
         :param now: monotonic ms.
         """
-        near = self.topology
-        near.record_contact(message.name, now)
-        if near.is_direct:
+        topology = self.topology
+        topology.record_contact(message.name, now)
+        if topology.is_direct:
             self._put(message.name, message.by_upstream, now)
             return
-        near.record_report(message.name, now)
+        topology.record_report(message.name, now)
         self._sums.record_daemon(message.name, message.by_upstream, now)
 
     def apply_datacentre_loads(
         self, message: messages.DatacentreLoads, now: clock.Ms
     ) -> list[Outgoing]:
-        """Take in another data centre's requests.
+        """Apply another data centre's requests; return what to forward.
 
-        :param message: as it came; goes on to the keeper if that is another.
+        :param message: as received; forwarded to the coordinator, if that is
+            another daemon.
         :param now: monotonic ms.
         """
-        near = self.topology
-        near.record_contact(message.name, now)
+        topology = self.topology
+        topology.record_contact(message.name, now)
         self._sums.record_datacentre(message, now)
-        keeper = near.coordinator(now)
-        return [] if keeper == self._name else [Outgoing(keeper, message)]
+        coordinator = topology.coordinator(now)
+        return (
+            []
+            if coordinator == self._name
+            else [Outgoing(coordinator, message)]
+        )
 
     def apply_other_loads(
         self, message: messages.OtherLoads, now: clock.Ms
     ) -> None:
-        """Take in the sum of the others' requests.
+        """Apply the sum of the others' requests.
 
-        :param message: as it came.
+        :param message: as received.
         :param now: monotonic ms.
         """
-        near = self.topology
-        near.record_contact(message.name, now)
-        if near.is_direct or near.coordinator(now) != message.name:
+        topology = self.topology
+        topology.record_contact(message.name, now)
+        if topology.is_direct or topology.coordinator(now) != message.name:
             return
         self._reported_daemons = message.daemons
         self._other_loads_at = now
@@ -210,8 +216,8 @@
     def _put(
         self, name: str, counts: messages.RequestCounts, now: clock.Ms
     ) -> None:
-        known = self._loads.load_by_upstream.keys()
-        for upstream in known | counts.keys():
+        upstreams = self._loads.load_by_upstream.keys()
+        for upstream in upstreams | counts.keys():
             count, late = counts.get(upstream, (0, 0))
             shares = self._loads.of(upstream).share_by_daemon
             shares[name] = upstreamload.Share(count, late, now)
@@ -219,40 +225,43 @@
     def _forward(
         self,
         stage: messages.Stage,
-        item: messages.Broadcast,
+        payload: messages.Broadcast,
         sender: str,
         now: clock.Ms,
     ) -> list[Outgoing]:
-        near = self.topology
-        keeper = near.coordinator(now)
+        topology = self.topology
+        coordinator = topology.coordinator(now)
         out = []
         if stage is not messages.Stage.DOWN:
-            if keeper != self._name:
-                # Who sent it takes this daemon for the keeper.
-                out += self._relayed([keeper], stage, item)
+            if coordinator != self._name:
+                # The sender takes this daemon for the coordinator.
+                out += self._relayed([coordinator], stage, payload)
             elif stage is messages.Stage.UP:
-                across = near.remote_targets(now)
-                out += self._relayed(across, messages.Stage.ACROSS, item)
-            below = [n for n in near.reporters(now) if n != sender]
-            out += self._relayed(below, messages.Stage.DOWN, item)
+                remote = topology.remote_targets(now)
+                out += self._relayed(remote, messages.Stage.ACROSS, payload)
+            reporters = [n for n in topology.reporters(now) if n != sender]
+            out += self._relayed(reporters, messages.Stage.DOWN, payload)
         return out
 
     def _relayed(
-        self, names: list[str], stage: messages.Stage, item: messages.Broadcast
+        self,
+        names: list[str],
+        stage: messages.Stage,
+        payload: messages.Broadcast,
     ) -> list[Outgoing]:
-        passed = messages.Relayed(self._name, stage, item)
-        return [Outgoing(name, passed) for name in names]
+        relayed = messages.Relayed(self._name, stage, payload)
+        return [Outgoing(name, relayed) for name in names]
 
-    def _is_repeated(self, item: messages.Broadcast, now: clock.Ms) -> bool:
-        if not isinstance(item, messages.Stall | messages.Crash):
+    def _is_repeated(self, payload: messages.Broadcast, now: clock.Ms) -> bool:
+        if not isinstance(payload, messages.Stall | messages.Crash):
             return False
         for key in [
-            k
-            for k, at in self._forwarded_at_by_payload.items()
-            if now - at >= _REPEAT_WINDOW
+            old
+            for old, forwarded_at in self._forwarded_at_by_payload.items()
+            if now - forwarded_at >= _REPEAT_WINDOW
         ]:
             del self._forwarded_at_by_payload[key]
-        if item in self._forwarded_at_by_payload:
+        if payload in self._forwarded_at_by_payload:
             return True
-        self._forwarded_at_by_payload[item] = now
+        self._forwarded_at_by_payload[payload] = now
         return False
--- a/src/citronvalve/peers/envelope.py
+++ b/src/citronvalve/peers/envelope.py
@@ -1,17 +1,21 @@
-"""What every message between daemons is wrapped in."""
+"""The envelope of every message between daemons."""
 
 import enum
 from typing import NamedTuple
 
 import msgspec
 
-#: Raised when a message changes its meaning.  Fields may be added at the end
-#: with a default without raising it.
+#: Protocol version.  It is raised when the meaning of a message changes;
+#: fields with a default may be added at the end without raising it.
 PROTOCOL = 1
 
 
 class Kind(enum.IntEnum):
-    """Which type the body has."""
+    """Type of a message's body.
+
+    The numbers are sent, and the lower-case names are part of the reasons
+    under which invalid messages are counted.
+    """
 
     GOSSIP = 0
     TABLE_ASK = 1
@@ -22,7 +26,7 @@
 
 
 class Sender(NamedTuple):
-    """Who speaks, from which life, and where answers go."""
+    """The sending daemon; replies go to ``address``."""
 
     name: str
     datacentre: str
@@ -31,7 +35,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message as it travels; the body is decoded once the rest is good."""
+    """A message on the wire; the body is decoded after the envelope."""
 
     protocol: int
     kind: Kind
--- a/src/citronvalve/peers/gossip.py
+++ b/src/citronvalve/peers/gossip.py
@@ -1,4 +1,4 @@
-"""The message that members send each other all the time."""
+"""The message by which members spread their state."""
 
 from typing import NamedTuple
 
@@ -10,18 +10,18 @@
 from citronvalve.peers import summary
 from citronvalve.peers import tablepage
 
-#: An age of nothing that ever happened.
+#: Age of something that never happened.
 UNKNOWN_AGE: clock.Ms = -1
 
 
 class Gossip(NamedTuple):
-    """A batch of news; every part is bounded in number.
+    """A batch of updates; the number of each kind is bounded.
 
-    ``echo``: the receiver's life that the sender knows, 0 for none.
-    ``version``, ``digest``: the sender's table.
-    ``roster``: digest of the members that the sender sees; 0 is not told.
+    ``known_incarnation``: the receiver's incarnation that the sender knows,
+    or 0.  ``table_version``, ``table_digest``: the sender's table.
+    ``roster_digest``: digest of the sender's alive members; 0 if not given.
+    ``wants_reply``: whether the sender needs an immediate reply.
     ``table_age``: ms since a watcher found this version to be the newest.
-    ``reply``: whether the sender needs an answer at once.
     """
 
     known_incarnation: int
--- a/src/citronvalve/peers/gossipbuilder.py
+++ b/src/citronvalve/peers/gossipbuilder.py
@@ -1,4 +1,4 @@
-"""Puts gossip together, within what a message may hold."""
+"""Builds gossip messages of bounded size."""
 
 from citronvalve.model import clock
 from citronvalve.peers import gossip
@@ -7,9 +7,9 @@
 from citronvalve.peers import summary as summaries
 from citronvalve.peers import tablepage
 
-#: Records in one message to a member of the same data centre.  Eight
-#: messages a second of at most 1.1 KB go out and come in, which keeps a
-#: daemon under 19 KB/s at any size; what does not fit waits and grows older.
+#: Records in one message to a member of the same data centre.  A daemon sends
+#: and receives eight messages of at most 1.1 KB a second, which is less
+#: than 19 KB/s in a fleet of any size.  Records that don't fit are sent later.
 _MAX_MEMBERS = 4
 _MAX_HEARTBEATS = 14
 _MAX_OWN_LOADS = 16
@@ -18,28 +18,29 @@
 _MAX_CRASHES = 4
 _MAX_SUMMARIES = 1
 
-#: Records in one message to another data centre; about one a second goes
-#: out and comes in.
+#: Records in one message to another data centre.  About one a second is sent
+#: and received.
 _MAX_LOADS_TO_DATACENTRE = 24
 _MAX_CRASHES_TO_DATACENTRE = 8
 _MAX_CONTACTS = 3
 _MAX_BEHIND = 4
 
-#: Bytes of table rows that ride on gossip.  Larger deltas are asked for, so
-#: that they don't travel twice to a member that has them already.
+#: Bytes of table rows in one gossip message.  Larger deltas are sent on
+#: request, so that a member doesn't receive rows that it already holds.
 _MAX_PAGE_BYTES = 2_048
 
-#: Members whose turn is remembered; forgetting starts their turns anew.
+#: Targets whose position in the rotation of loads is kept; beyond it all
+#: rotations start again.
 _MAX_TARGETS = 256
 
-#: A whole answer to a newcomer, rows of the table aside.
+#: Members in a full roster.
 _MAX_ROSTER_MEMBERS = 256
 
 
 class GossipBuilder:
-    """Reads the state and writes messages; decides nothing else.
+    """Builds gossip messages from the state.
 
-    :param state: all that this daemon knows.
+    :param state: what this daemon knows of its peers.
     """
 
     def __init__(self, state: states.State) -> None:
@@ -48,23 +49,23 @@
         self._next_load_by_target: dict[str, int] = {}
 
     def for_member(
-        self, target: str, now: clock.Ms, reply: bool = False
+        self, target: str, now: clock.Ms, wants_reply: bool = False
     ) -> gossip.Gossip:
-        """Write to a member of the same data centre.
+        """Build a message to a member of the same data centre.
 
         :param target: its name.
         :param now: monotonic time in ms.
-        :param reply: whether an answer is needed at once.
+        :param wants_reply: whether an immediate reply is needed.
         """
         state = self._state
         membership = state.membership
-        held = membership.member_by_name.get(target)
+        known = membership.member_by_name.get(target)
         return gossip.Gossip(
-            held.incarnation if target in membership.alive() else 0,
+            known.incarnation if target in membership.alive() else 0,
             state.table.version,
             state.table.digest,
             membership.digest(),
-            reply,
+            wants_reply,
             members=membership.updates.take(
                 _MAX_MEMBERS, membership.member_by_name.get
             ),
@@ -77,46 +78,46 @@
                 _MAX_SUMMARIES,
                 lambda name: state.remote.current_summary(name, now),
             ),
-            page=self._page(held.version if held is not None else 0),
+            page=self._page(known.version if known is not None else 0),
             table_age=self._table_age(now),
         )
 
     def full_roster(self, target: str, now: clock.Ms) -> gossip.Gossip:
-        """Write all that a newcomer or a member gone astray needs.
+        """Build a message with all members, for a new or diverged member.
 
         :param target: its name.
         :param now: monotonic time in ms.
         """
-        whole = self._state.membership.roster()[:_MAX_ROSTER_MEMBERS]
+        roster = self._state.membership.roster()[:_MAX_ROSTER_MEMBERS]
         return self.for_member(target, now)._replace(
-            members=whole, summaries=self._state.remote.summaries(now)
+            members=roster, summaries=self._state.remote.summaries(now)
         )
 
     def for_datacentre(
-        self, datacentre: str, now: clock.Ms, reply: bool = False
+        self, datacentre: str, now: clock.Ms, wants_reply: bool = False
     ) -> gossip.Gossip:
-        """Write to another data centre.
+        """Build a message to another data centre.
 
         :param datacentre: its name.
         :param now: monotonic time in ms.
-        :param reply: whether an answer is needed at once.
+        :param wants_reply: whether an immediate reply is needed.
         """
         state = self._state
-        held = state.remote.summary(datacentre)
+        known = state.remote.summary(datacentre)
         return gossip.Gossip(
             0,
             state.table.version,
             state.table.digest,
-            wants_reply=reply,
+            wants_reply=wants_reply,
             loads=self._loads_for_datacentre(datacentre, now),
             crashes=state.crashes.reports(now)[-_MAX_CRASHES_TO_DATACENTRE:],
             summaries=(self.summary(),),
-            page=self._page(held.version if held is not None else 0),
+            page=self._page(known.version if known is not None else 0),
             table_age=self._table_age(now),
         )
 
     def introduction(self, now: clock.Ms) -> gossip.Gossip:
-        """Answer a newcomer from another data centre.
+        """Build a reply to a new daemon of another data centre.
 
         :param now: monotonic time in ms.
         """
@@ -129,23 +130,23 @@
         )
 
     def summary(self) -> summaries.Summary:
-        """Return this data centre at a glance."""
+        """Return the summary of this data centre."""
         state = self._state
-        living = [
+        alive = [
             state.membership.member_by_name[name]
             for name in sorted(state.membership.alive())
         ]
-        lowest = min((member.version for member in living), default=0)
-        newest = max((member.version for member in living), default=0)
-        behind = [m.name for m in living if m.version < newest]
-        chosen = state.rng.sample(living, min(_MAX_CONTACTS, len(living)))
+        lowest = min((member.version for member in alive), default=0)
+        newest = max((member.version for member in alive), default=0)
+        behind = [m.name for m in alive if m.version < newest]
+        contacts = state.rng.sample(alive, min(_MAX_CONTACTS, len(alive)))
         return summaries.Summary(
             state.settings.datacentre,
             0,
-            len(living),
+            len(alive),
             lowest,
             tuple(behind[:_MAX_BEHIND]),
-            tuple(summaries.Contact(m.name, m.address) for m in chosen),
+            tuple(summaries.Contact(m.name, m.address) for m in contacts),
         )
 
     def _table_age(self, now: clock.Ms) -> clock.Ms:
@@ -153,35 +154,35 @@
         return gossip.UNKNOWN_AGE if at is None else max(0, now - at)
 
     def _heartbeats(self) -> tuple[heartbeat.Heartbeat, ...]:
-        # The own heartbeat is in every message: others may have stopped
-        # telling of it, and an answer to a suspicion without it says
-        # nothing.
+        # Every message contains the own heartbeat, since peers may have
+        # stopped forwarding it, and it is needed to refute a suspicion.
         membership = self._state.membership
         own = membership.heartbeat_of(self._state.settings.name)
-        told = membership.heartbeats.take(
+        others = membership.heartbeats.take(
             _MAX_HEARTBEATS, membership.heartbeat_of
         )
-        return told if own is None or own in told else (own, *told)
+        return others if own is None or own in others else (own, *others)
 
     def _loads(self, target: str, now: clock.Ms) -> tuple:
-        # Every member hears from every keeper within seconds, so a keeper
-        # tells its own measurements itself.  Passing all of them on took
-        # most of the bytes for copies, and 400 upstreams were 19 s old.
+        # Every member hears from every coordinator within seconds, so a
+        # coordinator sends its own measurements itself.  If members forwarded
+        # all of them, copies would take most of the bytes, and the loads
+        # of 400 upstreams would be 19 s old.
         loads = self._state.loads
         own = loads.own_upstreams()
         start = self._next_load_by_target.get(target, 0) if own else 0
-        turn = _next_in_rotation(own, start, _MAX_OWN_LOADS)
+        batch = _next_in_rotation(own, start, _MAX_OWN_LOADS)
         if len(self._next_load_by_target) > _MAX_TARGETS:
             self._next_load_by_target.clear()
-        self._next_load_by_target[target] = start + len(turn)
+        self._next_load_by_target[target] = start + len(batch)
 
-        def rumor(name: str):
+        def update(name: str):
             return loads.update_for(name, now)
 
         return (
-            *(rumor(name) for name in turn),
-            *loads.updates.take(_MAX_LOCAL_LOADS, rumor),
-            *loads.remote_updates.take(_MAX_REMOTE_LOADS, rumor),
+            *(update(name) for name in batch),
+            *loads.updates.take(_MAX_LOCAL_LOADS, update),
+            *loads.remote_updates.take(_MAX_REMOTE_LOADS, update),
         )
 
     def _loads_for_datacentre(self, datacentre: str, now: clock.Ms) -> tuple:
@@ -189,13 +190,13 @@
         if not state.is_neighbour(datacentre):
             return ()
         names = sorted(state.loads.measured_by(state.membership.alive()))
-        # A data centre with more upstreams than fit is known with more
-        # age abroad.
-        turn = _next_in_rotation(
+        # With more upstreams than fit into a message, other data centres
+        # get older loads.
+        batch = _next_in_rotation(
             names, self._next_remote_load, _MAX_LOADS_TO_DATACENTRE
         )
-        self._next_remote_load += len(turn)
-        return tuple(state.loads.update_for(name, now) for name in turn)
+        self._next_remote_load += len(batch)
+        return tuple(state.loads.update_for(name, now) for name in batch)
 
     def _page(self, version: int) -> tablepage.TablePage | None:
         table = self._state.table
@@ -206,9 +207,11 @@
         return table.page_after(tablepage.Cursor(version + 1))
 
 
-def _next_in_rotation(names: list[str], start: int, most: int) -> list[str]:
-    """Return the next names of a turn through all of them."""
-    if len(names) <= most:
+def _next_in_rotation(
+    names: list[str], start: int, max_names: int
+) -> list[str]:
+    """Return the next names of a rotation through all of them."""
+    if len(names) <= max_names:
         return names
-    at = start % len(names)
-    return (names[at:] + names[:at])[:most]
+    start_index = start % len(names)
+    return (names[start_index:] + names[:start_index])[:max_names]
--- a/src/citronvalve/peers/heartbeat.py
+++ b/src/citronvalve/peers/heartbeat.py
@@ -1,10 +1,10 @@
-"""The short form in which a known member's heartbeat travels."""
+"""The heartbeat of a known member."""
 
 from typing import NamedTuple
 
 
 class Heartbeat(NamedTuple):
-    """A heartbeat, with the table version that its sender confirms."""
+    """A heartbeat counter and the table version that the member holds."""
 
     name: str
     incarnation: int
--- a/src/citronvalve/peers/invalidmessage.py
+++ b/src/citronvalve/peers/invalidmessage.py
@@ -1,9 +1,9 @@
-"""A message that can't be used."""
+"""A message that can't be decoded."""
 
 from citronvalve.model import missing
 
 
 class InvalidMessage(missing.Missing):
-    """Dropped and counted; the reason names what was wrong."""
+    """Why a message is dropped; the reason is counted."""
 
     __slots__ = ()
--- a/src/citronvalve/peers/lender.py
+++ b/src/citronvalve/peers/lender.py
@@ -1,4 +1,4 @@
-"""The keeper's side of grants: who holds how many slots of which limit."""
+"""The lender's side of loans."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,34 +6,34 @@
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.peers import loankey
-from citronvalve.peers import loanrequest as asks
+from citronvalve.peers import loanrequest as loanrequests
 from citronvalve.peers import share
-from citronvalve.peers import views as viewing
+from citronvalve.peers import views as viewings
 
-#: Asks of one message that are looked at.  It is made for a data centre
-#: whose 400 upstreams are all cold after its return.
+#: Slot requests handled of one message; enough for a data centre whose 400
+#: upstreams are all cold when it returns to service.
 MAX_SLOT_REQUESTS = 512
 
 
 class _Loan(NamedTuple):
-    """Slots out until a moment."""
+    """Slots that are lent or requested until a time."""
 
     slots: int
     expires_at: clock.Ms
 
 
 class Lender:
-    """Lends what no other keeper may be lending, and never past the limit.
+    """Lends slots that no other lender may be lending, within the limits.
 
-    :param span: ms that a loan lasts.
-    :param invariants: where promises are asserted.
-    :ivar other_limit: returns how much there is of a limit that was not set.
+    :param duration: ms that a loan lasts.
+    :param invariants: checks the invariants.
+    :ivar default_limit: returns the total slots of a limit that was not set.
     """
 
     def __init__(
-        self, span: clock.Ms, invariants: invariant.Invariants
+        self, duration: clock.Ms, invariants: invariant.Invariants
     ) -> None:
-        self._duration = span
+        self._duration = duration
         self._invariants = invariants
         self.default_limit: Callable[[loankey.LoanKey], int] = lambda _: 0
         self._limit_by_key: dict[loankey.LoanKey, int] = {}
@@ -41,17 +41,17 @@
         self._requests_by_key: dict[loankey.LoanKey, dict[str, _Loan]] = {}
 
     def set_limit(self, key: loankey.LoanKey, limit: int) -> None:
-        """Say how much of a limit there is; 0 ends it.
+        """Set the total slots of a limit; 0 removes it.
 
         :param key: the limit.
-        :param limit: slots in all.
+        :param limit: total slots.
         """
         self._limit_by_key[key] = limit
         if not limit:
             del self._limit_by_key[key]
 
     def limit(self, key: loankey.LoanKey) -> int:
-        """Return how much of a limit there is.
+        """Return the total slots of a limit.
 
         :param key: the limit.
         """
@@ -59,37 +59,39 @@
 
     def lend(
         self,
-        want: asks.SlotRequest,
+        request: loanrequests.SlotRequest,
         borrower: str,
-        views: viewing.ViewHistory,
+        views: viewings.ViewHistory,
         now: clock.Ms,
     ) -> int:
-        """Lend slots to a borrower; return how many, maybe none.
+        """Lend slots to a borrower; return how many, which may be 0.
 
-        :param want: what is asked for; it replaces the borrower's last ask.
-        :param borrower: one life of a member.
-        :param views: how this keeper saw the members lately.
+        :param request: replaces the borrower's previous request.
+        :param borrower: an incarnation of a member.
+        :param views: this daemon's recent views of the members.
         :param now: monotonic time in ms.
         """
-        key = want.key
+        key = request.key
         self._expire(key, now)
         self._requests_by_key.setdefault(key, {})[borrower] = _Loan(
-            want.slots, now + self._duration
+            request.slots, now + self._duration
         )
         allowed = self._allowed(key, views)
-        others = sum(
+        lent_to_others = sum(
             _counted_slots(loans)
             for name, loans in self._loans_by_key.get(key, {}).items()
             if name != borrower
         )
-        fair = self._fair_share(key, borrower, allowed)
-        slots = max(0, min(want.slots, allowed - others, fair))
+        fair_share = self._fair_share(key, borrower, allowed)
+        slots = max(
+            0, min(request.slots, allowed - lent_to_others, fair_share)
+        )
         if slots:
-            self._record(key, borrower, slots, others, now)
+            self._record(key, borrower, slots, lent_to_others, now)
         return slots
 
     def lent_slots(self, key: loankey.LoanKey, now: clock.Ms) -> int:
-        """Return how many slots are out.
+        """Return how many slots are lent.
 
         :param key: the limit.
         :param now: monotonic time in ms.
@@ -100,15 +102,15 @@
         )
 
     def clear(self) -> None:
-        """Drop all loans, since this life starts as no one's keeper.
+        """Drop all loans, since a new incarnation coordinates nothing.
 
-        Lending starts again only after the longest of them has run out.
+        Lending resumes only after all of them have expired.
         """
         self._loans_by_key.clear()
         self._requests_by_key.clear()
 
     def prune(self, now: clock.Ms) -> None:
-        """Drop what has run out.
+        """Drop expired loans and requests.
 
         :param now: monotonic time in ms.
         """
@@ -122,61 +124,64 @@
         key: loankey.LoanKey,
         borrower: str,
         slots: int,
-        others: int,
+        lent_to_others: int,
         now: clock.Ms,
     ) -> None:
         self._invariants.check(
             "the sum of loans stays within the limit",
-            others + slots <= self.limit(key),
-            f"{key} {others} + {slots} of {self.limit(key)}",
+            lent_to_others + slots <= self.limit(key),
+            f"{key} {lent_to_others} + {slots} of {self.limit(key)}",
         )
-        # A renewal with fewer slots may be lost on its way.  The larger loan
-        # therefore counts until it has run out on its own.
+        # A response with fewer slots may be lost, so the larger loan counts
+        # until it expires.
         loans = self._loans_by_key.setdefault(key, {}).setdefault(borrower, [])
         loans.append(_Loan(slots, now + self._duration))
 
     def _allowed(
-        self, key: loankey.LoanKey, views: viewing.ViewHistory
+        self, key: loankey.LoanKey, views: viewings.ViewHistory
     ) -> int:
         limit = self.limit(key)
-        known, seen = views.ever_known(), views.always_alive()
+        known, reachable = views.ever_known(), views.always_alive()
         if key.kind is loankey.LoanKind.TEAM:
-            return share.lendable_slots(key.lender_key, limit, known, seen)
+            return share.lendable_slots(
+                key.lender_key, limit, known, reachable
+            )
         # The limit of a cold upstream may be one slot, which can't be split.
-        most = share.is_majority(key.lender_key, known, seen)
-        return limit if most else 0
+        has_majority = share.is_majority(key.lender_key, known, reachable)
+        return limit if has_majority else 0
 
     def _fair_share(
         self, key: loankey.LoanKey, borrower: str, allowed: int
     ) -> int:
-        # Under more demand than slots, the first to ask would renew for
-        # ever and the others starve.  Each may hold what is left when
-        # those that want less have got theirs.
-        left = allowed
-        wants = sorted(
+        # Max-min fairness.  If more slots are requested than there are, the
+        # first borrower would otherwise renew for ever and the others starve.
+        remaining = allowed
+        requests = sorted(
             (loan.slots, name)
             for name, loan in self._requests_by_key[key].items()
         )
-        for served, (slots, name) in enumerate(wants):
-            part = -(-left // (len(wants) - served))
+        for index, (slots, name) in enumerate(requests):
+            fair_slots = -(-remaining // (len(requests) - index))
             if name == borrower:
-                return part
-            left -= min(slots, part)
+                return fair_slots
+            remaining -= min(slots, fair_slots)
         return 0
 
     def _expire(self, key: loankey.LoanKey, now: clock.Ms) -> None:
-        by_name = self._loans_by_key.get(key, {})
-        for name, loans in list(by_name.items()):
-            by_name[name] = [loan for loan in loans if loan.expires_at > now]
-            if not by_name[name]:
-                del by_name[name]
-        wants = self._requests_by_key.get(key, {})
-        for name, loan in list(wants.items()):
+        loans_by_borrower = self._loans_by_key.get(key, {})
+        for name, loans in list(loans_by_borrower.items()):
+            loans_by_borrower[name] = [
+                loan for loan in loans if loan.expires_at > now
+            ]
+            if not loans_by_borrower[name]:
+                del loans_by_borrower[name]
+        requests = self._requests_by_key.get(key, {})
+        for name, loan in list(requests.items()):
             if loan.expires_at <= now:
-                del wants[name]
-        if not by_name:
+                del requests[name]
+        if not loans_by_borrower:
             self._loans_by_key.pop(key, None)
-        if not wants:
+        if not requests:
             self._requests_by_key.pop(key, None)
 
 
--- a/src/citronvalve/peers/listener.py
+++ b/src/citronvalve/peers/listener.py
@@ -1,4 +1,4 @@
-"""What the rest of the daemon hears from the peers."""
+"""Callbacks by which peers inform the rest of the daemon."""
 
 from citronvalve.model import load
 from citronvalve.peers import loan
@@ -6,15 +6,15 @@
 
 
 class Listener:
-    """Override what is of interest; calls come from the peers' task.
+    """Callbacks with empty defaults, called by the peers' task.
 
-    A call must not block: messages of peers wait meanwhile.
+    They must not block, since messages from peers wait meanwhile.
     """
 
     def on_table(self, delta: tabledelta.TableDelta) -> None:
-        """A newer version of the table is in force here.
+        """Handle a newer version of the table.
 
-        :param delta: from the version before.
+        :param delta: changes since the previous version.
         """
 
     def on_table_corrected(
@@ -22,23 +22,23 @@
         whole: tabledelta.TableDelta,
         wrong: tuple[tuple[str, str], ...],
     ) -> None:
-        """Rows in force here were not the platform's.
+        """Handle the replacement of rows that differed from the platform's.
 
-        :param whole: the whole table, which holds from now on.
+        :param whole: the full table, which replaces the rows held here.
         :param wrong: table and key of the rows that differed.
         """
 
     def on_loan(self, granted: loan.Loan) -> None:
-        """Slots were lent to this daemon, or a loan was renewed.
+        """Handle a new or renewed loan.
 
-        :param granted: it replaces the last loan of its key.
+        :param granted: replaces the previous loan of its key.
         """
 
     def on_load(self, report: load.LoadReport) -> None:
-        """A newer load of an upstream is known, measured here or told.
+        """Handle a newer load report from this daemon or a peer.
 
-        :param report: in own time.
+        :param report: with times by this daemon's clock.
         """
 
     def on_new_incarnation(self) -> None:
-        """This daemon had been declared dead; it keeps nothing now."""
+        """Handle a new incarnation, which coordinates nothing yet."""
--- a/src/citronvalve/peers/loadsums.py
+++ b/src/citronvalve/peers/loadsums.py
@@ -1,4 +1,4 @@
-"""Sums of the requests that daemons have at upstreams."""
+"""Sums of the requests of daemons at upstreams."""
 
 import collections
 from typing import NamedTuple
@@ -6,7 +6,7 @@
 from citronvalve.model import clock
 from citronvalve.peers import messages
 
-#: What a daemon told counts for so long; it tells the same again in it.
+#: Reported counts are valid this long; daemons report again within it.
 _VALIDITY: clock.Ms = 1_000
 
 
@@ -17,7 +17,7 @@
 
 
 class LoadSums:
-    """What a keeper was told, by daemon and by other data centre."""
+    """The counts reported by daemons and by other data centres."""
 
     def __init__(self) -> None:
         self._reported_by_daemon: dict[str, _Reported] = {}
@@ -26,7 +26,7 @@
     def record_daemon(
         self, name: str, counts: messages.RequestCounts, now: clock.Ms
     ) -> None:
-        """Take in a daemon's own requests.
+        """Record a daemon's own requests.
 
         :param name: the daemon, of this data centre.
         :param counts: its requests.
@@ -35,25 +35,25 @@
         self._reported_by_daemon[name] = _Reported(counts, 1, now)
 
     def record_datacentre(
-        self, totals: messages.DatacentreLoads, now: clock.Ms
+        self, loads: messages.DatacentreLoads, now: clock.Ms
     ) -> None:
-        """Take in the requests of another data centre's daemons.
+        """Record the requests of another data centre's daemons.
 
-        :param totals: as its keeper tells them.
+        :param loads: the sums of its coordinator.
         :param now: monotonic ms.
         """
-        told = _Reported(totals.by_upstream, totals.daemons, now)
-        self._reported_by_datacentre[totals.datacentre] = told
+        reported = _Reported(loads.by_upstream, loads.daemons, now)
+        self._reported_by_datacentre[loads.datacentre] = reported
 
     def local(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
-        """Return how many daemons here were heard, and their requests.
+        """Return the number of reporting daemons here, and their requests.
 
         :param now: monotonic ms.
         """
         return _sum(self._recent(self._reported_by_daemon, now).values())
 
     def remote(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
-        """Return the same of the other data centres.
+        """Return the same for the other data centres.
 
         :param now: monotonic ms.
         """
@@ -62,32 +62,36 @@
     def excluding(
         self, name: str, now: clock.Ms
     ) -> tuple[int, messages.RequestCounts]:
-        """Return how many daemons were heard, and all requests but one's.
+        """Return the number of all daemons, and all requests but one's.
 
-        :param name: the daemon that is left out.
+        :param name: the daemon whose requests are excluded.
         :param now: monotonic ms.
         """
-        here = self._recent(self._reported_by_daemon, now)
-        here.pop(name, None)
-        far = self._recent(self._reported_by_datacentre, now)
-        return _sum([*here.values(), *far.values()])
+        local = self._recent(self._reported_by_daemon, now)
+        local.pop(name, None)
+        remote = self._recent(self._reported_by_datacentre, now)
+        return _sum([*local.values(), *remote.values()])
 
     def _recent(
-        self, told: dict[str, _Reported], now: clock.Ms
+        self, reported: dict[str, _Reported], now: clock.Ms
     ) -> dict[str, _Reported]:
-        for key in [k for k, v in told.items() if now - v.at >= _VALIDITY]:
-            del told[key]
-        return dict(told)
+        for key in [
+            key
+            for key, value in reported.items()
+            if now - value.at >= _VALIDITY
+        ]:
+            del reported[key]
+        return dict(reported)
 
 
 def _sum(
-    told: collections.abc.Iterable[_Reported],
+    reported: collections.abc.Iterable[_Reported],
 ) -> tuple[int, messages.RequestCounts]:
     daemons = 0
     counts: messages.RequestCounts = {}
-    for one in told:
-        daemons += one.daemons
-        for upstream, (count, late) in one.counts.items():
-            held = counts.get(upstream, (0, 0))
-            counts[upstream] = held[0] + count, held[1] + late
+    for report in reported:
+        daemons += report.daemons
+        for upstream, (count, late) in report.counts.items():
+            total = counts.get(upstream, (0, 0))
+            counts[upstream] = total[0] + count, total[1] + late
     return daemons, counts
--- a/src/citronvalve/peers/loadtable.py
+++ b/src/citronvalve/peers/loadtable.py
@@ -1,4 +1,4 @@
-"""What is known of every upstream's load, own and heard."""
+"""The newest load of every upstream."""
 
 from typing import NamedTuple
 
@@ -7,28 +7,27 @@
 from citronvalve.peers import loadupdate
 from citronvalve.peers import updatequeue
 
-#: Tellings of a load; a missed one is made good by the next.
+#: Transmissions of a load; the next one replaces one that is lost.
 _TRANSMISSIONS = 3
 
-#: Tellings of a start or a missing VM: a daemon that misses one goes on
-#: sending full load to a cold upstream, or work to a closed group.
+#: Transmissions of a start or a missing VM.  A daemon that misses it goes on
+#: sending full load to a cold upstream, or requests to a closed group.
 _URGENT_TRANSMISSIONS = 6
 
-#: Loads that differ by less than this share of what the upstream bears are
-#: not told again before the refresh.  It is made for 400 upstreams in one
-#: data centre: telling all of them each second takes more than 19 KB/s.
+#: A change of less than this share of the upstream's capacity is not sent
+#: before the refresh.  Sending the loads of 400 upstreams in a data centre
+#: every second would take more than 19 KB/s.
 _SIGNIFICANT_SHARE = 0.125
 
-#: A report of this age or older is worth less than none.
+#: Reports older than this are dropped, since they would mislead.
 _MAX_AGE: clock.Ms = 60 * clock.SECOND
 
-
-#: Upstreams of the whole target, and some.
+#: Updates queued; more than the upstreams of the largest fleet.
 _MAX_QUEUED = 16_384
 
 
 class _Held(NamedTuple):
-    """A report with its keeper and serial."""
+    """A report with its coordinator and serial."""
 
     report: load.LoadReport
     coordinator: str
@@ -36,10 +35,12 @@
 
 
 class LoadTable:
-    """The newest report of each upstream, with what is still to be told.
+    """The newest report of each upstream, and the reports to send.
 
-    :param own: this daemon's name, as a keeper.
-    :param refresh: ms after which an unchanged load is told again.
+    :param own: this daemon's name.
+    :param refresh: ms after which an unchanged load is sent again.
+    :ivar updates: upstreams of this data centre whose reports to send.
+    :ivar remote_updates: those of other data centres.
     """
 
     def __init__(self, own: str, refresh: clock.Ms) -> None:
@@ -55,7 +56,8 @@
     def reports(self) -> dict[str, load.LoadReport]:
         """Return the newest report by upstream."""
         return {
-            name: held.report for name, held in self._held_by_upstream.items()
+            name: current.report
+            for name, current in self._held_by_upstream.items()
         }
 
     def report(self, name: str) -> load.LoadReport | None:
@@ -63,98 +65,99 @@
 
         :param name: the upstream.
         """
-        held = self._held_by_upstream.get(name)
-        return held.report if held is not None else None
+        current = self._held_by_upstream.get(name)
+        return current.report if current is not None else None
 
     def own_upstreams(self) -> list[str]:
         """Return the upstreams whose newest report was measured here."""
         return list(self._own_upstreams)
 
     def record(self, report: load.LoadReport) -> None:
-        """Take in an own measurement.
+        """Record a measurement of this daemon.
 
-        :param report: of an upstream that this daemon keeps.
+        :param report: of an upstream that this daemon coordinates.
         """
         self._serial += 1
         name = report.upstream
-        before = self._held_by_upstream.get(name)
+        previous = self._held_by_upstream.get(name)
         self._held_by_upstream[name] = _Held(report, self._own, self._serial)
-        told = self._sent_by_upstream.get(name)
+        sent = self._sent_by_upstream.get(name)
         self._own_upstreams[name] = None
-        urgent = _is_urgent(before.report if before else None, report)
-        if urgent or told is None or self._is_significant(told, report):
+        urgent = _is_urgent(previous.report if previous else None, report)
+        if urgent or sent is None or self._is_significant(sent, report):
             self._sent_by_upstream[name] = report
-            times = _URGENT_TRANSMISSIONS if urgent else _TRANSMISSIONS
-            self.updates.put(name, times, urgent)
+            transmissions = _URGENT_TRANSMISSIONS if urgent else _TRANSMISSIONS
+            self.updates.put(name, transmissions, urgent)
 
     def apply(
         self,
-        rumor: loadupdate.LoadUpdate,
+        update: loadupdate.LoadUpdate,
         now: clock.Ms,
         is_remote: bool = False,
     ) -> bool:
-        """Take in a report told by a peer; tell whether it was newer.
+        """Apply a report from a peer; return whether it is newer.
 
-        :param rumor: with its age.
+        :param update: the report with its age.
         :param now: monotonic time in ms.
-        :param far: whether its keeper is in another data centre.  Such
-            reports queue apart, so that they never crowd out near ones.
+        :param is_remote: whether its coordinator is in another data centre.
+            Such reports have a queue of their own, so that they don't
+            displace local ones.
         """
         queue = self.remote_updates if is_remote else self.updates
-        seen_at = now - max(0, rumor.age)
-        held = self._held_by_upstream.get(rumor.upstream)
-        if held is not None and not _is_newer(held, rumor, seen_at):
-            if (held.coordinator, held.serial) == (
-                rumor.coordinator,
-                rumor.serial,
+        seen_at = now - max(0, update.age)
+        current = self._held_by_upstream.get(update.upstream)
+        if current is not None and not _is_newer(current, update, seen_at):
+            if (current.coordinator, current.serial) == (
+                update.coordinator,
+                update.serial,
             ):
-                queue.record_duplicate(rumor.upstream)
+                queue.record_duplicate(update.upstream)
             return False
         report = load.LoadReport(
-            rumor.upstream,
-            rumor.start_id,
-            rumor.running,
-            rumor.queued,
-            rumor.capacity,
+            update.upstream,
+            update.start_id,
+            update.running,
+            update.queued,
+            update.capacity,
             seen_at,
-            rumor.vms_missing,
+            update.vms_missing,
         )
-        urgent = _is_urgent(held.report if held else None, report)
-        self._held_by_upstream[rumor.upstream] = _Held(
-            report, rumor.coordinator, rumor.serial
+        urgent = _is_urgent(current.report if current else None, report)
+        self._held_by_upstream[update.upstream] = _Held(
+            report, update.coordinator, update.serial
         )
-        self._own_upstreams.pop(rumor.upstream, None)
-        times = _URGENT_TRANSMISSIONS if urgent else _TRANSMISSIONS
-        queue.put(rumor.upstream, times, urgent)
+        self._own_upstreams.pop(update.upstream, None)
+        transmissions = _URGENT_TRANSMISSIONS if urgent else _TRANSMISSIONS
+        queue.put(update.upstream, transmissions, urgent)
         return True
 
-    def measured_by(self, keepers: frozenset[str]) -> list[str]:
-        """Return the upstreams whose newest report came from some keepers.
+    def measured_by(self, coordinators: frozenset[str]) -> list[str]:
+        """Return the upstreams whose newest report some members measured.
 
-        :param keepers: names of members.
+        :param coordinators: names of members.
         """
         return [
             name
-            for name, held in self._held_by_upstream.items()
-            if held.coordinator in keepers
+            for name, current in self._held_by_upstream.items()
+            if current.coordinator in coordinators
         ]
 
     def update_for(
         self, name: str, now: clock.Ms
     ) -> loadupdate.LoadUpdate | None:
-        """Return a report in the form in which it travels.
+        """Return a report with its current age, or ``None``.
 
         :param name: the upstream.
         :param now: monotonic time in ms.
         """
-        held = self._held_by_upstream.get(name)
-        if held is None:
+        current = self._held_by_upstream.get(name)
+        if current is None:
             return None
-        report = held.report
+        report = current.report
         return loadupdate.LoadUpdate(
             name,
-            held.coordinator,
-            held.serial,
+            current.coordinator,
+            current.serial,
             report.start_id,
             report.running,
             report.queued,
@@ -164,44 +167,50 @@
         )
 
     def prune(self, now: clock.Ms) -> None:
-        """Drop reports that are too old to act on.
+        """Drop reports that are too old to use.
 
         :param now: monotonic time in ms.
         """
-        for name, held in list(self._held_by_upstream.items()):
-            if now - held.report.measured_at > _MAX_AGE:
+        for name, current in list(self._held_by_upstream.items()):
+            if now - current.report.measured_at > _MAX_AGE:
                 del self._held_by_upstream[name]
                 self._sent_by_upstream.pop(name, None)
                 self._own_upstreams.pop(name, None)
 
     def _is_significant(
-        self, told: load.LoadReport, new: load.LoadReport
+        self, sent: load.LoadReport, new: load.LoadReport
     ) -> bool:
-        if new.measured_at - told.measured_at >= self._refresh:
+        if new.measured_at - sent.measured_at >= self._refresh:
             return True
         step = max(1, int(new.capacity * _SIGNIFICANT_SHARE))
-        moved = abs(new.running - told.running) + abs(new.queued - told.queued)
-        return moved > step or abs(new.capacity - told.capacity) >= step
+        change = abs(new.running - sent.running) + abs(
+            new.queued - sent.queued
+        )
+        return change > step or abs(new.capacity - sent.capacity) >= step
 
 
-def _is_urgent(before: load.LoadReport | None, new: load.LoadReport) -> bool:
-    if before is None:
+def _is_urgent(previous: load.LoadReport | None, new: load.LoadReport) -> bool:
+    if previous is None:
         return False
-    return (before.start_id, before.vms_missing) != (
+    return (previous.start_id, previous.vms_missing) != (
         new.start_id,
         new.vms_missing,
     )
 
 
 def _is_newer(
-    held: _Held, rumor: loadupdate.LoadUpdate, seen_at: clock.Ms
+    current: _Held, update: loadupdate.LoadUpdate, seen_at: clock.Ms
 ) -> bool:
-    # Ages add up the delays of the way, so two copies of one measurement
-    # seem to be seen at different times.  The keeper's own serial orders its
-    # measurements; between two keepers only the ages are left.
-    if held.coordinator == rumor.coordinator and rumor.serial <= held.serial:
-        # A restarted keeper counts from one again.
-        return seen_at > held.report.measured_at + 10 * clock.SECOND
+    # Ages include the delays of their paths, so two copies of a measurement
+    # seem to have different times.  Measurements of one coordinator are
+    # ordered by serial, those of different coordinators by time.
+    if (
+        current.coordinator == update.coordinator
+        and update.serial <= current.serial
+    ):
+        # The serial of a restarted coordinator starts again at one.
+        return seen_at > current.report.measured_at + 10 * clock.SECOND
     return (
-        seen_at > held.report.measured_at or held.coordinator == rumor.coordinator
+        seen_at > current.report.measured_at
+        or current.coordinator == update.coordinator
     )
--- a/src/citronvalve/peers/loadupdate.py
+++ b/src/citronvalve/peers/loadupdate.py
@@ -1,4 +1,4 @@
-"""One upstream's load as it travels between daemons."""
+"""The load of an upstream as sent between daemons."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class LoadUpdate(NamedTuple):
-    """A load report with its age in place of its sender's clock.
+    """A load report with its age instead of a time.
 
-    ``keeper`` measured it, and ``serial`` rises with each of its
-    measurements, so that copies that took different ways compare.
+    ``coordinator`` measured it; ``serial`` rises with each of its
+    measurements and orders copies that arrive by different paths.
     """
 
     upstream: str
--- a/src/citronvalve/peers/loan.py
+++ b/src/citronvalve/peers/loan.py
@@ -7,7 +7,7 @@
 
 
 class Loan(NamedTuple):
-    """Slots of a limit; ``until`` is this daemon's monotonic time in ms."""
+    """Slots of a limit; ``expires_at`` is this daemon's monotonic ms."""
 
     key: loankey.LoanKey
     slots: int
--- a/src/citronvalve/peers/loankey.py
+++ b/src/citronvalve/peers/loankey.py
@@ -1,18 +1,18 @@
-"""What slots are lent of."""
+"""Identifies a shared limit whose slots are lent."""
 
 import enum
 from typing import NamedTuple
 
 import xxhash
 
-#: Team limits are spread over this many lenders a data centre.  A borrower
-#: asks each of them at most every two seconds; one lender of 52 borrowers
-#: handles some 26 asks a second.
+#: Lenders of team limits in a data centre.  A borrower renews with each of
+#: them every two seconds, so a lender of 52 borrowers handles about 26
+#: requests a second.
 _TEAM_LENDERS = 4
 
 
 class LoanKind(enum.IntEnum):
-    """Which shared limit a loan belongs to."""
+    """Kind of a shared limit."""
 
     COLD = 0
     TEAM = 1
@@ -20,11 +20,11 @@
 
 
 class LoanKey(NamedTuple):
-    """One limit.
+    """A shared limit.
 
-    COLD: ``name`` is an upstream and ``start`` its start id, so that a loan
-    of one start is void for the next.  TEAM: ``name`` is team, model and
-    data centre, joined by ``/``.  WEIGHTS: ``name`` is the data centre.
+    COLD: ``name`` is an upstream and ``start_id`` its start id, so that a
+    loan is void after the upstream restarts.  TEAM: ``name`` is team, model
+    and data centre, joined by ``/``.  WEIGHTS: ``name`` is the data centre.
     """
 
     kind: LoanKind
@@ -33,7 +33,7 @@
 
     @property
     def lender_key(self) -> str:
-        """Return the key that the lender is chosen by."""
+        """Return the rendezvous key by which the lender is chosen."""
         if self.kind is LoanKind.COLD:
             return f"upstream/{self.name}"
         if self.kind is LoanKind.TEAM:
--- a/src/citronvalve/peers/loanrequest.py
+++ b/src/citronvalve/peers/loanrequest.py
@@ -6,14 +6,14 @@
 
 
 class SlotRequest(NamedTuple):
-    """Slots wanted of one limit."""
+    """Slots requested of one limit."""
 
     key: loankey.LoanKey
     slots: int
 
 
 class LoanRequest(NamedTuple):
-    """All that one borrower wants of one keeper."""
+    """All slots that a borrower requests of one lender."""
 
     serial: int
     slot_requests: tuple[SlotRequest, ...]
--- a/src/citronvalve/peers/loanresponse.py
+++ b/src/citronvalve/peers/loanresponse.py
@@ -1,4 +1,4 @@
-"""A keeper's answer to a borrower."""
+"""A lender's response to a borrower."""
 
 from typing import NamedTuple
 
@@ -7,18 +7,18 @@
 
 
 class SlotGrant(NamedTuple):
-    """Slots lent of one limit; it may be none."""
+    """Slots lent of one limit; may be 0."""
 
     key: loankey.LoanKey
     slots: int
 
 
 class LoanResponse(NamedTuple):
-    """Loans that last ``span`` ms from the moment the ask was sent.
+    """Loans that last ``duration`` ms from when the request was sent.
 
-    The keeper counts from the later moment at which the ask arrived, so
-    that the borrower always stops first, whatever the delay and without a
-    common clock.
+    The lender counts from when the request arrived, which is later.  The
+    borrower therefore always stops first, whatever the delay and without
+    synchronized clocks.
     """
 
     serial: int
--- a/src/citronvalve/peers/member.py
+++ b/src/citronvalve/peers/member.py
@@ -1,11 +1,11 @@
-"""What daemons know of each other."""
+"""The membership record of a daemon."""
 
 import enum
 from typing import NamedTuple
 
 
 class MemberState(enum.IntEnum):
-    """How a member is seen; suspicion stays with who holds it."""
+    """State of a member; a suspicion is local and not spread."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -14,9 +14,10 @@
 
 
 class Member(NamedTuple):
-    """One daemon in one life; a restart or a death raises ``incarnation``.
+    """A daemon; a restart or being declared dead raises ``incarnation``.
 
-    ``beat`` rises while it lives, ``version`` is the table it confirms.
+    ``heartbeat`` rises while it runs, ``version`` is the version of its
+    table.
     """
 
     name: str
--- a/src/citronvalve/peers/membership.py
+++ b/src/citronvalve/peers/membership.py
@@ -1,4 +1,4 @@
-"""The members of one data centre, as one of them sees them."""
+"""The members of a data centre in the view of this daemon."""
 
 from collections.abc import Iterable
 
@@ -6,31 +6,34 @@
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import heartbeat as beats
+from citronvalve.peers import heartbeat as heartbeats
 from citronvalve.peers import member as members
 from citronvalve.peers import timing as timings
 from citronvalve.peers import updatequeue
 
 _ALIVE = (members.MemberState.ALIVE, members.MemberState.SUSPECT)
 
-#: Tellings of a join, death or leave: log2 of 52 members and one more, so
-#: that a message lost here or there leaves nobody out.  A full roster
-#: repairs the rest.
+#: Transmissions of a join, death or leave: log2 of 52 members and one more, so
+#: that the loss of a few messages leaves no member out.  A full roster repairs
+#: the rest.
 _MEMBER_TRANSMISSIONS = 7
 
-#: The record of a member that is gone stays for this many spans of
-#: forgetting: far longer than any message takes.
+#: Records of dead members are kept for this multiple of ``forget_after``, far
+#: longer than any message takes.
 _RECORD_RETENTION_FACTOR = 10
 
-#: Tellings of a heartbeat; the next one comes within a second anyway.
+#: Transmissions of a heartbeat; the next one follows within a second.
 _HEARTBEAT_TRANSMISSIONS = 3
 
 
 class Membership:
-    """Merges what is heard; a higher incarnation wins, then a higher beat.
+    """Merges records; a higher incarnation wins, then a higher heartbeat.
 
-    :param timing: the fleet's spans.
-    :param invariants: where promises are asserted.
+    :param timing: the fleet's timing.
+    :param invariants: checks the invariants.
+    :ivar member_by_name: all records, also those of dead members.
+    :ivar updates: records to send.
+    :ivar heartbeats: names of members whose heartbeats to send.
     """
 
     def __init__(
@@ -47,7 +50,7 @@
         self._digest = 0
 
     def alive(self) -> frozenset[str]:
-        """Return the names of members that are not dead or gone."""
+        """Return the names of members that are neither dead nor have left."""
         if self._alive is None:
             self._alive = frozenset(
                 name
@@ -58,11 +61,11 @@
         return self._alive
 
     def known(self) -> frozenset[str]:
-        """Return the members that still count: the alive and the dead."""
+        """Return the members that count: alive, or dead and not forgotten."""
         return self.alive() | frozenset(self._died_at_by_name)
 
     def suspects(self) -> list[str]:
-        """Return the names of members to be asked directly."""
+        """Return the names of suspected members, which are probed directly."""
         return [
             name
             for name in self.alive()
@@ -70,11 +73,11 @@
         ]
 
     def dead(self) -> list[members.Member]:
-        """Return the dead, so that one may knock at their old address.
+        """Return the dead members, whose addresses are probed.
 
-        Those that no longer count are among them: two members that were
-        cut off from each other only, for long, hold each other dead while
-        all others see both, and hearsay can't tell them so.
+        Forgotten ones are included.  Two members that could not reach each
+        other for long consider each other dead while all others see both, and
+        records from the others can't revive a dead incarnation.
         """
         return [
             member
@@ -83,93 +86,98 @@
         ]
 
     def digest(self) -> int:
-        """Return a number that agrees when two rosters agree."""
+        """Return a digest of the alive members and their incarnations."""
         self.alive()
         return self._digest
 
     def _compute_digest(self, alive: frozenset[str]) -> int:
-        lives = sorted(
+        incarnations = sorted(
             (name, self.member_by_name[name].incarnation) for name in alive
         )
-        return xxhash.xxh32_intdigest(repr(lives).encode())
+        return xxhash.xxh32_intdigest(repr(incarnations).encode())
 
     def is_dead(self, name: str, incarnation: int) -> bool:
-        """Tell whether this life of a member is over in this view.
+        """Return whether an incarnation of a member is dead in this view.
 
         :param name: the member.
-        :param incarnation: the life it speaks from.
+        :param incarnation: the incarnation.
         """
-        held = self.member_by_name.get(name)
-        if held is None:
+        known = self.member_by_name.get(name)
+        if known is None:
             return False
-        if incarnation < held.incarnation:
+        if incarnation < known.incarnation:
             return True
-        return incarnation == held.incarnation and held.state not in _ALIVE
+        return incarnation == known.incarnation and known.state not in _ALIVE
 
     def merge(self, record: members.Member, now: clock.Ms) -> bool:
-        """Take in a record; tell whether it was news.
+        """Merge a record; return whether it changed this view.
 
-        :param record: as its sender saw it.
+        :param record: in the view of its sender.
         :param now: monotonic time in ms.
         """
-        held = self.member_by_name.get(record.name)
+        known = self.member_by_name.get(record.name)
         if record.state is members.MemberState.SUSPECT:
             record = record._replace(state=members.MemberState.ALIVE)
-        if held is None or record.incarnation > held.incarnation:
+        if known is None or record.incarnation > known.incarnation:
             self._put(record, now)
             return True
-        if record.incarnation < held.incarnation or held.state not in _ALIVE:
+        if record.incarnation < known.incarnation or known.state not in _ALIVE:
             return False
         if record.state in _ALIVE:
             return self._record_heartbeat(
-                held, record.heartbeat, record.version, now
+                known, record.heartbeat, record.version, now
             )
-        # Hearsay of a death loses against a beat heard lately: one member
-        # behind a bad link must not bury a daemon that others hear.
+        # A peer's report of a death is ignored while heartbeats arrive: one
+        # member with a bad connection must not mark a daemon dead that others
+        # reach.
         if (
             record.state is members.MemberState.LEFT
-            or held.state is members.MemberState.SUSPECT
+            or known.state is members.MemberState.SUSPECT
         ):
-            self._put(held._replace(state=record.state), now)
+            self._put(known._replace(state=record.state), now)
             return True
         return False
 
-    def apply_heartbeat(self, beat: beats.Heartbeat, now: clock.Ms) -> bool:
-        """Take in a heartbeat; tell whether it was a new one.
+    def apply_heartbeat(
+        self, heartbeat: heartbeats.Heartbeat, now: clock.Ms
+    ) -> bool:
+        """Apply a heartbeat; return whether it is new.
 
-        :param beat: from its sender or passed on.
+        :param heartbeat: received directly or forwarded.
         :param now: monotonic time in ms.
         """
-        held = self.member_by_name.get(beat.name)
-        if held is None or held.incarnation != beat.incarnation:
+        known = self.member_by_name.get(heartbeat.name)
+        if known is None or known.incarnation != heartbeat.incarnation:
             return False
-        if held.state not in _ALIVE:
+        if known.state not in _ALIVE:
             return False
-        return self._record_heartbeat(held, beat.counter, beat.version, now)
+        return self._record_heartbeat(
+            known, heartbeat.counter, heartbeat.version, now
+        )
 
     def sweep(self, now: clock.Ms, own: str) -> None:
-        """Suspect the silent and bury those silent for too long.
+        """Mark silent members as suspected, and after longer as dead.
 
         :param now: monotonic time in ms.
-        :param own: the member that looks, which does not doubt itself.
+        :param own: name of this daemon, which is left out.
         """
         for name in self.alive() - {own}:
             silent = now - self._heard_at_by_name[name]
-            held = self.member_by_name[name]
+            known = self.member_by_name[name]
             if silent >= self._timing.dead_after:
-                self._put(held._replace(state=members.MemberState.DEAD), now)
+                self._put(known._replace(state=members.MemberState.DEAD), now)
             elif silent >= self._timing.suspect_after:
-                self.member_by_name[name] = held._replace(
+                self.member_by_name[name] = known._replace(
                     state=members.MemberState.SUSPECT
                 )
         self._forget_dead(now)
         self._drop_old_records(now)
 
     def reset_timers(self, now: clock.Ms) -> None:
-        """Give every member time to be heard again.
+        """Restart the silence timers of all members after a pause.
 
-        After a pause all others seem silent; burying them would make this
-        daemon the keeper of everything.
+        All members seem silent then; marking them dead would make this daemon
+        the coordinator of every key.
 
         :param now: monotonic time in ms.
         """
@@ -179,13 +187,13 @@
     def forget(self, name: str) -> None:
         """Stop counting a dead member.
 
-        :param name: a member whose VM the platform gave back.
+        :param name: a member whose VM the platform removed.
         """
         self._died_at_by_name.pop(name, None)
 
     def _drop_old_records(self, now: clock.Ms) -> None:
-        # VMs are replaced all the time, and each new one has a new name.  A
-        # record is kept until no message about its life can be on its way.
+        # VMs are replaced often, and each new one has a new name.  A record is
+        # kept until no message about its incarnation can be in transit.
         keep = _RECORD_RETENTION_FACTOR * self._timing.forget_after
         for name, heard_at in list(self._heard_at_by_name.items()):
             if name not in self.known() and now - heard_at > keep:
@@ -193,9 +201,9 @@
                 del self.member_by_name[name]
 
     def _forget_dead(self, now: clock.Ms) -> None:
-        # Only the larger side of a cut forgets the other.  Otherwise both
-        # sides of a long one would take themselves for the whole and lend
-        # every limit twice.
+        # In a network partition only the larger side forgets the other.
+        # Otherwise both sides of a long one would consider themselves the
+        # whole data centre and lend every limit twice.
         if 2 * len(self.alive()) <= len(self.known()):
             return
         for name, died_at in list(self._died_at_by_name.items()):
@@ -203,34 +211,38 @@
                 self.forget(name)
 
     def _record_heartbeat(
-        self, held: members.Member, beat: int, version: int, now: clock.Ms
+        self,
+        known: members.Member,
+        heartbeat: int,
+        version: int,
+        now: clock.Ms,
     ) -> bool:
-        if beat <= held.heartbeat:
-            if beat == held.heartbeat:
-                self.heartbeats.record_duplicate(held.name)
+        if heartbeat <= known.heartbeat:
+            if heartbeat == known.heartbeat:
+                self.heartbeats.record_duplicate(known.name)
             return False
         self._invariants.check(
             "a dead incarnation does not come back",
-            held.state in _ALIVE,
-            f"{held}",
+            known.state in _ALIVE,
+            f"{known}",
         )
-        self.member_by_name[held.name] = held._replace(
-            heartbeat=beat,
-            version=max(version, held.version),
+        self.member_by_name[known.name] = known._replace(
+            heartbeat=heartbeat,
+            version=max(version, known.version),
             state=members.MemberState.ALIVE,
         )
-        self._heard_at_by_name[held.name] = now
-        self.heartbeats.put(held.name, _HEARTBEAT_TRANSMISSIONS)
+        self._heard_at_by_name[known.name] = now
+        self.heartbeats.put(known.name, _HEARTBEAT_TRANSMISSIONS)
         return True
 
     def _put(self, record: members.Member, now: clock.Ms) -> None:
-        held = self.member_by_name.get(record.name)
+        known = self.member_by_name.get(record.name)
         self._invariants.check(
             "a dead incarnation does not come back",
-            held is None
+            known is None
             or record.state not in _ALIVE
-            or record.incarnation > held.incarnation,
-            f"{held} {record}",
+            or record.incarnation > known.incarnation,
+            f"{known} {record}",
         )
         self.member_by_name[record.name] = record
         self._heard_at_by_name[record.name] = now
@@ -241,23 +253,23 @@
         self._alive = None
 
     def roster(self) -> tuple[members.Member, ...]:
-        """Return every record, for a newcomer or a repair."""
+        """Return all records, for a new or a diverged member."""
         return tuple(self.member_by_name.values())
 
-    def heartbeat_of(self, name: str) -> beats.Heartbeat | None:
-        """Return a member's last heartbeat, or ``None`` once it is dead.
+    def heartbeat_of(self, name: str) -> heartbeats.Heartbeat | None:
+        """Return a member's last heartbeat, or ``None`` if it is dead.
 
         :param name: the member.
         """
-        held = self.member_by_name.get(name)
-        if held is None or held.state not in _ALIVE:
+        known = self.member_by_name.get(name)
+        if known is None or known.state not in _ALIVE:
             return None
-        return beats.Heartbeat(
-            name, held.incarnation, held.heartbeat, held.version
+        return heartbeats.Heartbeat(
+            name, known.incarnation, known.heartbeat, known.version
         )
 
     def prioritize_heartbeats(self, names: Iterable[str]) -> None:
-        """Tell some heartbeats before all others.
+        """Send some heartbeats before all others.
 
         :param names: the members.
         """
--- a/src/citronvalve/peers/messagecodec.py
+++ b/src/citronvalve/peers/messagecodec.py
@@ -1,4 +1,4 @@
-"""News as bytes: msgpack, packed when it is long."""
+"""Encoding of messages: msgpack, compressed if long."""
 
 import zlib
 
@@ -7,47 +7,49 @@
 from citronvalve.model import missing
 from citronvalve.peers import messages
 
-#: Shorter messages gain less than the packing costs.
-_PACKED_FROM = 2_000
+#: Bytes from which messages are compressed; below, it costs more CPU than
+#: it saves.
+_MIN_COMPRESSED_BYTES = 2_000
 
-#: Speed before size: a configuration of 40 KB packs to a fifth in 1 ms.
-_LEVEL = 1
+#: zlib level.  The fastest one compresses a configuration of 40 KB to a fifth
+#: in 1 ms.
+_COMPRESSION_LEVEL = 1
 
-#: Bytes of an unpacked message; a short one could unpack to gigabytes.
-_MOST_BYTES = 1_000_000
+#: Bytes of a decompressed message; a short one could expand to gigabytes.
+_MAX_BYTES = 1_000_000
 
-_PLAIN, _PACKED = b"\0", b"\1"
+_PLAIN, _COMPRESSED = b"\0", b"\1"
 
 
 class MessageCodec:
-    """Encodes and decodes news; the first byte tells how."""
+    """Encodes and decodes messages; the first byte is the encoding."""
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(messages.Message)
 
     def encode(self, message: messages.Message) -> bytes:
-        """Return a message as bytes.
+        """Encode a message.
 
-        :param message: any news.
+        :param message: any message.
         """
         data = self._encoder.encode(message)
-        if len(data) < _PACKED_FROM:
+        if len(data) < _MIN_COMPRESSED_BYTES:
             return _PLAIN + data
-        return _PACKED + zlib.compress(data, _LEVEL)
+        return _COMPRESSED + zlib.compress(data, _COMPRESSION_LEVEL)
 
     def decode(self, data: bytes) -> messages.Message | missing.Unavailable:
-        """Return the message that bytes hold, or why there is none.
+        """Decode a message; return the reason if it is invalid.
 
-        :param data: as received; may come from anybody.
+        :param data: as received from any sender.
         """
         try:
             body = data[1:]
-            if data[:1] == _PACKED:
-                packed = zlib.decompressobj()
-                body = packed.decompress(body, _MOST_BYTES)
-                if not packed.eof:
-                    return missing.Unavailable("it is cut or too long")
+            if data[:1] == _COMPRESSED:
+                decompressor = zlib.decompressobj()
+                body = decompressor.decompress(body, _MAX_BYTES)
+                if not decompressor.eof:
+                    return missing.Unavailable("it is truncated or too long")
             return self._decoder.decode(body)
         except (msgspec.MsgspecError, zlib.error) as error:
             return missing.Unavailable(str(error)[:200])
--- a/src/citronvalve/peers/messages.py
+++ b/src/citronvalve/peers/messages.py
@@ -1,4 +1,4 @@
-"""What daemons of one fleet tell each other about the platform."""
+"""Messages between the daemons of a fleet about the platform."""
 
 import enum
 
@@ -8,7 +8,7 @@
 from citronvalve.storage import rows
 from citronvalve.storage import tablestate
 
-#: Requests at an upstream by its id: how many, and how many of them late.
+#: By upstream id: the number of requests there, and how many are late.
 RequestCounts = dict[str, tuple[int, int]]
 
 
@@ -21,11 +21,11 @@
 
 
 class Heartbeat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
-    """The sender reads the platform for the others.
+    """The sender reads the platform's tables for the others.
 
-    ``lease`` is that by which it leads, 0 if it only keeps a data centre;
-    ``daemons`` is how many daemons it knows.  ``sent_at`` is by its own
-    monotonic clock, None from an older release.
+    ``lease`` is the version of its leader lease, 0 if it only coordinates a
+    data centre; ``daemons`` is how many daemons it knows.  ``sent_at`` is by
+    its own monotonic clock, None from an older release.
     """
 
     name: str
@@ -40,7 +40,7 @@
 ):
     """Rows of a table that changed after ``base`` and up to ``revision``.
 
-    With ``base`` 0 they are the whole table: what is not among them is gone.
+    With ``base`` 0 they are the full table: rows not among them are removed.
     ``reader`` is the daemon that read them from the store.
     """
 
@@ -70,7 +70,7 @@
 
 
 class Stall(msgspec.Struct, tag="standstill", array_like=True, frozen=True):
-    """Nothing comes from an upstream any more, on any connection."""
+    """An upstream sends nothing on any connection."""
 
     upstream: str
 
@@ -85,9 +85,9 @@
 class DatacentreLoads(
     msgspec.Struct, tag="totals", array_like=True, frozen=True
 ):
-    """The requests of a data centre's daemons, told to another one's keeper.
+    """Requests of a data centre's daemons, sent to other data centres.
 
-    ``daemons`` are those that the sender has heard lately, with itself.
+    ``daemons`` counts those that the sender heard from lately, and itself.
     """
 
     name: str
@@ -97,7 +97,7 @@
 
 
 class OtherLoads(msgspec.Struct, tag="digest", array_like=True, frozen=True):
-    """A keeper's sum of all requests but the receiver's own."""
+    """A coordinator's sum of all requests but the receiver's own."""
 
     name: str
     daemons: int
@@ -105,11 +105,11 @@
 
 
 class Stage(enum.IntEnum):
-    """How far passed-on news have come."""
+    """How far a relayed message has come."""
 
-    #: To the keeper of the sender's data centre.
+    #: To the coordinator of the sender's data centre.
     UP = 0
-    #: To the keepers of the other data centres.
+    #: To the coordinators of the other data centres.
     ACROSS = 1
     #: To the daemons of a data centre.
     DOWN = 2
@@ -119,7 +119,7 @@
 
 
 class Relayed(msgspec.Struct, tag="passed", array_like=True, frozen=True):
-    """News for every daemon, on their way by the keepers."""
+    """A broadcast that the coordinators relay to every daemon."""
 
     sender: str
     stage: Stage
--- a/src/citronvalve/peers/notice.py
+++ b/src/citronvalve/peers/notice.py
@@ -1,9 +1,9 @@
-"""The answer to a message from a life that is over."""
+"""The reply to a message from a dead incarnation."""
 
 from typing import NamedTuple
 
 
 class DeathNotice(NamedTuple):
-    """Tells a daemon that its life was declared dead."""
+    """Tells a daemon that its incarnation was declared dead."""
 
     incarnation: int
--- a/src/citronvalve/peers/outgoing.py
+++ b/src/citronvalve/peers/outgoing.py
@@ -1,11 +1,11 @@
-"""A message on its way out."""
+"""A message to be sent."""
 
 from typing import Any
 from typing import NamedTuple
 
 
 class Outgoing(NamedTuple):
-    """A typed message and the address it goes to."""
+    """A message and its destination address."""
 
     address: str
     message: Any
--- a/src/citronvalve/peers/pacer.py
+++ b/src/citronvalve/peers/pacer.py
@@ -1,4 +1,4 @@
-"""Chooses whom to write to, at most once a second each."""
+"""Limits the rate of messages to each peer."""
 
 from collections.abc import Iterable
 import random
@@ -7,24 +7,23 @@
 
 
 class Pacer:
-    """Remembers when each target was last written to.
+    """Records when each target was last sent a message.
 
-    Control traffic is bound by the number of messages: each costs its
-    receiver about 0.3 ms of CPU.  One message a target a second, whatever
-    happens, is what keeps a storm of changes from becoming a storm of
-    messages.
+    Control traffic is limited by the number of messages, each of which costs
+    its receiver about 0.3 ms of CPU.  With one message a target a second,
+    many changes at once don't cause many messages.
 
-    :param apart: least span between two messages to one target in ms.
-    :param rng: chance.
+    :param interval: minimum ms between two messages to one target.
+    :param rng: source of randomness.
     """
 
-    def __init__(self, apart: clock.Ms, rng: random.Random) -> None:
-        self._interval = apart
+    def __init__(self, interval: clock.Ms, rng: random.Random) -> None:
+        self._interval = interval
         self._rng = rng
         self._sent_at_by_target: dict[str, clock.Ms] = {}
 
     def may_send(self, target: str, now: clock.Ms) -> bool:
-        """Tell whether a target may be written to.
+        """Return whether a message may be sent to a target.
 
         :param target: name or address.
         :param now: monotonic time in ms.
@@ -33,7 +32,7 @@
         return sent_at is None or now - sent_at >= self._interval
 
     def record_sent(self, target: str, now: clock.Ms) -> None:
-        """Note a message.
+        """Record a message to a target.
 
         :param target: name or address.
         :param now: monotonic time in ms.
@@ -41,36 +40,35 @@
         self._sent_at_by_target[target] = now
 
     def pick_random(self, targets: Iterable[str], now: clock.Ms) -> str | None:
-        """Pick a free target by chance, or ``None``.
+        """Return a random target that may be sent to, or ``None``.
 
         :param targets: names or addresses.
         :param now: monotonic time in ms.
         """
-        free = sorted(name for name in targets if self.may_send(name, now))
-        return self._rng.choice(free) if free else None
+        allowed = sorted(name for name in targets if self.may_send(name, now))
+        return self._rng.choice(allowed) if allowed else None
 
     def pick_least_recent(
         self, targets: Iterable[str], now: clock.Ms
     ) -> str | None:
-        """Pick the free target that was written to longest ago.
+        """Return the target last sent to longest ago, or ``None``.
 
-        Chance decides between equals; every target has its turn, so that a
-        member is never left out for long.
+        Every target gets its turn, and ties are broken at random.
 
         :param targets: names or addresses.
         :param now: monotonic time in ms.
         """
-        free = [name for name in targets if self.may_send(name, now)]
-        if not free:
+        allowed = [name for name in targets if self.may_send(name, now)]
+        if not allowed:
             return None
         sent_at = self._sent_at_by_target
-        oldest = min(sent_at.get(name, -1) for name in free)
+        oldest = min(sent_at.get(name, -1) for name in allowed)
         return self.pick_random(
-            [name for name in free if sent_at.get(name, -1) == oldest], now
+            [name for name in allowed if sent_at.get(name, -1) == oldest], now
         )
 
     def prune(self, now: clock.Ms) -> None:
-        """Forget targets that are free anyway.
+        """Drop targets that were last sent to long ago.
 
         :param now: monotonic time in ms.
         """
--- a/src/citronvalve/peers/pause.py
+++ b/src/citronvalve/peers/pause.py
@@ -1,15 +1,15 @@
-"""Finds out that this process was stopped for a while."""
+"""Detects that this process was paused."""
 
 from citronvalve.model import clock
 
 
 class PauseDetector:
-    """Compares clocks between ticks.
+    """Compares the clocks with those at the last tick.
 
-    A stopped process can't see its lease lapse; the first thing that runs
-    afterwards may be any task, so every act asks first.  The wall clock is
-    compared too, since a suspended VM may come back with its monotonic clock
-    unmoved.  A wall clock that was merely set costs one needless rejoin.
+    A paused process doesn't see its lease expire.  Any task may run first
+    after the pause, so each one checks before it acts.  The wall clock is
+    compared too, since the monotonic clock of a suspended VM may stand
+    still.  Setting the wall clock costs one needless rejoin.
 
     :param clock_: the clock.
     :param limit: ms without a tick that count as a pause.
@@ -21,12 +21,12 @@
         self.tick()
 
     def is_paused(self) -> bool:
-        """Tell whether the last tick is too long ago to trust one's view."""
+        """Return whether the last tick is too long ago."""
         gap = self._clock.now() - self._now
         drift = abs(self._clock.wall() - self._wall - gap)
         return gap > self._limit or drift > self._limit
 
     def tick(self) -> None:
-        """Note that the process runs."""
+        """Record that the process runs."""
         self._now = self._clock.now()
         self._wall = self._clock.wall()
--- a/src/citronvalve/peers/peer.py
+++ b/src/citronvalve/peers/peer.py
@@ -1,4 +1,4 @@
-"""What the rest of the daemon sees of its peers."""
+"""The interface of peers to the rest of the daemon."""
 
 from collections.abc import Callable
 import random
@@ -21,22 +21,23 @@
 from citronvalve.peers import status as statuses
 from citronvalve.peers import tabledelta
 
-#: Members of a data centre that read the platform's table: a second one, so
-#: that an edit still arrives within seconds when the first is dead.
+#: Members of a data centre that read the platform's table.  With a second
+#: one, an edit still arrives within seconds when the first is dead.
 _WATCHERS = 2
 
 
 class Peer:
-    """One daemon among its peers; owns no socket and starts nothing.
+    """This daemon as a peer; owns no socket and starts no task.
 
-    Everything but the listener's calls is answered from memory at once.
+    Apart from callbacks of the listener, all methods use memory only and
+    return at once.
     :class:`citronvalve.peers.task.PeerTask` connects it to the network.
 
-    :param settings: name, data centre, addresses, spans and keys.
+    :param settings: name, data centre, addresses, timing and keys.
     :param clock_: the clock.
-    :param rng: chance.
-    :param invariants: where promises are asserted.
-    :param listener: told of new tables, loans and lives.
+    :param rng: source of randomness.
+    :param invariants: checks the invariants.
+    :param listener: called with new tables, loans, loads and incarnations.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self._state = self.core.state
 
     def members(self) -> tuple[member.Member, ...]:
-        """Return the living members of this data centre, itself too."""
+        """Return the alive members of this data centre, with this daemon."""
         membership = self._state.membership
         return tuple(
             membership.member_by_name[name]
@@ -68,117 +69,118 @@
         )
 
     def is_acting(self) -> bool:
-        """Tell whether this daemon may act for others at this moment.
+        """Return whether this daemon may act for others at this moment.
 
-        To be asked right before each act, since the process may just have
-        been stopped for a while.
+        Callers check this right before each action, since the process may
+        just have been paused.
         """
         return self._state.authority.may_act()
 
     def coordinator_of(self, key: str) -> str | None:
-        """Return the member of this data centre that keeps something.
+        """Return the member of this data centre that coordinates a key.
 
-        :param key: what is kept, such as ``upstream/engine-1``.
+        :param key: the key, such as ``upstream/engine-1``.
         """
         return rendezvous.first(key, self._state.membership.alive())
 
     def is_coordinator_of(self, key: str) -> bool:
-        """Tell whether this daemon is the keeper, and may act.
+        """Return whether this daemon is the coordinator and may act.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         """
         return self.is_acting() and (
             self.coordinator_of(key) == self.settings.name
         )
 
     def polls(self, upstream: str, datacentre: str) -> bool:
-        """Tell whether this daemon asks an upstream for its load.
+        """Return whether this daemon polls an upstream for its load.
 
-        The members of its data centre share that out; where no daemon is,
-        every other data centre looks for itself.  While the keeper is
-        silent the next in rank asks too: reports would otherwise grow old
-        and a healthy upstream get no work until the keeper's death.
+        The members of the upstream's data centre divide this among them; if
+        it has none, every other data centre polls.  While the coordinator is
+        suspected the next in rank polls too.  Otherwise reports would get
+        old, and a healthy upstream would get no requests until the
+        coordinator is dead.
 
         :param upstream: the upstream.
-        :param datacentre: where it stands.
+        :param datacentre: the upstream's data centre.
         """
         if not self.is_acting():
             return False
         state = self._state
-        home = self.settings.datacentre
-        if datacentre != home and datacentre in state.remote.names():
+        own_datacentre = self.settings.datacentre
+        if datacentre != own_datacentre and datacentre in state.remote.names():
             return False
         suspects = set(state.membership.suspects())
         ranked = rendezvous.rank(
             f"upstream/{upstream}", state.membership.alive()
         )
-        own = ranked.index(self.settings.name)
-        return all(name in suspects for name in ranked[:own])
+        rank = ranked.index(self.settings.name)
+        return all(name in suspects for name in ranked[:rank])
 
     def is_watcher(self) -> bool:
-        """Tell whether this daemon reads the platform's table."""
+        """Return whether this daemon reads the platform's table."""
         ranked = rendezvous.rank("watcher", self._state.membership.alive())
         return self.is_acting() and self.settings.name in ranked[:_WATCHERS]
 
     def table_version(self) -> int:
-        """Return the version of the table that is in force here."""
+        """Return the version of the table held here."""
         return self._state.table.version
 
     def table_rows(self) -> list[change.Change]:
-        """Return the rows of the table as they are in force here."""
+        """Return the rows of the table held here."""
         return self._state.table.rows()
 
     def publish_table(self, delta: tabledelta.TableDelta) -> bool:
-        """Spread a version that a watcher read; tell whether it is newer.
+        """Spread a version that a watcher read; return whether it is newer.
 
-        :param delta: from any version up to the one held here.
+        :param delta: its base is at most the version held here.
         """
         return self.core.publish_table(delta)
 
     def is_table_disputed(self) -> bool:
-        """Tell whether a peer holds other rows at the same version."""
+        """Return whether a peer holds other rows at the same version."""
         return self._state.table.is_disputed
 
-    def reconcile_table(self, whole: tabledelta.TableDelta) -> None:
-        """Replace the rows held where they differ from the platform's.
+    def reconcile_table(self, full: tabledelta.TableDelta) -> None:
+        """Replace the rows held if they differ from the platform's.
 
-        :param whole: the whole table, read from the platform.
+        :param full: the full table, read from the platform.
         """
-        self.core.reconcile_table(whole)
+        self.core.reconcile_table(full)
 
     def confirm_table(self, at: clock.Ms) -> None:
-        """Note that the platform had nothing newer.
+        """Record that the platform had nothing newer.
 
-        :param at: monotonic ms at which it was asked.
+        :param at: monotonic ms at which it was read.
         """
         self._state.table.confirm(at)
 
     def table_confirmed_at(self) -> clock.Ms | None:
         """Return when the version was last known to be the newest.
 
-        It is monotonic ms, or None when no watcher ever said so.
+        It is monotonic ms, or None if no watcher has confirmed it.
         """
         return self._state.table.confirmed_at
 
     def place(self) -> share.Place:
-        """Return this daemon's place among all that share the upstreams."""
+        """Return this daemon's rank among all that share the upstreams."""
         state = self._state
-        mates = sorted(state.membership.alive())
-        far = {
+        alive = sorted(state.membership.alive())
+        remote = {
             s.datacentre: s.members
             for s in state.remote.summaries(0)
             if s.members
         }
         before = sum(
             count
-            for name, count in far.items()
+            for name, count in remote.items()
             if name < self.settings.datacentre
         )
-        rank = before + mates.index(self.settings.name)
-        return share.Place(rank, len(mates) + sum(far.values()))
+        rank = before + alive.index(self.settings.name)
+        return share.Place(rank, len(alive) + sum(remote.values()))
 
     def confirmation(self, version: int) -> confirmation.Confirmation:
-        """Return who has confirmed a version of the table.
+        """Return which members have confirmed a version of the table.
 
         :param version: the version, or a later one.
         """
@@ -187,16 +189,16 @@
     def publish_load(self, report: loads_.LoadReport) -> None:
         """Spread a load that this daemon measured.
 
-        :param report: of an upstream that it keeps.
+        :param report: of an upstream that it coordinates.
         """
         self.core.publish_load(report)
 
     def loads(self) -> dict[str, loads_.LoadReport]:
-        """Return the newest report of each upstream, in own time."""
+        """Return the newest report by upstream, with times by this clock."""
         return self._state.loads.reports()
 
     def set_neighbours(self, datacentres: frozenset[str]) -> None:
-        """Say which data centres take loads of this one.
+        """Set the data centres that get loads of this one.
 
         :param datacentres: those of the same region; empty means all.
         """
@@ -209,40 +211,40 @@
 
         :param fingerprint: of the request's content.
         :param upstream: the upstream.
-        :param start_id: which of its starts was lost.
+        :param start_id: the start of the upstream that was lost.
         """
-        fact = crashreport.CrashReport(fingerprint, upstream, start_id, 0)
-        self._state.crashes.record(fact, self._clock.now())
+        report = crashreport.CrashReport(fingerprint, upstream, start_id, 0)
+        self._state.crashes.record(report, self._clock.now())
 
     def crashes(self) -> tuple[crashreport.CrashReport, ...]:
-        """Return every crash that any daemon told of lately."""
+        """Return all recent crashes that any daemon reported."""
         return self._state.crashes.reports(self._clock.now())
 
     def set_limit(self, key: loankey.LoanKey, limit: int) -> None:
-        """Say how many slots there are in all; 0 ends the limit.
+        """Set the total slots of a limit; 0 removes the limit.
 
-        A team's limit is set by every daemon, which needs it for its own
-        share; that of a cold upstream by the upstream's keeper.
+        Every daemon sets a team's limit, since it needs it for its own
+        share; the coordinator of a cold upstream sets the upstream's limit.
 
         :param key: the limit.
-        :param limit: slots.
+        :param limit: total slots.
         """
         self._state.loan_manager.lender.set_limit(key, limit)
 
     def set_default_limit(
         self, limit: Callable[[loankey.LoanKey], int]
     ) -> None:
-        """Say how much to lend where this daemon sets no limit by itself.
+        """Set what to lend of limits that were not set.
 
-        :param limit: returns the slots in all; 0 lends nothing.
+        :param limit: returns the total slots; 0 lends nothing.
         """
         self._state.loan_manager.lender.default_limit = limit
 
     def request_slots(self, key: loankey.LoanKey, slots: int) -> None:
-        """Borrow up to some slots, and renew until told otherwise.
+        """Borrow slots and renew the loan until the request changes.
 
         :param key: the limit.
-        :param slots: slots wanted; 0 stops.
+        :param slots: maximum slots to borrow; 0 stops.
         """
         self._state.loan_manager.borrower.request_slots(key, slots)
 
@@ -256,46 +258,45 @@
         )
 
     def loan(self, key: loankey.LoanKey) -> loan.Loan | None:
-        """Return the loan in force, or None.
+        """Return the current loan, or None.
 
         :param key: the limit.
         """
         return self._state.loan_manager.loan(key, self._clock.now())
 
     def lends_for(self, datacentre: str) -> bool:
-        """Tell whether cold upstreams of a data centre are lent from here.
+        """Return whether this data centre lends another's cold upstreams.
 
-        Keepers are members of the upstream's own data centre, or there
-        would be one keeper in each.  Where no daemon is, one of the others
-        stands in.
+        Each data centre has a coordinator of its own, so only the upstream's
+        data centre lends.  If it has no daemon, one of the others does.
 
-        :param datacentre: where an upstream stands.
+        :param datacentre: the upstream's data centre.
         """
-        home = self.settings.datacentre
+        own = self.settings.datacentre
         others = self._state.remote.names()
-        if datacentre in (home, *others):
-            return datacentre == home
-        return rendezvous.first(f"home/{datacentre}", (home, *others)) == home
+        if datacentre in (own, *others):
+            return datacentre == own
+        return rendezvous.first(f"home/{datacentre}", (own, *others)) == own
 
     def set_extra_seeds(self, addresses: list[str]) -> None:
-        """Take addresses of daemons from the platform's lagging list.
+        """Set addresses to probe, from the platform's list of VMs.
 
-        :param addresses: where to knock; they prove nothing.
+        :param addresses: hints only, since the list may be out of date.
         """
         self.core.schedule.set_extra_seeds(addresses)
 
     def forget(self, name: str) -> None:
-        """Stop counting a dead member, since its VM is gone for good.
+        """Stop counting a dead member, since its VM was removed.
 
         :param name: the member.
         """
         self._state.membership.forget(name)
 
     def status(self) -> statuses.PeerStatus:
-        """Return how this daemon sees itself among its peers."""
+        """Return this daemon's view of its peers."""
         state = self._state
         membership = state.membership
-        far = tuple(
+        remote = tuple(
             statuses.FarStatus(s.datacentre, s.age, s.members, s.version)
             for s in state.remote.summaries(self._clock.now())
         )
@@ -309,7 +310,7 @@
             tuple(sorted(membership.alive())),
             tuple(sorted(membership.suspects())),
             tuple(sorted(m.name for m in membership.dead())),
-            far,
+            remote,
             state.table.version,
             f"{state.table.digest:016x}",
             self.confirmation(state.table.version).silent,
--- a/src/citronvalve/peers/peersettings.py
+++ b/src/citronvalve/peers/peersettings.py
@@ -1,4 +1,4 @@
-"""What a daemon must be told to find its peers."""
+"""Settings by which a daemon finds its peers."""
 
 from typing import NamedTuple
 
@@ -6,15 +6,15 @@
 
 
 class PeerSettings(NamedTuple):
-    """A daemon among its peers.
+    """Identity, addresses and keys of a daemon.
 
     ``name`` is unique in the fleet.  ``address`` is ``tcp://IP:PORT``, where
-    peers reach it; ``seeds`` are addresses of any other daemons, of which
-    one that answers is enough.  ``expected`` is how many daemons the data
-    centre should have, 0 when nobody says: a part of them that starts anew
-    behind a cut then lends no more than its part.  ``public_key`` and
-    ``secret_key`` are the fleet's CURVE pair in Z85; empty means no keys.
-    ``allowed_keys`` are let in beside it, while the pair is being changed.
+    peers reach it; ``seeds`` are addresses of other daemons, one of which
+    has to answer.  ``expected_daemons`` is how many daemons the data centre
+    should have, or 0 if unknown: members that restart in a network partition
+    then lend no more than their share.  ``public_key`` and ``secret_key``
+    are the fleet's CURVE key pair in Z85; empty means no keys.
+    ``allowed_keys`` are accepted as well while the pair is rotated.
     """
 
     name: str
--- a/src/citronvalve/peers/remote.py
+++ b/src/citronvalve/peers/remote.py
@@ -1,15 +1,14 @@
-"""What is known of the other data centres."""
+"""The summaries of the other data centres."""
 
 from citronvalve.model import clock
 from citronvalve.peers import summary as summaries
 from citronvalve.peers import updatequeue
 
-#: Tellings inside a data centre; the next summary comes soon.
+#: Transmissions of a summary in a data centre; the next one follows soon.
 _TRANSMISSIONS = 4
 
-#: A summary that says nothing new is passed on this seldom.  It is made for
-#: 30 other data centres: at once a second their summaries alone would take
-#: most of 19 KB/s.
+#: Minimum time between two forwarded summaries with the same content.  At one
+#: a second, the summaries of 30 other data centres would take most of 19 KB/s.
 _UNCHANGED_INTERVAL: clock.Ms = 5 * clock.SECOND
 
 
@@ -17,6 +16,7 @@
     """The newest summary of each other data centre.
 
     :param own: name of this daemon's data centre.
+    :ivar updates: names of the data centres whose summaries to send.
     """
 
     def __init__(self, own: str) -> None:
@@ -26,7 +26,7 @@
         self.updates = updatequeue.UpdateQueue()
 
     def names(self) -> list[str]:
-        """Return the other data centres that were ever heard of."""
+        """Return the names of the other known data centres."""
         return sorted(self._summary_by_name)
 
     def summary(self, name: str) -> summaries.Summary | None:
@@ -37,14 +37,14 @@
         return self._summary_by_name.get(name)
 
     def contacts(self, name: str) -> tuple[summaries.Contact, ...]:
-        """Return members to write to.
+        """Return members to send messages to.
 
         :param name: a data centre.
         """
         return self._summary_by_name[name].contacts
 
     def apply(self, summary: summaries.Summary, now: clock.Ms) -> bool:
-        """Take in a summary; tell whether it is passed on.
+        """Apply a summary; return whether it is to be forwarded.
 
         :param summary: of any data centre.
         :param now: monotonic time in ms.
@@ -52,25 +52,25 @@
         name = summary.datacentre
         if name == self._own:
             return False
-        held = self._summary_by_name.get(name)
+        known = self._summary_by_name.get(name)
         seen_at = now - max(0, summary.age)
-        if held is not None and seen_at <= self._seen_at_by_name[name]:
+        if known is not None and seen_at <= self._seen_at_by_name[name]:
             self.updates.record_duplicate(name)
             return False
-        fresh = (
-            held is None
-            or held._replace(age=0, contacts=())
+        is_new = (
+            known is None
+            or known._replace(age=0, contacts=())
             != summary._replace(age=0, contacts=())
             or seen_at - self._seen_at_by_name[name] >= _UNCHANGED_INTERVAL
         )
-        if fresh:
+        if is_new:
             self._summary_by_name[name] = summary
             self._seen_at_by_name[name] = seen_at
             self.updates.put(name, _TRANSMISSIONS)
-        return fresh
+        return is_new
 
     def current_summary(self, name: str, now: clock.Ms) -> summaries.Summary:
-        """Return a summary in the form in which it travels.
+        """Return a summary with its current age.
 
         :param name: a data centre.
         :param now: monotonic time in ms.
@@ -80,7 +80,7 @@
         )
 
     def summaries(self, now: clock.Ms) -> tuple[summaries.Summary, ...]:
-        """Return every summary, with its age.
+        """Return all summaries with their current ages.
 
         :param now: monotonic time in ms.
         """
--- a/src/citronvalve/peers/rendezvous.py
+++ b/src/citronvalve/peers/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who keeps what, worked out alike by every member."""
+"""Rendezvous hashing, by which all members choose the same coordinator."""
 
 from collections.abc import Iterable
 
@@ -6,23 +6,23 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Order members for a key, the keeper first.
+    """Order members for a key, the coordinator first.
 
-    A member that goes moves only its own keys, each to the next in rank.
+    When a member leaves, only its own keys move, each to the next in rank.
 
-    :param key: what is kept.
+    :param key: the key to coordinate.
     :param names: the members to choose from.
     """
-    return sorted(names, key=lambda n: _weight(key, n), reverse=True)
+    return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
 def first(key: str, names: Iterable[str]) -> str | None:
-    """Return the keeper of a key, or ``None`` where there is no member.
+    """Return the coordinator of a key, or ``None`` if there is no member.
 
-    :param key: what is kept.
+    :param key: the key to coordinate.
     :param names: the members to choose from.
     """
-    return max(names, key=lambda n: _weight(key, n), default=None)
+    return max(names, key=lambda name: _weight(key, name), default=None)
 
 
 def _weight(key: str, name: str) -> tuple[int, str]:
--- a/src/citronvalve/peers/replier.py
+++ b/src/citronvalve/peers/replier.py
@@ -1,9 +1,9 @@
-"""Answers that gossip calls for."""
+"""Replies to gossip."""
 
 from citronvalve.model import clock
 from citronvalve.peers import envelope
 from citronvalve.peers import gossip as gossips
-from citronvalve.peers import gossipbuilder as gossipers
+from citronvalve.peers import gossipbuilder as gossipbuilders
 from citronvalve.peers import member as members
 from citronvalve.peers import notice as notices
 from citronvalve.peers import outgoing
@@ -14,21 +14,21 @@
 
 
 class Replier:
-    """Introduces newcomers, repairs rosters and tells the buried.
+    """Replies to new daemons, diverged members and dead incarnations.
 
-    :param state: all that this daemon knows.
-    :param gossiper: writes the messages.
-    :param pacer: bounds how often.
+    :param state: what this daemon knows of its peers.
+    :param gossip_builder: builds the messages.
+    :param pacer: limits the rate of notices.
     """
 
     def __init__(
         self,
         state: states.State,
-        gossiper: gossipers.GossipBuilder,
+        gossip_builder: gossipbuilders.GossipBuilder,
         pacer: pacers.Pacer,
     ) -> None:
         self._state = state
-        self._gossip_builder = gossiper
+        self._gossip_builder = gossip_builder
         self._pacer = pacer
         self._roster_sent_at: clock.Ms | None = None
 
@@ -36,22 +36,22 @@
         self,
         sender: envelope.Sender,
         message: gossips.Gossip,
-        near: bool,
+        is_local: bool,
     ) -> _Out:
-        """Answer gossip where its sender needs an answer.
+        """Return the reply to gossip, if its sender needs one.
 
         :param sender: the peer.
         :param message: its gossip.
-        :param near: whether it is of this data centre.
+        :param is_local: whether the peer is in this data centre.
         """
         state, now = self._state, self._state.clock.now()
-        if not near:
+        if not is_local:
             if not message.wants_reply:
                 return []
             reply = self._gossip_builder.introduction(now)
             return [outgoing.Outgoing(sender.address, reply)]
-        astray = message.roster_digest not in (0, state.membership.digest())
-        if astray and self._roster_due(now):
+        diverged = message.roster_digest not in (0, state.membership.digest())
+        if diverged and self._roster_due(now):
             self._roster_sent_at = now
             reply = self._gossip_builder.full_roster(sender.name, now)
             return [outgoing.Outgoing(sender.address, reply)]
@@ -61,27 +61,31 @@
         return []
 
     def _roster_due(self, now: clock.Ms) -> bool:
-        at = self._roster_sent_at
+        sent_at = self._roster_sent_at
         return (
-            at is None
-            or now - at >= self._state.settings.timing.repair_interval
+            sent_at is None
+            or now - sent_at >= self._state.settings.timing.repair_interval
         )
 
     def death_notice(self, sender: envelope.Sender) -> _Out:
-        """Tell a peer that its life is over, once a second at most.
+        """Return a notice to a dead incarnation, at most one a second.
 
-        :param sender: the peer, speaking from a buried life.
+        :param sender: the peer, with its dead incarnation.
         """
         state, now = self._state, self._state.clock.now()
         target = f"notice/{sender.name}"
         if not self._pacer.may_send(target, now):
             return []
         self._pacer.record_sent(target, now)
-        held = state.membership.member_by_name[sender.name]
-        over = held.incarnation
-        if held.state in (
+        known = state.membership.member_by_name[sender.name]
+        dead_incarnation = known.incarnation
+        if known.state in (
             members.MemberState.ALIVE,
             members.MemberState.SUSPECT,
         ):
-            over -= 1
-        return [outgoing.Outgoing(sender.address, notices.DeathNotice(over))]
+            dead_incarnation -= 1
+        return [
+            outgoing.Outgoing(
+                sender.address, notices.DeathNotice(dead_incarnation)
+            )
+        ]
--- a/src/citronvalve/peers/schedule.py
+++ b/src/citronvalve/peers/schedule.py
@@ -1,33 +1,34 @@
-"""Whom a daemon writes to in each tick."""
+"""Chooses the recipients of gossip in each tick."""
 
 from citronvalve.model import clock
-from citronvalve.peers import gossipbuilder as gossipers
+from citronvalve.peers import gossipbuilder as gossipbuilders
 from citronvalve.peers import outgoing
 from citronvalve.peers import pacer as pacers
 from citronvalve.peers import rendezvous
 from citronvalve.peers import state as states
 
-#: Members of a data centre that write to one other data centre: a second
-#: one, so that the death of the first is not felt.  Which two differs from
-#: one data centre to the next, which spreads the work over the members.
+#: Members of a data centre that send to one other data centre; the second one
+#: covers for the death of the first.  Each other data centre has two relays
+#: of its own, which spreads the work over the members.
 _RELAYS = 2
 
-#: Ticks between two knocks at an address that does not answer.
+#: Ticks between two probes of addresses that are not known to be alive.
 _PROBE_INTERVAL_TICKS = 8
 
 
 class Schedule:
-    """One message to a member a tick, and now and then one further out.
+    """Sends gossip to one member a tick, and less often elsewhere.
 
-    :param state: all that this daemon knows.
-    :param gossiper: writes the messages.
+    :param state: what this daemon knows of its peers.
+    :param gossip_builder: builds the messages.
+    :ivar pacer: limits the rate of messages to each target.
     """
 
     def __init__(
-        self, state: states.State, gossiper: gossipers.GossipBuilder
+        self, state: states.State, gossip_builder: gossipbuilders.GossipBuilder
     ) -> None:
         self._state = state
-        self._gossip_builder = gossiper
+        self._gossip_builder = gossip_builder
         self.pacer = pacers.Pacer(
             state.settings.timing.send_interval, state.rng
         )
@@ -35,10 +36,10 @@
         self._extra_seeds: set[str] = set()
 
     def set_extra_seeds(self, addresses: list[str]) -> None:
-        """Take addresses to knock at beside the settings' seeds.
+        """Set the addresses to probe besides the configured seeds.
 
-        :param addresses: from the platform's list, or from another data
-            centre.  They are hints only.
+        :param addresses: hints from the platform's list or from another data
+            centre.
         """
         self._extra_seeds = set(addresses)
 
@@ -63,13 +64,13 @@
         if target is None:
             return []
         self.pacer.record_sent(target, now)
-        held = state.membership.member_by_name[target]
-        # A suspect is asked for an answer, and so is anyone who may
-        # acknowledge a life that may not act yet.
-        reply = target in state.membership.suspects()
-        reply = reply or state.authority.is_joining()
-        message = self._gossip_builder.for_member(target, now, reply)
-        return [outgoing.Outgoing(held.address, message)]
+        member = state.membership.member_by_name[target]
+        # A reply refutes a suspicion, or acknowledges this daemon's
+        # incarnation while it is joining.
+        wants_reply = target in state.membership.suspects()
+        wants_reply = wants_reply or state.authority.is_joining()
+        message = self._gossip_builder.for_member(target, now, wants_reply)
+        return [outgoing.Outgoing(member.address, message)]
 
     def _pick_suspect(self, now: clock.Ms) -> str | None:
         return self.pacer.pick_random(self._state.membership.suspects(), now)
@@ -79,7 +80,12 @@
         by_name = state.membership.member_by_name
         version = state.table.version
         return self.pacer.pick_random(
-            [n for n in state.others() if by_name[n].version < version], now
+            [
+                name
+                for name in state.others()
+                if by_name[name].version < version
+            ],
+            now,
         )
 
     def _to_datacentre(self, now: clock.Ms) -> list[outgoing.Outgoing]:
@@ -87,7 +93,11 @@
         if not state.authority.may_act():
             return []
         name = self.pacer.pick_least_recent(
-            [f"dc/{n}" for n in state.remote.names() if self._is_relay_to(n)],
+            [
+                f"dc/{name}"
+                for name in state.remote.names()
+                if self._is_relay_to(name)
+            ],
             now,
         )
         if name is None:
@@ -108,11 +118,11 @@
         return state.settings.name in ranked[:_RELAYS]
 
     def _probe_address(self, now: clock.Ms) -> list[outgoing.Outgoing]:
-        """Write to an address that may be anyone's.
+        """Send gossip to an address whose daemon is not known to be alive.
 
-        After a cut both sides hold each other dead, and a whole data centre
-        may have got new addresses: without a knock they would never meet
-        again.
+        After a network partition both sides consider each other dead, and a
+        whole data centre may have got new addresses.  Without probes they
+        would never find each other again.
         """
         state = self._state
         addresses = {member.address for member in state.membership.dead()}
@@ -125,9 +135,9 @@
         if target is None:
             return []
         self.pacer.record_sent(target, now)
-        message = self._gossip_builder.for_member("", now, reply=True)
-        # A seed in another data centre introduces newcomers to each other
-        # by what they tell of themselves.
+        message = self._gossip_builder.for_member("", now, wants_reply=True)
+        # A seed in another data centre passes the summary on, by which new
+        # daemons find each other.
         summary = self._gossip_builder.summary()
         message = message._replace(summaries=(summary,))
         return [outgoing.Outgoing(target, message)]
--- a/src/citronvalve/peers/share.py
+++ b/src/citronvalve/peers/share.py
@@ -1,4 +1,4 @@
-"""The fixed share of a limit that each known member stands for."""
+"""Splits a limit into fixed shares of the known members."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,78 +7,85 @@
 
 
 class Place(NamedTuple):
-    """A daemon's rank among all that share something, and their number."""
+    """A daemon's rank among the members that share a resource."""
 
     rank: int
     members: int
 
 
-#: Starts the names that stand for members never heard of.
+#: Prefix of the names of placeholders for members that are not known.
 _PLACEHOLDER_PREFIX = "?"
 
 
 def pad_members(known: frozenset[str], expected: int) -> frozenset[str]:
-    """Add members that were never heard of, up to the expected number.
+    """Add placeholders for unknown members, up to the expected number.
 
-    Two daemons that both start anew on the smaller side of a cut know only
-    each other.  The number that operators expect keeps them from taking
-    themselves for the whole data centre.
+    Two daemons that restart on the smaller side of a network partition know
+    only each other.  With the configured number they don't consider
+    themselves the whole data centre.
 
-    :param known: all members heard of.
-    :param expected: how many there should be; 0 when nobody says.
+    :param known: all known members.
+    :param expected: the configured number of members, or 0.
     """
-    unmet = range(expected - len(known))
-    return known | {f"{_PLACEHOLDER_PREFIX}{number}" for number in unmet}
+    missing = range(expected - len(known))
+    return known | {f"{_PLACEHOLDER_PREFIX}{number}" for number in missing}
 
 
 def split_limit(key: str, limit: int, known: Iterable[str]) -> dict[str, int]:
-    """Split a limit over members; the shares add up to it at most.
+    """Split a limit over members; the shares add up to at most the limit.
 
-    :param key: what is limited; its ranking takes the remainder.
-    :param limit: slots in all.
-    :param known: all members, the silent ones too.
+    :param key: the limit's key; the remainder goes to the first in its rank.
+    :param limit: total slots.
+    :param known: all members, also unreachable ones.
     """
     ranked = rendezvous.rank(key, known)
     if not ranked:
         return {}
-    each, rest = divmod(limit, len(ranked))
-    # The other side of a cut may rank real names where this one has none.
-    # The remainder then goes to that side alone.
+    each, remainder = divmod(limit, len(ranked))
+    # With placeholders the ranking may differ from that on the other side of
+    # a network partition, so only a side that knows all members assigns the
+    # remainder.
     if any(name.startswith(_PLACEHOLDER_PREFIX) for name in ranked):
-        rest = 0
-    return {name: each + (i < rest) for i, name in enumerate(ranked)}
+        remainder = 0
+    return {
+        name: each + (index < remainder) for index, name in enumerate(ranked)
+    }
 
 
 def lendable_slots(
-    key: str, limit: int, known: frozenset[str], seen: frozenset[str]
+    key: str, limit: int, known: frozenset[str], reachable: frozenset[str]
 ) -> int:
-    """Return what a keeper may lend that sees only some of the members.
+    """Return how many slots a lender may lend that reaches some members.
 
-    Both sides of a cut inside a data centre have a keeper.  Each lends the
-    shares of its own side, so that together they stay within the limit.
+    Each side of a network partition in a data centre has a lender.  It lends
+    the shares of its own side, so that all sides together stay within the
+    limit.
 
-    :param key: what is limited.
-    :param limit: slots in all.
-    :param known: all members, the silent ones too.
-    :param seen: the members alive in the keeper's view.
+    :param key: the limit's key.
+    :param limit: total slots.
+    :param known: all members, also unreachable ones.
+    :param reachable: the members alive in the lender's view.
     """
-    if seen >= known:
+    if reachable >= known:
         return limit
-    by_name = split_limit(key, limit, known)
-    return sum(by_name[name] for name in seen & known)
+    share_by_name = split_limit(key, limit, known)
+    return sum(share_by_name[name] for name in reachable & known)
 
 
-def is_majority(key: str, known: frozenset[str], seen: frozenset[str]) -> bool:
-    """Tell whether a side holds most members, or half and the first of them.
+def is_majority(
+    key: str, known: frozenset[str], reachable: frozenset[str]
+) -> bool:
+    """Return whether a side has most members, or half with the first of them.
 
-    At most one side of a cut does, so a limit that may not be split (a cold
-    upstream bears one request) is lent on one side only.
+    At most one side of a network partition has, so a limit that can't be
+    split, such as that of a cold upstream with a capacity of one request, is
+    lent on one side only.
 
-    :param key: what is limited; its first in rank decides between halves.
-    :param known: all members, the silent ones too.
-    :param seen: the members alive in the keeper's view.
+    :param key: the limit's key; its first in rank decides between halves.
+    :param known: all members, also unreachable ones.
+    :param reachable: the members alive in the lender's view.
     """
-    twice = 2 * len(seen & known)
-    if twice != len(known):
-        return twice > len(known)
-    return rendezvous.first(key, known) in seen
+    doubled = 2 * len(reachable & known)
+    if doubled != len(known):
+        return doubled > len(known)
+    return rendezvous.first(key, known) in reachable
--- a/src/citronvalve/peers/sockets.py
+++ b/src/citronvalve/peers/sockets.py
@@ -1,4 +1,4 @@
-"""The two sockets of a daemon among its peers."""
+"""The two sockets by which a daemon reaches its peers."""
 
 import collections
 from typing import NamedTuple
@@ -9,17 +9,16 @@
 from citronvalve.peers import codec
 from citronvalve.peers import peersettings
 
-#: Messages queued for one peer.  A peer gets one a second, so these are some
-#: seconds' worth; a slow or stopped one costs no more memory than that, and
-#: no task ever waits for it.
+#: Messages queued for one peer.  A peer gets one a second, so this covers
+#: some seconds; a slow or stopped peer takes no more memory, and no task
+#: waits for it.
 _SEND_QUEUE = 8
 
-#: Messages queued on arrival: ten seconds' worth of a full-size data centre.
+#: Received messages queued; ten seconds' worth in the largest data centre.
 _RECEIVE_QUEUE = 512
 
-#: A connection that carried nothing for this long is dropped and made anew:
-#: something between the two ends may have lost track of it without a word,
-#: while new connections work.
+#: A connection without traffic for the timeout is closed and reopened.  A
+#: middlebox may have dropped its state silently while new connections work.
 _HEARTBEAT_INTERVAL = 3 * clock.SECOND
 _HEARTBEAT_TIMEOUT = 9 * clock.SECOND
 
@@ -31,7 +30,7 @@
 
 
 class _Connection(NamedTuple):
-    """An outgoing connection's routing id and last use."""
+    """Routing id and last use of an outgoing connection."""
 
     routing_id: bytes
     used_at: clock.Ms
@@ -40,9 +39,9 @@
 class Sockets:
     """Receives on one ROUTER socket and sends on another.
 
-    One socket sends to all peers: a socket for each of 52 costs memory
-    and, on eventlet, a watcher each.  It names its connections itself,
-    so that a message goes to one address and to no other.
+    One socket sends to all peers, since a socket for each of 52 costs
+    memory and, on eventlet, a watcher each.  The socket sets the routing ids
+    of its connections, so that a message goes to exactly one address.
 
     :param settings: addresses and keys.
     :param clock_: the clock.
@@ -69,15 +68,15 @@
             self._enable_curve()
 
     def bind(self) -> None:
-        """Start to listen at this daemon's address."""
+        """Listen on this daemon's address."""
         self._receiver.bind(self._settings.address)
 
     def receive(self) -> bytes:
-        """Wait for a message; other tasks run meanwhile."""
+        """Wait for a message while other tasks run."""
         return self._receiver.recv_multipart()[-1]
 
     def send(self, address: str, data: bytes) -> bool:
-        """Send without ever waiting; tell whether it was queued.
+        """Send without blocking; return whether the message was queued.
 
         :param address: a peer's address.
         :param data: an encoded message.
@@ -94,10 +93,10 @@
         return False
 
     def close_idle(self) -> None:
-        """Close connections to addresses that are no longer written to."""
+        """Close connections that were not used lately."""
         now = self._clock.now()
-        for address, held in list(self._connection_by_address.items()):
-            if now - held.used_at > _IDLE_TIMEOUT:
+        for address, connection in list(self._connection_by_address.items()):
+            if now - connection.used_at > _IDLE_TIMEOUT:
                 del self._connection_by_address[address]
                 self._sender.disconnect(address)
 
@@ -109,15 +108,15 @@
 
     def _connect(self, address: str) -> bytes:
         now = self._clock.now()
-        held = self._connection_by_address.get(address)
-        if held is None:
+        connection = self._connection_by_address.get(address)
+        if connection is None:
             self._serial += 1
             routing_id = b"peer-%d" % self._serial
             self._sender.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
             self._sender.connect(address)
-            held = _Connection(routing_id, now)
-        self._connection_by_address[address] = held._replace(used_at=now)
-        return held.routing_id
+            connection = _Connection(routing_id, now)
+        self._connection_by_address[address] = connection._replace(used_at=now)
+        return connection.routing_id
 
     def _create_socket(self):
         socket = self.context.socket(zmq.ROUTER)
--- a/src/citronvalve/peers/state.py
+++ b/src/citronvalve/peers/state.py
@@ -1,4 +1,4 @@
-"""All that one daemon knows of its peers, in one place."""
+"""The state that a daemon keeps about its peers."""
 
 import random
 
@@ -16,12 +16,14 @@
 
 
 class State:
-    """Holds the parts together; each part keeps its own rules.
+    """Groups the parts of the state.
 
-    :param settings: this daemon among its peers.
+    :param settings: this daemon's settings.
     :param clock_: the clock.
-    :param rng: chance.
-    :param invariants: where promises are asserted.
+    :param rng: source of randomness.
+    :param invariants: checks the invariants.
+    :ivar neighbours: data centres that get loads of this one; empty means
+        all, as in a fleet of one region.
     """
 
     def __init__(
@@ -36,9 +38,12 @@
         self.clock = clock_
         self.rng = rng
         self.invariants = invariants
-        first = not set(settings.seeds) - {settings.address}
+        is_first = not set(settings.seeds) - {settings.address}
         self.authority = authority.Authority(
-            clock_, timing, invariants, first or settings.expected_daemons == 1
+            clock_,
+            timing,
+            invariants,
+            is_first or settings.expected_daemons == 1,
         )
         self.membership = membership.Membership(timing, invariants)
         self.remote = remote.RemoteDatacentres(settings.datacentre)
@@ -52,27 +57,25 @@
             timing,
             self.authority,
             invariants,
-            first=first,
-            expected=settings.expected_daemons,
+            is_first=is_first,
+            expected_daemons=settings.expected_daemons,
         )
-        # Which data centres take loads of this one; empty means all, as in
-        # a fleet of one region.
         self.neighbours: frozenset[str] = frozenset()
         self._heartbeat_counter = 0
 
     def is_neighbour(self, datacentre: str) -> bool:
-        """Tell whether a data centre wants loads of this one.
+        """Return whether a data centre gets loads of this one.
 
         :param datacentre: its name.
         """
         return not self.neighbours or datacentre in self.neighbours
 
     def others(self) -> frozenset[str]:
-        """Return the other living members of this data centre."""
+        """Return the names of the other alive members of this data centre."""
         return self.membership.alive() - {self.settings.name}
 
     def advance_heartbeat(self, now: clock.Ms) -> None:
-        """Let the own heartbeat rise, or a new life begin.
+        """Raise the own heartbeat counter, or record a new incarnation.
 
         :param now: monotonic time in ms.
         """
@@ -89,7 +92,7 @@
         self.membership.merge(record, now)
 
     def record_view(self, now: clock.Ms) -> None:
-        """Tell the grants how the members look.
+        """Pass the current members to the loan manager.
 
         :param now: monotonic time in ms.
         """
--- a/src/citronvalve/peers/status.py
+++ b/src/citronvalve/peers/status.py
@@ -1,4 +1,4 @@
-"""How a daemon sees itself among its peers, for operators and metrics."""
+"""A daemon's view of its peers, for operators and metrics."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class FarStatus(NamedTuple):
-    """Another data centre; ``age`` is that of its last news in ms."""
+    """Another data centre; ``age`` is that of its summary in ms."""
 
     datacentre: str
     age: clock.Ms
@@ -15,11 +15,11 @@
 
 
 class PeerStatus(NamedTuple):
-    """One daemon's view.
+    """A daemon's view of its peers.
 
-    ``acting``: whether it may keep, watch and lend; ``watcher``: whether it
-    reads the platform's table; ``rejoins``: how often
-    it had been declared dead or was stopped.
+    ``acting``: whether it may coordinate, watch and lend.  ``watcher``:
+    whether it reads the platform's table.  ``rejoins``: how often it was
+    declared dead or paused.
     """
 
     name: str
--- a/src/citronvalve/peers/summary.py
+++ b/src/citronvalve/peers/summary.py
@@ -1,4 +1,4 @@
-"""What one data centre tells the others of itself."""
+"""The summary of a data centre that is sent to the others."""
 
 from typing import NamedTuple
 
@@ -6,17 +6,17 @@
 
 
 class Contact(NamedTuple):
-    """A member that takes messages for its data centre."""
+    """A member that receives messages for its data centre."""
 
     name: str
     address: str
 
 
 class Summary(NamedTuple):
-    """A data centre at a glance, with its age.
+    """State of a data centre.
 
-    ``version`` is the lowest table version that all of its members hold;
-    ``behind`` names some of those that hold no newer one.
+    ``version`` is the lowest table version among its members; ``behind``
+    names some of the members whose version is not the newest.
     """
 
     datacentre: str
--- a/src/citronvalve/peers/tablecopy.py
+++ b/src/citronvalve/peers/tablecopy.py
@@ -1,4 +1,4 @@
-"""A daemon's copy of the operators' table, kept in step with its peers."""
+"""A daemon's copy of the operators' table."""
 
 import bisect
 import functools
@@ -12,8 +12,8 @@
 from citronvalve.peers import tabledelta
 from citronvalve.peers import tablepage
 
-#: Bytes of rows in one page.  A message of 64 KiB takes about a
-#: millisecond to handle, which delays tokens by as much.
+#: Bytes of rows in one page.  Handling a message of 64 KiB takes about 1 ms,
+#: by which tokens are delayed.
 _MAX_PAGE_BYTES = 48 * 1_024
 
 _CHANGE_OVERHEAD = 16
@@ -30,16 +30,16 @@
 
 
 class TableCopy:
-    """Rows at one version; the version never falls.
+    """The rows at one version; the version never falls.
 
-    Deleted rows stay as empty ones, so that any two copies can be brought
-    together by the rows newer than the older copy's version.
+    Deleted rows are kept without a value, so that the rows newer than an
+    older copy's version bring it up to date.
 
-    :param invariants: where promises are asserted.
-    :ivar version: of the newest row.
-    :ivar digest: over all rows.
-    :ivar refused: how many times pages were refused for their digest.
-    :ivar is_doubted: whether another copy differs at this version.
+    :param invariants: checks the invariants.
+    :ivar version: version of the newest row.
+    :ivar digest: digest of all rows.
+    :ivar pages_refused: how often pages were refused.
+    :ivar is_disputed: whether another copy differs at this version.
     :ivar confirmed_at: monotonic ms at which the version was the newest.
     """
 
@@ -51,15 +51,15 @@
         self._cursors: list[tablepage.Cursor] = []
         self._staged_by_key: dict[tuple[str, str], changes.Change] = {}
         self._staged_from = tablepage.Cursor(0)
-        # Set once a digest did not match: the next try takes every row,
-        # since the fault may lie in a row held here.
+        # Set when a digest doesn't match.  The next copy is of all rows, since
+        # the wrong row may be one held here.
         self._needs_full_copy = False
         self.pages_refused = 0
         self.is_disputed = False
         self.confirmed_at: clock.Ms | None = None
 
     def confirm(self, at: clock.Ms) -> None:
-        """Note that the version was the newest at a moment.
+        """Record that the version was the newest at a time.
 
         :param at: monotonic ms.
         """
@@ -67,7 +67,7 @@
             self.confirmed_at = at
 
     def apply(self, delta: tabledelta.TableDelta) -> bool:
-        """Take a delta in whole; tell whether the version rose.
+        """Apply a complete delta; return whether the version rose.
 
         :param delta: as a watcher read it from the platform.
         """
@@ -77,18 +77,18 @@
         return True
 
     def reconcile(
-        self, whole: tabledelta.TableDelta
+        self, full: tabledelta.TableDelta
     ) -> tuple[tuple[str, str], ...]:
         """Replace the rows held if any of them differs from the platform's.
 
-        :param whole: the whole table as the platform has it; one of an
-            earlier version proves nothing.
+        :param full: the platform's full table; ignored if it is of an earlier
+            version.
         :return: table and key of the rows that were wrong here.
         """
-        if whole.version < self.version:
+        if full.version < self.version:
             return ()
         self.is_disputed = False
-        row_by_key = {(row.table, row.key): row for row in whole.changes}
+        row_by_key = {(row.table, row.key): row for row in full.changes}
         wrong = tuple(
             key
             for key in sorted(self._row_by_key.keys() | row_by_key.keys())
@@ -96,75 +96,79 @@
         )
         if wrong:
             self._clear()
-            self._write(whole.version, whole.changes)
+            self._write(full.version, full.changes)
         return wrong
 
     def _differs(
         self, key: tuple[str, str], stored: changes.Change | None
     ) -> bool:
-        # What was written after the version held here is only new.
+        # A row written after the version held here is new, not wrong.
         if stored is not None and stored.version > self.version:
             return False
         return self._row_by_key.get(key) != stored
 
     def page_after(self, start: tablepage.Cursor) -> tablepage.TablePage:
-        """Return the page of rows after a place.
+        """Return the page of rows after a position.
 
-        :param start: the end of what the receiver holds.
+        :param start: the last position that the receiver holds.
         """
-        at = bisect.bisect_right(self._cursors, start)
-        taken: list[changes.Change] = []
+        index = bisect.bisect_right(self._cursors, start)
+        page_rows: list[changes.Change] = []
         size = 0
-        while at < len(self._cursors) and size < _MAX_PAGE_BYTES:
-            place = self._cursors[at]
-            row = self._row_by_key[place.table, place.key]
+        while index < len(self._cursors) and size < _MAX_PAGE_BYTES:
+            cursor = self._cursors[index]
+            row = self._row_by_key[cursor.table, cursor.key]
             size += len(row.value) + len(row.key) + _CHANGE_OVERHEAD
-            taken.append(row)
-            at += 1
+            page_rows.append(row)
+            index += 1
         return tablepage.TablePage(
             self.version,
             self.digest,
             start,
-            tuple(taken),
-            at == len(self._cursors),
+            tuple(page_rows),
+            index == len(self._cursors),
         )
 
     def rows_after(self, version: int) -> tuple[changes.Change, ...]:
         """Return all rows newer than a version.
 
-        :param version: what the receiver holds.
+        :param version: the version that the receiver holds.
         """
-        at = bisect.bisect_right(self._cursors, tablepage.Cursor(version + 1))
+        index = bisect.bisect_right(
+            self._cursors, tablepage.Cursor(version + 1)
+        )
         return tuple(
-            self._row_by_key[place.table, place.key]
-            for place in self._cursors[at:]
+            self._row_by_key[cursor.table, cursor.key]
+            for cursor in self._cursors[index:]
         )
 
-    def size_after(self, version: int, most: int) -> int:
-        """Return about how large the rows after a version are.
+    def size_after(self, version: int, max_bytes: int) -> int:
+        """Return the approximate size in bytes of the rows after a version.
 
-        :param version: what the receiver holds.
-        :param most: stop counting here.
+        :param version: the version that the receiver holds.
+        :param max_bytes: stop counting above this size.
         """
-        at = bisect.bisect_right(self._cursors, tablepage.Cursor(version + 1))
+        index = bisect.bisect_right(
+            self._cursors, tablepage.Cursor(version + 1)
+        )
         size = 0
-        for place in self._cursors[at:]:
-            row = self._row_by_key[place.table, place.key]
+        for cursor in self._cursors[index:]:
+            row = self._row_by_key[cursor.table, cursor.key]
             size += len(row.value) + len(row.key) + _CHANGE_OVERHEAD
-            if size > most:
+            if size > max_bytes:
                 break
         return size
 
     def next_cursor(self) -> tablepage.Cursor:
-        """Return the place from which this copy needs rows."""
-        held = 0 if self._needs_full_copy else self.version + 1
-        return max(self._staged_from, tablepage.Cursor(held))
+        """Return the position after which this copy needs rows."""
+        version = 0 if self._needs_full_copy else self.version + 1
+        return max(self._staged_from, tablepage.Cursor(version))
 
     def apply_page(self, page: tablepage.TablePage) -> bool:
-        """Take a page in; tell whether the version rose.
+        """Apply a page; return whether the version rose.
 
-        Pages are staged until the last one: a table half old and half new
-        was never declared by anyone.
+        Pages are staged until the last one, since a mixture of two versions
+        of the table was never declared.
 
         :param page: from any peer.
         """
@@ -174,8 +178,8 @@
             self.pages_refused += 1
             return False
         for row in page.changes:
-            held = self._staged_by_key.get((row.table, row.key))
-            if held is None or held.version < row.version:
+            current = self._staged_by_key.get((row.table, row.key))
+            if current is None or current.version < row.version:
                 self._staged_by_key[row.table, row.key] = row
         if not page.is_last:
             if page.changes:
@@ -186,18 +190,18 @@
 
     def _finish(self, page: tablepage.TablePage) -> bool:
         rows = tuple(self._staged_by_key.values())
-        whole = self._needs_full_copy
-        digest = self._digest_with(rows, whole)
+        full = self._needs_full_copy
+        digest = self._digest_with(rows, full)
         self._staged_by_key = {}
         self._staged_from = tablepage.Cursor(0)
-        # Pages of peers that differ, or a row spoilt on the way, would leave
-        # a hole that no later delta fills.  The digest finds it, and the
-        # copy is taken again in whole.
+        # Pages from differing peers, or a corrupted row, would leave an error
+        # that no later delta repairs.  The digest detects it, and the full
+        # table is copied again.
         self._needs_full_copy = digest != page.digest
         if self._needs_full_copy:
             self.pages_refused += 1
             return False
-        if whole:
+        if full:
             self._clear()
         self._commit(page.version, rows)
         return True
@@ -209,18 +213,18 @@
 
     def _newer_rows(self, rows: tuple[changes.Change, ...]):
         for row in rows:
-            held = self._row_by_key.get((row.table, row.key))
-            if held is None or held.version < row.version:
-                yield held, row
+            current = self._row_by_key.get((row.table, row.key))
+            if current is None or current.version < row.version:
+                yield current, row
 
     def _digest_with(
-        self, rows: tuple[changes.Change, ...], whole: bool = False
+        self, rows: tuple[changes.Change, ...], full: bool = False
     ) -> int:
-        if whole:
+        if full:
             return functools.reduce(operator.xor, map(_digest, rows), 0)
         digest = self.digest
-        for held, row in self._newer_rows(rows):
-            digest ^= _digest(row) ^ (_digest(held) if held else 0)
+        for current, row in self._newer_rows(rows):
+            digest ^= _digest(row) ^ (_digest(current) if current else 0)
         return digest
 
     def _commit(self, version: int, rows: tuple[changes.Change, ...]) -> None:
@@ -233,10 +237,10 @@
 
     def _write(self, version: int, rows: tuple[changes.Change, ...]) -> None:
         digest = self._digest_with(rows)
-        for held, row in list(self._newer_rows(rows)):
-            if held is not None:
-                place = bisect.bisect_left(self._cursors, _cursor(held))
-                del self._cursors[place]
+        for current, row in list(self._newer_rows(rows)):
+            if current is not None:
+                index = bisect.bisect_left(self._cursors, _cursor(current))
+                del self._cursors[index]
             bisect.insort(self._cursors, _cursor(row))
             self._row_by_key[row.table, row.key] = row
         self.version = version
--- a/src/citronvalve/peers/tabledelta.py
+++ b/src/citronvalve/peers/tabledelta.py
@@ -1,4 +1,4 @@
-"""What leads from one version of the table to a later one."""
+"""The difference between two versions of the table."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class TableDelta(NamedTuple):
-    """Rows written after ``base`` up to ``version``, each in its last form.
+    """The newest state of the rows written after ``base`` up to ``version``.
 
-    It fits any copy whose version is at least ``base`` and below
+    It applies to any copy whose version is at least ``base`` and below
     ``version``; base 0 is a full copy.
     """
 
--- a/src/citronvalve/peers/tablepage.py
+++ b/src/citronvalve/peers/tablepage.py
@@ -6,7 +6,7 @@
 
 
 class Cursor(NamedTuple):
-    """A place in the rows ordered by version, table and key."""
+    """A position in the rows, ordered by version, table and key."""
 
     version: int
     table: str = ""
@@ -14,9 +14,9 @@
 
 
 class TablePage(NamedTuple):
-    """Rows after ``start``; ``last`` is set on the page that ends the delta.
+    """Rows after ``start``; ``is_last`` is set on the final page.
 
-    ``digest`` is that of the whole table at ``version``.
+    ``digest`` covers the full table at ``version``.
     """
 
     version: int
--- a/src/citronvalve/peers/tablerequest.py
+++ b/src/citronvalve/peers/tablerequest.py
@@ -6,6 +6,6 @@
 
 
 class TableRequest(NamedTuple):
-    """Asks for the page of rows after ``start``."""
+    """Requests the page of rows after ``start``."""
 
     start: tablepage.Cursor
--- a/src/citronvalve/peers/tablesync.py
+++ b/src/citronvalve/peers/tablesync.py
@@ -1,4 +1,4 @@
-"""Brings this daemon's copy of the table up to the newest it hears of."""
+"""Synchronizes this daemon's copy of the table with its peers."""
 
 from collections.abc import Callable
 
@@ -16,50 +16,50 @@
 
 
 class TableSync:
-    """Takes what rides on gossip, asks for the rest and serves others.
+    """Applies rows from gossip, requests missing rows and serves others.
 
-    Any peer serves, near or far, so that a daemon that starts while the
-    platform is down gets the newest version that its peers hold.
+    Any peer serves rows, so a daemon that starts while the platform is down
+    gets the newest version that its peers hold.
 
-    :param state: all that this daemon knows.
-    :param listener: told of each new version.
-    :param confirm: called when the version rose.
+    :param state: what this daemon knows of its peers.
+    :param listener: called with each new version.
+    :param announce: called when the table changed, to send a heartbeat.
     """
 
     def __init__(
         self,
         state: states.State,
         listener: listeners.Listener,
-        confirm: Callable[[], None],
+        announce: Callable[[], None],
     ) -> None:
         self._state = state
         self._listener = listener
-        self._announce = confirm
+        self._announce = announce
         self._requested_at: clock.Ms | None = None
 
     def publish(self, delta: tabledelta.TableDelta) -> bool:
-        """Take a version that a watcher read; tell whether it is newer.
+        """Apply a version that a watcher read; return whether it is newer.
 
-        :param delta: from the platform.
+        :param delta: as read from the platform.
         """
         before = self._state.table.version
-        risen = self._state.table.apply(delta)
-        if risen:
+        is_newer = self._state.table.apply(delta)
+        if is_newer:
             self._on_new_version(before)
-        return risen
+        return is_newer
 
-    def reconcile(self, whole: tabledelta.TableDelta) -> None:
-        """Replace the rows held where they differ from the platform's.
+    def reconcile(self, full: tabledelta.TableDelta) -> None:
+        """Replace the rows held if they differ from the platform's.
 
-        :param whole: the whole table, read from the platform.
+        :param full: the full table, read from the platform.
         """
-        wrong = self._state.table.reconcile(whole)
+        wrong = self._state.table.reconcile(full)
         if wrong:
-            self._listener.on_table_corrected(whole, wrong)
+            self._listener.on_table_corrected(full, wrong)
             self._announce()
 
     def apply_page(self, page: tablepage.TablePage) -> None:
-        """Take rows in.
+        """Apply a page of rows.
 
         :param page: from any peer.
         """
@@ -68,13 +68,13 @@
             self._on_new_version(before)
 
     def check_peer_table(self, message: gossip.Gossip, now: clock.Ms) -> None:
-        """Compare a peer's table with the own one by version and digest.
+        """Compare a peer's table with this copy by version and digest.
 
-        With the same rows, this version was the newest when the peer's was.
-        With other rows at the same version one of both is wrong; which one,
-        only the platform knows.
+        If both are equal, the peer's confirmation holds for this copy too.
+        If only the digests differ, one of the copies is wrong; only the
+        platform can tell which.
 
-        :param message: what the peer told.
+        :param message: the peer's gossip.
         :param now: monotonic time in ms.
         """
         table = self._state.table
@@ -86,20 +86,21 @@
             table.confirm(now - message.table_age)
 
     def request(self, sender: envelope.Sender, version: int) -> _Out:
-        """Ask a peer for what is missing here, one peer at a time.
+        """Request missing rows, from one peer at a time.
 
         :param sender: a peer.
-        :param version: what it holds.
+        :param version: the version that it holds.
         """
         if version <= self._state.table.version:
             return []
-        at, now = self._requested_at, self._state.clock.now()
-        # A hundred peers may tell of a new version within a second, and a
-        # full copy is large.  One that does not answer is passed over
-        # after ``repair``.
+        requested_at, now = self._requested_at, self._state.clock.now()
+        # A hundred peers may announce a new version within a second, and a
+        # full copy is large.  If a peer doesn't reply, another one is tried
+        # after ``repair_interval``.
         if (
-            at is not None
-            and now - at < self._state.settings.timing.repair_interval
+            requested_at is not None
+            and now - requested_at
+            < self._state.settings.timing.repair_interval
         ):
             return []
         return self._request_now(sender)
@@ -110,10 +111,10 @@
         message: tablerequest.TableRequest,
         now: int,
     ) -> _Out:
-        """Serve rows to a peer.
+        """Return the requested rows to a peer.
 
         :param sender: the peer.
-        :param message: from where on.
+        :param message: the request.
         :param now: monotonic time in ms.
         """
         page = self._state.table.page_after(message.start)
@@ -122,9 +123,9 @@
     def on_page(
         self, sender: envelope.Sender, message: tablepage.TablePage, now: int
     ) -> _Out:
-        """Take rows that were asked for, and ask for those after them.
+        """Apply requested rows, and request those after them.
 
-        :param sender: the peer that serves them.
+        :param sender: the peer that sent them.
         :param message: the rows.
         :param now: monotonic time in ms.
         """
@@ -136,8 +137,8 @@
 
     def _request_now(self, sender: envelope.Sender) -> _Out:
         self._requested_at = self._state.clock.now()
-        ask = tablerequest.TableRequest(self._state.table.next_cursor())
-        return [outgoing.Outgoing(sender.address, ask)]
+        request = tablerequest.TableRequest(self._state.table.next_cursor())
+        return [outgoing.Outgoing(sender.address, request)]
 
     def _on_new_version(self, before: int) -> None:
         table = self._state.table
@@ -146,6 +147,5 @@
                 table.version, before, table.rows_after(before)
             )
         )
-        # The confirmation travels with the heartbeat; it does not wait
-        # for the next one.
+        # The heartbeat carries the confirmation and is sent at once.
         self._announce()
