--- a/src/citronvalve/peers/task.py
+++ b/src/citronvalve/peers/task.py
@@ -1,4 +1,4 @@
-"""The task that owns a daemon's sockets among its peers."""
+"""The task that owns the sockets to a daemon's peers."""
 
 import eventlet
 import logbook
@@ -11,15 +11,15 @@
 
 _log = logbook.Logger(__name__)
 
-#: Ticks between two looks for idle connections.
+#: Ticks between two checks for idle connections.
 _IDLE_CHECK_INTERVAL_TICKS = 80
 
 
 class PeerTask:
-    """Moves messages between a peer and the network, on two green threads.
+    """Moves messages between a peer and the network on two green threads.
 
-    Neither waits while it handles a message or sends one, so the peer's
-    state is never seen half changed.
+    Neither yields while it handles or sends a message, so no other task sees
+    the peer's state in the middle of a change.
 
     :param peer: what to connect.
     :param clock_: the clock.
@@ -37,7 +37,7 @@
         self.received_bytes = 0
 
     def start(self) -> None:
-        """Listen, and start to find the others."""
+        """Listen and start to look for peers."""
         settings = self._peer.settings
         if settings.secret_key:
             self._authenticator = authenticator.Authenticator(
@@ -51,7 +51,7 @@
         ]
 
     def stop(self) -> None:
-        """Say goodbye and close the sockets."""
+        """Announce the leave and close the sockets."""
         for thread in self._threads:
             thread.kill()
         self._send(self._peer.core.leave())
@@ -75,19 +75,19 @@
             message = self._peer.codec.decode(data)
             if message:
                 self._send(self._peer.core.handle(message))
-            # A socket that always has more would keep every other task
-            # of the daemon waiting.
+            # Yields, since a socket that always has messages would keep all
+            # other tasks of the daemon waiting.
             eventlet.sleep(0)
 
     def _tick(self) -> None:
-        span = self._peer.settings.timing.tick_interval / clock.SECOND
+        interval = self._peer.settings.timing.tick_interval / clock.SECOND
         ticks = 0
         while True:
             self._send(self._peer.core.tick())
             ticks += 1
             if ticks % _IDLE_CHECK_INTERVAL_TICKS == 0:
                 self._sockets.close_idle()
-            eventlet.sleep(span)
+            eventlet.sleep(interval)
 
     def _send(self, out: list[outgoing.Outgoing]) -> None:
         sender = self._peer.core.sender
--- a/src/citronvalve/peers/timing.py
+++ b/src/citronvalve/peers/timing.py
@@ -1,4 +1,4 @@
-"""The spans that peers agree on; every daemon of a fleet has the same."""
+"""Intervals and timeouts, the same for every daemon of a fleet."""
 
 from typing import NamedTuple
 
@@ -6,29 +6,35 @@
 
 
 class Timing(NamedTuple):
-    """Spans in ms, made for 31 data centres of 52 daemons.
-
-    ``tick``: one message to one peer a tick, so that a daemon sends 8 and
-    receives about 8 a second at any size.  A paced message costs about
-    0.3 ms of CPU, and 2.1% of a core holds 66.
-    ``apart``: least span between two messages to one peer.
-    ``beat``: a member's heartbeat rises this often.
-    ``suspect``: silence after which a member is asked directly.  A beat
-    takes about 1 s to reach 52 members through gossip.
-    ``dead``: silence after which a member is dead; twice ``suspect``, so
-    that a refutation has as long to arrive as the suspicion took.
-    ``pause``: a gap between own ticks after which a daemon takes itself for
-    dead; less than ``dead``, so that it stops before another takes over.
-    ``alone``: wait for an answer before a daemon acts by itself.
-    ``loan``: a loan ends this long after it was asked for.
-    ``slack``: a borrower stops this long before the loan's end, since what
-    it told others of a loan is looked at in a period of its own.
-    ``renew``: a borrower asks again this often; half a loan, so that one
-    lost message costs nothing.
-    ``repair``: least span between two full rosters or table asks.
-    ``relay``: least span between two messages to another data centre.
-    ``refresh``: an unchanged load is told again this often.
-    ``forget``: a dead member stops counting after this, if most remain.
+    """Times in ms, for 31 data centres of 52 daemons.
+
+    ``tick_interval``: a daemon gossips with one peer a tick, so it sends 8
+    and receives about 8 messages a second in a fleet of any size.  A message
+    costs about 0.3 ms of CPU; 2.1% of a core is enough for 66 a second.
+    ``send_interval``: minimum time between two messages to one peer.
+    ``heartbeat_interval``: time between two heartbeats of a member.
+    ``suspect_after``: a member silent for this long is probed directly.  A
+    heartbeat takes about 1 s to reach 52 members by gossip.
+    ``dead_after``: a member silent for this long is dead; twice
+    ``suspect_after``, so that a refutation has as long to arrive as the
+    suspicion took.
+    ``pause_limit``: a daemon with a longer gap between its ticks considers
+    itself dead; less than ``dead_after``, so that it stops before another
+    member takes over.
+    ``join_timeout``: how long a daemon waits for a reply before it acts
+    alone.
+    ``loan_duration``: a loan ends this long after it was requested.
+    ``loan_margin``: a borrower stops using a loan this long before it ends,
+    since its other tasks check the loan at an interval of their own.
+    ``renew_interval``: time between two requests of a borrower; half of a
+    loan, so that it survives one lost message.
+    ``repair_interval``: minimum time between two full rosters or two table
+    requests.
+    ``relay_interval``: minimum time between two messages to another data
+    centre.
+    ``refresh_interval``: an unchanged load is sent again this often.
+    ``forget_after``: a dead member no longer counts after this time, if
+    most members are alive.
     """
 
     tick_interval: clock.Ms = 125
@@ -48,9 +54,9 @@
 
     @property
     def handover_delay(self) -> clock.Ms:
-        """Return how long a new keeper waits before it lends.
+        """Return how long a new coordinator waits before it lends.
 
-        The old keeper may go on lending until it, too, sees the change,
-        which is at most ``dead`` later; its last loan then runs out.
+        The previous coordinator may lend until it sees the change too, at
+        most ``dead_after`` later, and its last loan has to expire.
         """
         return self.loan_duration + self.dead_after
--- a/src/citronvalve/peers/topology.py
+++ b/src/citronvalve/peers/topology.py
@@ -1,34 +1,36 @@
-"""Which daemon of a data centre passes news on to the others there."""
+"""Chooses the coordinators that relay messages between data centres."""
 
 from collections.abc import Mapping
 
 from citronvalve.model import clock
 from citronvalve.peers import rendezvous
 
-#: Up to this many daemons tell each other directly: 132 messages a period in
-#: place of 24 through keepers, each of them fresh.  Of 82 daemons that would
-#: be 6,642, which took more processor than all their requests.
+#: Up to this many daemons send to each other directly.  That takes 132
+#: messages a period, instead of 24 by coordinators, but avoids the delay of a
+#: relay.  82 daemons would send 6,642, which takes more CPU than all their
+#: requests.
 _MAX_DIRECT_DAEMONS = 12
 
-#: A daemon that was heard this lately is in sight; each speaks at least twice
-#: in it.
+#: A daemon is reachable this long after its last message; each daemon sends at
+#: least two messages in this time.
 REACHABLE_FOR: clock.Ms = 1_000
 
-#: Between two tries to reach one that ranks higher, so that the others gather
-#: at the highest that lives: at once when the keeper is lost, and within
-#: seconds when it is back.
+#: Time between two probes of daemons that rank higher.  By them all daemons
+#: find the highest-ranked alive one: at once when a coordinator is lost, and
+#: within seconds when it is back.
 _PROBE_INTERVAL: clock.Ms = 250
 
 
 class Topology:
-    """Knows the keeper of its own data centre and of the others.
+    """Tracks the coordinators of this and the other data centres.
 
-    The daemons of a data centre rank alike by rendezvous hashing, and each
-    takes the highest that it has heard lately for the keeper, or itself.
-    Two keepers for a moment do no harm: each passes on what it knows.
+    All daemons of a data centre compute the same ranking by rendezvous
+    hashing.  Each takes the highest-ranked reachable daemon, or itself, for
+    the coordinator.  Two coordinators at a time do no harm, since each relays
+    what it knows.
 
     :param name: this daemon.
-    :param datacentre: where it stands.
+    :param datacentre: its data centre.
     """
 
     def __init__(self, name: str, datacentre: str) -> None:
@@ -41,9 +43,9 @@
         self._last_probe_by_datacentre: dict[str, tuple[int, clock.Ms]] = {}
 
     def set_daemons(self, datacentre_by_name: Mapping[str, str]) -> None:
-        """Take in which daemons there are.
+        """Set the daemons of the fleet.
 
-        :param datacentre_by_name: all of them, with this one.
+        :param datacentre_by_name: all daemons, with this one.
         """
         if len(datacentre_by_name) == self._daemon_count:
             return
@@ -52,23 +54,23 @@
         for name, datacentre in datacentre_by_name.items():
             members.setdefault(datacentre, []).append(name)
         self._ranked_by_datacentre = {
-            place: rendezvous.rank(place, names)
-            for place, names in members.items()
+            datacentre: rendezvous.rank(datacentre, names)
+            for datacentre, names in members.items()
         }
 
     @property
     def is_direct(self) -> bool:
-        """Tell whether every daemon tells every other one."""
+        """Return whether daemons send to each other directly."""
         return self._daemon_count <= _MAX_DIRECT_DAEMONS
 
     @property
     def size(self) -> int:
-        """Return how many daemons of this data centre there are."""
+        """Return the number of daemons in this data centre."""
         return len(self._ranked_by_datacentre[self._datacentre])
 
     @property
     def fan_out(self) -> int:
-        """Return to how many daemons at most one passes the same news on."""
+        """Return to how many daemons one sends the same message at most."""
         if self.is_direct:
             return self._daemon_count - 1
         return max(map(len, self._ranked_by_datacentre.values()))
@@ -77,13 +79,13 @@
     def local_peers(self) -> list[str]:
         """Return the other daemons of this data centre."""
         return [
-            n
-            for n in self._ranked_by_datacentre[self._datacentre]
-            if n != self._name
+            name
+            for name in self._ranked_by_datacentre[self._datacentre]
+            if name != self._name
         ]
 
     def record_contact(self, name: str, now: clock.Ms) -> None:
-        """Note that a daemon has spoken to this one.
+        """Record a message from a daemon.
 
         :param name: the daemon.
         :param now: monotonic ms.
@@ -91,7 +93,7 @@
         self._heard_at_by_name[name] = now
 
     def record_report(self, name: str, now: clock.Ms) -> None:
-        """Note that a daemon takes this one for the keeper.
+        """Record that a daemon takes this one for its coordinator.
 
         :param name: the daemon.
         :param now: monotonic ms.
@@ -99,7 +101,7 @@
         self._reported_at_by_name[name] = now
 
     def reachable_count(self, now: clock.Ms) -> int:
-        """Return how many other daemons have spoken to this one lately.
+        """Return how many other daemons are reachable.
 
         :param now: monotonic ms.
         """
@@ -108,14 +110,14 @@
         )
 
     def is_coordinator(self, now: clock.Ms) -> bool:
-        """Tell whether this daemon takes itself for the keeper.
+        """Return whether this daemon takes itself for the coordinator.
 
         :param now: monotonic ms.
         """
         return self.coordinator(now) == self._name
 
     def coordinator(self, now: clock.Ms) -> str:
-        """Return who passes news on in this data centre.
+        """Return the coordinator of this data centre.
 
         :param now: monotonic ms.
         """
@@ -125,7 +127,7 @@
         return self._name
 
     def reporters(self, now: clock.Ms) -> list[str]:
-        """Return the daemons that this one passes news on to.
+        """Return the daemons that report to this one.
 
         :param now: monotonic ms.
         """
@@ -136,40 +138,46 @@
         ]
 
     def report_targets(self, now: clock.Ms) -> list[str]:
-        """Return whom to report to: the keeper, and at times one above it.
+        """Return the coordinator and, at intervals, one that ranks higher.
 
         :param now: monotonic ms.
         """
         ranked = self._ranked_by_datacentre[self._datacentre]
-        keeper = self.coordinator(now)
-        found = [] if keeper == self._name else [keeper]
-        higher = ranked[: ranked.index(keeper)] if keeper in ranked else ranked
-        return found + self._probe(self._datacentre, higher, now)
+        coordinator = self.coordinator(now)
+        targets = [] if coordinator == self._name else [coordinator]
+        higher = (
+            ranked[: ranked.index(coordinator)]
+            if coordinator in ranked
+            else ranked
+        )
+        return targets + self._probe(self._datacentre, higher, now)
 
     def remote_targets(self, now: clock.Ms) -> list[str]:
-        """Return one daemon of each other data centre, its keeper if known.
+        """Return a daemon of each other data centre, its coordinator if known.
 
         :param now: monotonic ms.
         """
-        found = []
-        for place, ranked in self._ranked_by_datacentre.items():
-            if place == self._datacentre:
+        targets = []
+        for datacentre, ranked in self._ranked_by_datacentre.items():
+            if datacentre == self._datacentre:
                 continue
-            known = [n for n in ranked if self._is_reachable(n, now)]
-            found += known[:1] or self._probe(place, ranked, now)
-        return found
+            reachable = [
+                name for name in ranked if self._is_reachable(name, now)
+            ]
+            targets += reachable[:1] or self._probe(datacentre, ranked, now)
+        return targets
 
     def _is_reachable(self, name: str, now: clock.Ms) -> bool:
         at = self._heard_at_by_name.get(name)
         return at is not None and now - at < REACHABLE_FOR
 
     def _probe(
-        self, place: str, candidates: list[str], now: clock.Ms
+        self, datacentre: str, candidates: list[str], now: clock.Ms
     ) -> list[str]:
-        turn, at = self._last_probe_by_datacentre.get(
-            place, (0, now - _PROBE_INTERVAL)
+        probe_count, at = self._last_probe_by_datacentre.get(
+            datacentre, (0, now - _PROBE_INTERVAL)
         )
         if not candidates or now - at < _PROBE_INTERVAL:
             return []
-        self._last_probe_by_datacentre[place] = turn + 1, now
-        return [candidates[turn % len(candidates)]]
+        self._last_probe_by_datacentre[datacentre] = probe_count + 1, now
+        return [candidates[probe_count % len(candidates)]]
--- a/src/citronvalve/peers/updatequeue.py
+++ b/src/citronvalve/peers/updatequeue.py
@@ -1,4 +1,4 @@
-"""Records waiting to be passed on, each a few times."""
+"""A queue of updates that are sent to several peers each."""
 
 import collections
 from collections.abc import Callable
@@ -7,14 +7,14 @@
 
 
 class UpdateQueue:
-    """A queue of keys to tell, bounded by the number of keys.
+    """A bounded queue of the keys of records to send.
 
-    Each key is told a few times, oldest first.  A record that changes
-    meanwhile is told in its newest form: the queue holds keys, not copies,
-    so that a slow network makes records older and not the queue longer.
+    Each key is sent a few times, oldest first.  The queue holds keys, not
+    copies, so a record that changes is sent in its newest form.  On a slow
+    network records get older, but the queue doesn't get longer.
 
-    :param most: keys held; beyond it the oldest is dropped, and repaired
-        by the next change or refresh.
+    :param max_keys: keys held; beyond it the first one is dropped, which the
+        next change or refresh repairs.
     """
 
     def __init__(self, max_keys: int = 4_096) -> None:
@@ -29,10 +29,10 @@
     def put(
         self, key: Hashable, transmissions: int, urgent: bool = False
     ) -> None:
-        """Queue a key, afresh if it is queued already.
+        """Queue a key, or reset its count if it is already queued.
 
-        :param key: what to tell.
-        :param times: how many messages shall carry it.
+        :param key: key of the record to send.
+        :param transmissions: how many messages carry it.
         :param urgent: whether it goes before all others.
         """
         self._remaining_by_key[key] = transmissions
@@ -42,34 +42,34 @@
             self._remaining_by_key.popitem(last=False)
 
     def record_duplicate(self, key: Hashable) -> None:
-        """Note that another told the same: one telling fewer is needed.
+        """Count one transmission less, since a peer sent the same record.
 
-        :param key: what was told.
+        :param key: key of the record.
         """
-        left = self._remaining_by_key.get(key)
-        if left is not None:
-            self._count_down(key, left)
+        remaining = self._remaining_by_key.get(key)
+        if remaining is not None:
+            self._count_down(key, remaining)
 
     def take(self, max_records: int, record: Callable[[Any], Any]) -> tuple:
         """Take records for one message.
 
-        :param most: records that the message has room for.
-        :param record: gives the present record of a key, or ``None``.
+        :param max_records: records that fit into the message.
+        :param record: returns the current record of a key, or ``None``.
         """
         taken = []
         for key in list(self._remaining_by_key)[:max_records]:
-            found = record(key)
-            if found is None:
+            current = record(key)
+            if current is None:
                 del self._remaining_by_key[key]
                 continue
-            taken.append(found)
+            taken.append(current)
             self._count_down(key, self._remaining_by_key[key])
             if key in self._remaining_by_key:
                 self._remaining_by_key.move_to_end(key)
         return tuple(taken)
 
-    def _count_down(self, key: Hashable, left: int) -> None:
-        if left > 1:
-            self._remaining_by_key[key] = left - 1
+    def _count_down(self, key: Hashable, remaining: int) -> None:
+        if remaining > 1:
+            self._remaining_by_key[key] = remaining - 1
         else:
             del self._remaining_by_key[key]
--- a/src/citronvalve/peers/views.py
+++ b/src/citronvalve/peers/views.py
@@ -1,4 +1,4 @@
-"""How the members looked lately, for decisions that must outlast a change."""
+"""The recent views of the members."""
 
 import collections
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class View(NamedTuple):
-    """The members from a moment on."""
+    """The members since a time."""
 
     since: clock.Ms
     alive: frozenset[str]
@@ -16,9 +16,9 @@
     coordinator_by_key: dict[str, str | None]
 
     def coordinator(self, key: str) -> str | None:
-        """Return the keeper of a key; worked out once a view.
+        """Return the coordinator of a key, cached by view.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         """
         if key not in self.coordinator_by_key:
             self.coordinator_by_key[key] = rendezvous.first(key, self.alive)
@@ -26,12 +26,12 @@
 
 
 class ViewHistory:
-    """The views of the last while.
+    """The views of the members within a time span.
 
-    Two daemons see a change at different times.  Whoever relies only on what
-    held through the whole span can't clash with one that relies on it, too.
+    Daemons see a change of the members at different times.  They don't
+    conflict if each relies only on what was true during the whole span.
 
-    :param span: ms that a view must have held.
+    :param span: the time span in ms.
     """
 
     def __init__(self, span: clock.Ms) -> None:
@@ -39,13 +39,13 @@
         self._views: collections.deque[View] = collections.deque()
 
     def clear(self) -> None:
-        """Forget the past, since this life may not rely on it."""
+        """Drop all views, which a new incarnation may not rely on."""
         self._views.clear()
 
     def record(
         self, now: clock.Ms, alive: frozenset[str], known: frozenset[str]
     ) -> None:
-        """Take the present view.
+        """Record the current view.
 
         :param now: monotonic time in ms.
         :param alive: the members alive.
@@ -60,16 +60,16 @@
             self._views.popleft()
 
     def is_settled(self, now: clock.Ms) -> bool:
-        """Tell whether the views reach back through the whole span.
+        """Return whether the views cover the whole span.
 
         :param now: monotonic time in ms.
         """
         return bool(self._views) and self._views[0].since <= now - self._span
 
     def was_coordinator(self, key: str, name: str, now: clock.Ms) -> bool:
-        """Tell whether a member was the keeper through the whole span.
+        """Return whether a member was the coordinator for the whole span.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         :param name: the member.
         :param now: monotonic time in ms.
         """
@@ -78,16 +78,16 @@
         )
 
     def coordinator(self, key: str) -> str | None:
-        """Return the keeper of a key in the present view.
+        """Return the coordinator of a key in the current view.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         """
         return self._views[-1].coordinator(key) if self._views else None
 
     def always_alive(self) -> frozenset[str]:
-        """Return the members that were alive all the time."""
+        """Return the members that were alive in all views."""
         return frozenset.intersection(*(view.alive for view in self._views))
 
     def ever_known(self) -> frozenset[str]:
-        """Return the members that counted at any time."""
+        """Return the members that counted in any view."""
         return frozenset().union(*(view.known for view in self._views))
