--- a/src/citronvalve/daemon/loadnews.py
+++ b/src/citronvalve/daemon/loadnews.py
@@ -80,4 +80,4 @@
         near = self._spreading.topology
         if near.is_direct:
             return pause
-        return max(pause, _LOADS_EACH * near.size)
+        return max(pause, _LOADS_EACH * near.datacentre_size)
--- a/src/citronvalve/daemon/peertask.py
+++ b/src/citronvalve/daemon/peertask.py
@@ -93,7 +93,7 @@
 
     def on_table_corrected(
         self,
-        whole: tabledelta.TableDelta,
+        full: tabledelta.TableDelta,
         wrong: tuple[tuple[str, str], ...],
     ) -> None:
         self._env.log.warning(
@@ -103,7 +103,7 @@
                 "rows": [key for _, key in wrong[:_NAMED]],
             },
         )
-        table = self._follower.replace(_opened_delta(whole))
+        table = self._follower.replace(_opened_delta(full))
         if table is None:
             return
         if self._view.replace(table):
--- a/src/citronvalve/daemon/sharing.py
+++ b/src/citronvalve/daemon/sharing.py
@@ -46,7 +46,7 @@
         self._spread_losses(now)
 
     def _divide(self, now: clock.Ms) -> None:
-        place = limits.Share(*self._peer.place())
+        place = limits.Share(*self._peer.member_rank())
         if place != self._place:
             self._place = place
             self._dispatcher.divide(place, now)
--- a/src/citronvalve/peers/codec.py
+++ b/src/citronvalve/peers/codec.py
@@ -32,7 +32,7 @@
 _KIND_BY_TYPE = {type_: kind for kind, type_ in _TYPE_BY_KIND.items()}
 
 
-class Received(NamedTuple):
+class ReceivedMessage(NamedTuple):
     """A valid message and its sender."""
 
     sender: envelope.Sender
@@ -71,7 +71,9 @@
             )
         )
 
-    def decode(self, data: bytes) -> Received | invalidmessage.InvalidMessage:
+    def decode(
+        self, data: bytes
+    ) -> ReceivedMessage | invalidmessage.InvalidMessage:
         """Decode a message; count it as dropped if it is invalid.
 
         :param data: as received.
@@ -89,7 +91,7 @@
             body = decoder.decode(decoded.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             return self._drop(f"bad {decoded.kind.name.lower()}")
-        return Received(decoded.sender, body)
+        return ReceivedMessage(decoded.sender, body)
 
     def _drop(self, reason: str) -> invalidmessage.InvalidMessage:
         self.dropped_by_reason[reason] += 1
--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -124,7 +124,7 @@
             out.append(outgoing.Outgoing(lender.address, addressed.request))
         return out
 
-    def handle(self, received: codec.Received) -> _Out:
+    def handle(self, received: codec.ReceivedMessage) -> _Out:
         """Handle a message; return the replies.
 
         :param received: the decoded message and its sender.
--- a/src/citronvalve/peers/distributor.py
+++ b/src/citronvalve/peers/distributor.py
@@ -14,7 +14,7 @@
 _REPEAT_WINDOW: clock.Ms = 500
 
 #: Name under which the sum by a coordinator is kept among those of daemons.
-_OTHERS_KEY = "by the keeper"
+_OTHERS_KEY = "by the coordinator"
 
 
 class Outgoing(NamedTuple):
@@ -47,7 +47,7 @@
         self._sums = loadsums.LoadSums()
         self._reported_daemons = 0
         self._other_loads_at: clock.Ms | None = None
-        self._names: list[str] = []
+        self._peer_names: list[str] = []
         self._forwarded_at_by_payload: dict[messages.Broadcast, clock.Ms] = {}
         self.topology = topologies.Topology(name, datacentre)
 
@@ -56,7 +56,7 @@
 
         :param datacentre_by_name: all daemons, with this one.
         """
-        self._names = [n for n in datacentre_by_name if n != self._name]
+        self._peer_names = [n for n in datacentre_by_name if n != self._name]
         self.topology.set_daemons(datacentre_by_name)
 
     def reachable_count(self, now: clock.Ms) -> int:
@@ -79,7 +79,7 @@
         :param now: monotonic ms.
         """
         if self.topology.is_direct:
-            return [Outgoing(name, payload) for name in self._names]
+            return [Outgoing(name, payload) for name in self._peer_names]
         return self._forward(messages.Stage.UP, payload, "", now)
 
     def broadcast_locally(
@@ -122,7 +122,7 @@
         """
         loads = messages.DaemonLoads(self._name, counts)
         if self.topology.is_direct:
-            return [Outgoing(name, loads) for name in self._names]
+            return [Outgoing(name, loads) for name in self._peer_names]
         self._sums.record_daemon(self._name, counts, now)
         return [
             Outgoing(name, loads) for name in self.topology.report_targets(now)
--- a/src/citronvalve/peers/listener.py
+++ b/src/citronvalve/peers/listener.py
@@ -19,12 +19,12 @@
 
     def on_table_corrected(
         self,
-        whole: tabledelta.TableDelta,
+        full: tabledelta.TableDelta,
         wrong: tuple[tuple[str, str], ...],
     ) -> None:
         """Handle the replacement of rows that differed from the platform's.
 
-        :param whole: the full table, which replaces the rows held here.
+        :param full: the full table, which replaces the rows held here.
         :param wrong: table and key of the rows that differed.
         """
 
--- a/src/citronvalve/peers/loadtable.py
+++ b/src/citronvalve/peers/loadtable.py
@@ -26,7 +26,7 @@
 _MAX_QUEUED = 16_384
 
 
-class _Held(NamedTuple):
+class _Entry(NamedTuple):
     """A report with its coordinator and serial."""
 
     report: load.LoadReport
@@ -47,7 +47,7 @@
         self._own = own
         self._refresh = refresh
         self._serial = 0
-        self._held_by_upstream: dict[str, _Held] = {}
+        self._entry_by_upstream: dict[str, _Entry] = {}
         self._sent_by_upstream: dict[str, load.LoadReport] = {}
         self._own_upstreams: dict[str, None] = {}
         self.updates = updatequeue.UpdateQueue(max_keys=_MAX_QUEUED)
@@ -57,7 +57,7 @@
         """Return the newest report by upstream."""
         return {
             name: current.report
-            for name, current in self._held_by_upstream.items()
+            for name, current in self._entry_by_upstream.items()
         }
 
     def report(self, name: str) -> load.LoadReport | None:
@@ -65,7 +65,7 @@
 
         :param name: the upstream.
         """
-        current = self._held_by_upstream.get(name)
+        current = self._entry_by_upstream.get(name)
         return current.report if current is not None else None
 
     def own_upstreams(self) -> list[str]:
@@ -79,8 +79,8 @@
         """
         self._serial += 1
         name = report.upstream
-        previous = self._held_by_upstream.get(name)
-        self._held_by_upstream[name] = _Held(report, self._own, self._serial)
+        previous = self._entry_by_upstream.get(name)
+        self._entry_by_upstream[name] = _Entry(report, self._own, self._serial)
         sent = self._sent_by_upstream.get(name)
         self._own_upstreams[name] = None
         urgent = _is_urgent(previous.report if previous else None, report)
@@ -105,7 +105,7 @@
         """
         queue = self.remote_updates if is_remote else self.updates
         seen_at = now - max(0, update.age)
-        current = self._held_by_upstream.get(update.upstream)
+        current = self._entry_by_upstream.get(update.upstream)
         if current is not None and not _is_newer(current, update, seen_at):
             if (current.coordinator, current.serial) == (
                 update.coordinator,
@@ -123,7 +123,7 @@
             update.vms_missing,
         )
         urgent = _is_urgent(current.report if current else None, report)
-        self._held_by_upstream[update.upstream] = _Held(
+        self._entry_by_upstream[update.upstream] = _Entry(
             report, update.coordinator, update.serial
         )
         self._own_upstreams.pop(update.upstream, None)
@@ -138,7 +138,7 @@
         """
         return [
             name
-            for name, current in self._held_by_upstream.items()
+            for name, current in self._entry_by_upstream.items()
             if current.coordinator in coordinators
         ]
 
@@ -150,7 +150,7 @@
         :param name: the upstream.
         :param now: monotonic time in ms.
         """
-        current = self._held_by_upstream.get(name)
+        current = self._entry_by_upstream.get(name)
         if current is None:
             return None
         report = current.report
@@ -171,9 +171,9 @@
 
         :param now: monotonic time in ms.
         """
-        for name, current in list(self._held_by_upstream.items()):
+        for name, current in list(self._entry_by_upstream.items()):
             if now - current.report.measured_at > _MAX_AGE:
-                del self._held_by_upstream[name]
+                del self._entry_by_upstream[name]
                 self._sent_by_upstream.pop(name, None)
                 self._own_upstreams.pop(name, None)
 
@@ -199,7 +199,7 @@
 
 
 def _is_newer(
-    current: _Held, update: loadupdate.LoadUpdate, seen_at: clock.Ms
+    current: _Entry, update: loadupdate.LoadUpdate, seen_at: clock.Ms
 ) -> bool:
     # Ages include the delays of their paths, so two copies of a measurement
     # seem to have different times.  Measurements of one coordinator are
--- a/src/citronvalve/peers/peer.py
+++ b/src/citronvalve/peers/peer.py
@@ -162,7 +162,7 @@
         """
         return self._state.table.confirmed_at
 
-    def place(self) -> share.Place:
+    def member_rank(self) -> share.MemberRank:
         """Return this daemon's rank among all that share the upstreams."""
         state = self._state
         alive = sorted(state.membership.alive())
@@ -177,7 +177,7 @@
             if name < self.settings.datacentre
         )
         rank = before + alive.index(self.settings.name)
-        return share.Place(rank, len(alive) + sum(remote.values()))
+        return share.MemberRank(rank, len(alive) + sum(remote.values()))
 
     def confirmation(self, version: int) -> confirmation.Confirmation:
         """Return which members have confirmed a version of the table.
@@ -297,7 +297,9 @@
         state = self._state
         membership = state.membership
         remote = tuple(
-            statuses.FarStatus(s.datacentre, s.age, s.members, s.version)
+            statuses.DatacentreStatus(
+                s.datacentre, s.age, s.members, s.version
+            )
             for s in state.remote.summaries(self._clock.now())
         )
         return statuses.PeerStatus(
--- a/src/citronvalve/peers/share.py
+++ b/src/citronvalve/peers/share.py
@@ -6,7 +6,7 @@
 from citronvalve.peers import rendezvous
 
 
-class Place(NamedTuple):
+class MemberRank(NamedTuple):
     """A daemon's rank among the members that share a resource."""
 
     rank: int
--- a/src/citronvalve/peers/sockets.py
+++ b/src/citronvalve/peers/sockets.py
@@ -12,28 +12,28 @@
 #: Messages queued for one peer.  A peer gets one a second, so this covers
 #: some seconds; a slow or stopped peer takes no more memory, and no task
 #: waits for it.
-_SEND_QUEUE = 8
+_MAX_SEND_QUEUE = 8
 
 #: Received messages queued; ten seconds' worth in the largest data centre.
-_RECEIVE_QUEUE = 512
+_MAX_RECEIVE_QUEUE = 512
 
 #: A connection without traffic for the timeout is closed and reopened.  A
 #: middlebox may have dropped its state silently while new connections work.
-_HEARTBEAT_INTERVAL = 3 * clock.SECOND
-_HEARTBEAT_TIMEOUT = 9 * clock.SECOND
+_HEARTBEAT_INTERVAL_MS = 3 * clock.SECOND
+_HEARTBEAT_TIMEOUT_MS = 9 * clock.SECOND
 
 #: Connections are closed after this time without a message to send.
-_IDLE_TIMEOUT = 2 * clock.MINUTE
+_IDLE_TIMEOUT_MS = 2 * clock.MINUTE
 
-_RECONNECT_INTERVAL = 200
-_MAX_RECONNECT_INTERVAL = 5 * clock.SECOND
+_RECONNECT_INTERVAL_MS = 200
+_MAX_RECONNECT_INTERVAL_MS = 5 * clock.SECOND
 
 
 class _Connection(NamedTuple):
     """Routing id and last use of an outgoing connection."""
 
     routing_id: bytes
-    used_at: clock.Ms
+    last_used_at: clock.Ms
 
 
 class Sockets:
@@ -54,10 +54,10 @@
         self._clock = clock_
         self.context = zmq.Context()
         self._receiver = self._create_socket()
-        self._receiver.setsockopt(zmq.RCVHWM, _RECEIVE_QUEUE)
+        self._receiver.setsockopt(zmq.RCVHWM, _MAX_RECEIVE_QUEUE)
         self._receiver.setsockopt(zmq.MAXMSGSIZE, codec.MAX_MESSAGE_BYTES)
         self._sender = self._create_socket()
-        self._sender.setsockopt(zmq.SNDHWM, _SEND_QUEUE)
+        self._sender.setsockopt(zmq.SNDHWM, _MAX_SEND_QUEUE)
         self._sender.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self._connection_by_address: dict[str, _Connection] = {}
         self._serial = 0
@@ -96,14 +96,14 @@
         """Close connections that were not used lately."""
         now = self._clock.now()
         for address, connection in list(self._connection_by_address.items()):
-            if now - connection.used_at > _IDLE_TIMEOUT:
+            if now - connection.last_used_at > _IDLE_TIMEOUT_MS:
                 del self._connection_by_address[address]
                 self._sender.disconnect(address)
 
     def close(self) -> None:
         """Close both sockets."""
         self._receiver.close(linger=0)
-        self._sender.close(linger=_RECONNECT_INTERVAL)
+        self._sender.close(linger=_RECONNECT_INTERVAL_MS)
         self.context.term()
 
     def _connect(self, address: str) -> bytes:
@@ -115,16 +115,18 @@
             self._sender.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
             self._sender.connect(address)
             connection = _Connection(routing_id, now)
-        self._connection_by_address[address] = connection._replace(used_at=now)
+        self._connection_by_address[address] = connection._replace(
+            last_used_at=now
+        )
         return connection.routing_id
 
     def _create_socket(self):
         socket = self.context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL)
-        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT)
-        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_INTERVAL)
-        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _MAX_RECONNECT_INTERVAL)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_INTERVAL_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _MAX_RECONNECT_INTERVAL_MS)
         return socket
 
     def _enable_curve(self) -> None:
--- a/src/citronvalve/peers/status.py
+++ b/src/citronvalve/peers/status.py
@@ -5,8 +5,8 @@
 from citronvalve.model import clock
 
 
-class FarStatus(NamedTuple):
-    """Another data centre; ``age`` is that of its summary in ms."""
+class DatacentreStatus(NamedTuple):
+    """State of another data centre; ``age`` is that of its summary in ms."""
 
     datacentre: str
     age: clock.Ms
@@ -31,7 +31,7 @@
     alive: tuple[str, ...]
     suspect: tuple[str, ...]
     dead: tuple[str, ...]
-    far: tuple[FarStatus, ...]
+    far: tuple[DatacentreStatus, ...]
     table_version: int
     table_digest: str
     silent: tuple[str, ...]
--- a/src/citronvalve/peers/topology.py
+++ b/src/citronvalve/peers/topology.py
@@ -64,7 +64,7 @@
         return self._daemon_count <= _MAX_DIRECT_DAEMONS
 
     @property
-    def size(self) -> int:
+    def datacentre_size(self) -> int:
         """Return the number of daemons in this data centre."""
         return len(self._ranked_by_datacentre[self._datacentre])
 
--- a/src/citronvalve/peers/views.py
+++ b/src/citronvalve/peers/views.py
@@ -10,7 +10,7 @@
 class View(NamedTuple):
     """The members since a time."""
 
-    since: clock.Ms
+    started_at: clock.Ms
     alive: frozenset[str]
     known: frozenset[str]
     coordinator_by_key: dict[str, str | None]
@@ -54,7 +54,7 @@
         last = self._views[-1] if self._views else None
         if last is None or (last.alive, last.known) != (alive, known):
             self._views.append(View(now, alive, known, {}))
-        while len(self._views) > 1 and self._views[1].since <= (
+        while len(self._views) > 1 and self._views[1].started_at <= (
             now - self._span
         ):
             self._views.popleft()
@@ -64,7 +64,9 @@
 
         :param now: monotonic time in ms.
         """
-        return bool(self._views) and self._views[0].since <= now - self._span
+        return (
+            bool(self._views) and self._views[0].started_at <= now - self._span
+        )
 
     def was_coordinator(self, key: str, name: str, now: clock.Ms) -> bool:
         """Return whether a member was the coordinator for the whole span.
--- a/standins/memorylinks.py
+++ b/standins/memorylinks.py
@@ -187,7 +187,7 @@
             for _ in range(times):
                 if self.rng.random() >= self.loss:
                     delay = self.rng.randrange(self.delay + 1)
-                    received = codec.Received(speaker, message)
+                    received = codec.ReceivedMessage(speaker, message)
                     self._at(delay, address, sender, received)
 
     def _tick_in(self, name: str, delay: clock.Ms) -> None:
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -95,7 +95,7 @@
 
     def hear(self, message):
         """Take in what a peer tells."""
-        self.peering.peer.core.handle(codec.Received(_MATE, message))
+        self.peering.peer.core.handle(codec.ReceivedMessage(_MATE, message))
 
 
 @behave.given("the example declaration is in the platform's table")
--- a/tests/policy/steps/sharing_steps.py
+++ b/tests/policy/steps/sharing_steps.py
@@ -72,7 +72,7 @@
     def _carry(self, sender, out):
         for one in out:
             there = self.daemon_by_name[one.address]
-            got = codec.Received(sender.peer.core.sender, one.message)
+            got = codec.ReceivedMessage(sender.peer.core.sender, one.message)
             self._carry(there, there.peer.core.handle(got))
 
 
