--- a/tests/news/simulation.py
+++ b/tests/news/simulation.py
@@ -3,14 +3,14 @@
 import collections
 import random
 
-from citronvalve.model import clock
 from citronvalve.peers import distributor
 from citronvalve.peers import messages
 from citronvalve.policy import upstreamchoice
 
-TICK: clock.Ms = 10
-REPORT_INTERVAL: clock.Ms = 150
-LINK_DELAY: clock.Ms = 4
+#: Times in ms.
+TICK = 10
+REPORT_INTERVAL = 150
+LINK_DELAY = 4
 
 
 class Daemon:
@@ -69,8 +69,9 @@
             self.now += TICK
             self._deliver()
             for daemon in self.alive:
-                phase = self._phase_by_name[daemon.name]
-                if (self.now - phase) % REPORT_INTERVAL:
+                if (
+                    self.now - self._phase_by_name[daemon.name]
+                ) % REPORT_INTERVAL:
                     continue
                 out = daemon.distributor.report_loads(
                     daemon.request_counts, self.now
@@ -121,8 +122,9 @@
         if isinstance(message, messages.DaemonLoads):
             receiver.apply_daemon_loads(message, self.now)
         elif isinstance(message, messages.DatacentreLoads):
-            out = receiver.apply_datacentre_loads(message, self.now)
-            self._send(daemon, out)
+            self._send(
+                daemon, receiver.apply_datacentre_loads(message, self.now)
+            )
         elif isinstance(message, messages.OtherLoads):
             receiver.apply_other_loads(message, self.now)
         elif isinstance(message, messages.Relayed):
--- a/tests/news/steps/news_steps.py
+++ b/tests/news/steps/news_steps.py
@@ -72,8 +72,7 @@
 
 @behave.when("a coordinator is killed")
 def step_kill(context):
-    coordinators = sorted(context.simulation.coordinators())
-    context.simulation.dead.add(coordinators[0])
+    context.simulation.dead.add(sorted(context.simulation.coordinators())[0])
 
 
 @behave.when("the three daemons that rank highest in {place} are killed")
--- a/tests/peers/cluster.py
+++ b/tests/peers/cluster.py
@@ -1,4 +1,4 @@
-"""A few members on links in memory, for the steps of several features."""
+"""A few members on in-memory links, for the steps of several features."""
 
 import random
 
@@ -9,11 +9,12 @@
 COLD = loankey.LoanKey(loankey.LoanKind.COLD, "engine-1", "start-1")
 TEAM = loankey.LoanKey(loankey.LoanKind.TEAM, "ledger/coder/d0")
 TEAM_LIMIT = 6
-CALM = 25 * clock.SECOND
+#: Long enough for the members to find each other and lend slots.
+SETTLE_TIME = 25 * clock.SECOND
 STEP = 250
 
 
-def start(context, name, expected=0):
+def start_member(context, name, expected=0):
     seeds = tuple(n for n in context.names if n != name)[:2]
     context.links.start(name, name[:2], seeds, expected=expected)
     loan_manager = state(context, name).loan_manager
@@ -26,35 +27,35 @@
     return context.links.node_by_name[name].core.state
 
 
-def held(context, key):
-    held = {}
+def held_slots(context, key):
+    slots_by_name = {}
     for name, node in context.links.node_by_name.items():
         slots = node.core.state.loan_manager.borrower.usable_slots(
             key, node.clock.now()
         )
         if slots:
-            held[name] = slots
-    return held
+            slots_by_name[name] = slots
+    return slots_by_name
 
 
-def within(context, span, true):
-    for _ in range(0, span, STEP):
-        if true():
+def wait_until(context, timeout, condition):
+    for _ in range(0, timeout, STEP):
+        if condition():
             return
         context.links.run(STEP)
-    raise AssertionError(f"not within {span} ms")
+    raise AssertionError(f"not within {timeout} ms")
 
 
-def look_once_lent(context):
-    lent = held(context, COLD)
-    assert sum(lent.values()) <= 1, lent
+def check_lent_once(context):
+    held = held_slots(context, COLD)
+    assert sum(held.values()) <= 1, held
 
 
-def begin(context, count):
+def start_members(context, count):
     context.links = memorylinks.Links(random.Random(count))
     context.names = [f"d0-{number}" for number in range(count)]
     for name in context.names:
-        start(context, name, count)
-    context.links.run(CALM)
-    assert sum(held(context, COLD).values()) == 1
-    context.links.after_each = lambda: look_once_lent(context)
+        start_member(context, name, count)
+    context.links.run(SETTLE_TIME)
+    assert sum(held_slots(context, COLD).values()) == 1
+    context.links.after_each = lambda: check_lent_once(context)
--- a/tests/peers/drills.feature
+++ b/tests/peers/drills.feature
@@ -1,23 +1,24 @@
 Feature: Peers in separate processes
-  Three daemons of one data centre with a platform and two engines.
+  Three daemons of one data centre run with a platform and two engines.
 
   Scenario: a daemon is killed
-    It gets no chance to say goodbye, and it kept upstreams.  The others bury
-    it, and one of them polls its upstreams; edits go on coming into force.
+    The killed daemon can't announce that it leaves, and it coordinated
+    upstreams.  If the others didn't mark it dead and take over, loads would
+    get old and edits would not come into force.
     Given three daemons that know each other
     When one daemon is killed
-    Then the other two bury it and know every upstream's load
+    Then the other two mark it dead and know every upstream's load
     And an edit comes into force on them
 
   Scenario: a daemon is stopped for longer than a lease
-    The operator's debugger, or a VM that is moved, stops it for 8 s.  It
-    must not go on as if nothing had happened.
+    A debugger, or the migration of its VM, stops a daemon for 8 s.  It must
+    not continue with its outdated view.
     Given three daemons that know each other
-    When one daemon is stopped for 8 s and goes on
-    Then it begins a new life and acts again
+    When one daemon is stopped for 8 s and resumed
+    Then it acts again in a new incarnation
     And every daemon sees three members
 
-  Scenario: junk arrives at the peers' port
+  Scenario: invalid messages arrive at the peers' port
     Given three daemons that know each other
-    When a stranger sends junk to one of them
-    Then it counts the junk and still knows its peers
+    When a stranger sends invalid messages to one of them
+    Then it counts them and still knows its peers
--- a/tests/peers/faultyfleet.py
+++ b/tests/peers/faultyfleet.py
@@ -1,4 +1,4 @@
-"""Faults that strike a fleet of peers: loss, cuts, restarts, stops."""
+"""A fleet of peers under faults: loss, partitions, restarts, pauses."""
 
 import random
 
@@ -12,13 +12,14 @@
 from citronvalve.peers import tabledelta
 from standins import memorylinks
 
-#: Long enough to detect a death, settle and lend again.
-_CALM = 30 * clock.SECOND
+#: Long enough to mark a member dead, wait for the handover and lend again.
+_RECOVERY_TIME = 30 * clock.SECOND
 
-#: Shorter and longer than a tick, a loan, a death and settling.
-_SPANS = strategies.sampled_from([1, 300, 2_500, 5_000, 9_000, 20_000])
+#: Durations of faults in ms, shorter and longer than a tick, a loan,
+#: ``dead_after`` and the handover delay.
+_DURATIONS = strategies.sampled_from([1, 300, 2_500, 5_000, 9_000, 20_000])
 
-#: Faults that pile up before they may end all at once.
+#: Minimum number of faults before all of them may end at once.
 _FAULTS_BEFORE_CALM = 6
 
 COLD = loankey.LoanKey(loankey.LoanKind.COLD, "engine-1", "start-1")
@@ -26,8 +27,8 @@
 LIMIT_BY_KEY = {COLD: 1, TEAM: 6}
 
 
-class Applied(listener.Listener):
-    """Checks that the versions a daemon is given only rise."""
+class VersionChecker(listener.Listener):
+    """Checks that each table has a higher version than the one before."""
 
     def __init__(self, checks: invariant.Invariants) -> None:
         self._checks = checks
@@ -43,7 +44,11 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Faults that strike any fleet; subclasses add what it does."""
+    """A fleet under faults; subclasses add rules for what it does.
+
+    Hypothesis orders rules by the names of their methods, so a new name
+    changes the sequences that a derandomized run explores.
+    """
 
     CHECKS = invariant.Invariants()
     DATACENTRES = 1
@@ -58,12 +63,12 @@
             for d in range(self.DATACENTRES)
             for m in range(self.MEMBERS)
         ]
-        self.links.after_each = self.look
+        self.links.after_each = self.check_after_event
         self.faults = 0
         self.was_cut = False
         for name in self.names:
             self.start(name)
-        self.links.run(_CALM)
+        self.links.run(_RECOVERY_TIME)
 
     def start(self, name):
         seeds = tuple(n for n in self.names if n.endswith("-0"))
@@ -72,21 +77,21 @@
             name.partition("-")[0],
             seeds,
             self.CHECKS,
-            Applied(self.CHECKS),
+            VersionChecker(self.CHECKS),
             expected=self.MEMBERS,
         )
 
     def core(self, name):
         return self.links.node_by_name[name].core
 
-    def living(self):
+    def running(self):
         return sorted(self.links.node_by_name)
 
-    def look(self):
-        """Look at the whole fleet after each event."""
+    def check_after_event(self):
+        """Check the whole fleet after each event."""
 
-    def strike(self, span):
-        """Let a fault work for a while before the next one comes."""
+    def run_fault(self, span):
+        """Run for some time with the current faults."""
         self.faults += 1
         self.links.run(span)
 
@@ -94,48 +99,48 @@
         loss=strategies.sampled_from([0.0, 0.05, 0.5]),
         repeat=strategies.sampled_from([0.0, 0.5]),
         delay=strategies.sampled_from([2, 400, 3_000]),
-        span=_SPANS,
+        span=_DURATIONS,
     )
     def spoil(self, loss, repeat, delay, span):
         self.links.loss = loss
         self.links.repeat = repeat
         self.links.delay = delay
-        self.strike(span)
+        self.run_fault(span)
 
-    @stateful.rule(bits=strategies.integers(1, 2**12), span=_SPANS)
+    @stateful.rule(bits=strategies.integers(1, 2**12), span=_DURATIONS)
     def cut(self, bits, span):
-        these = {n for i, n in enumerate(self.names) if bits >> i & 1}
-        self.links.cut_between(these, set(self.names) - these)
+        side = {n for i, n in enumerate(self.names) if bits >> i & 1}
+        self.links.cut_between(side, set(self.names) - side)
         self.was_cut = True
-        self.strike(span)
+        self.run_fault(span)
 
-    @stateful.rule(span=_SPANS)
+    @stateful.rule(span=_DURATIONS)
     def heal(self, span):
         self.links.heal()
-        self.strike(span)
+        self.run_fault(span)
 
-    @stateful.rule(which=strategies.integers(0, 99), span=_SPANS)
+    @stateful.rule(which=strategies.integers(0, 99), span=_DURATIONS)
     def restart(self, which, span):
         name = self.names[which % len(self.names)]
         if name in self.links.node_by_name:
             self.links.kill(name)
         else:
             self.start(name)
-        self.strike(span)
+        self.run_fault(span)
 
-    @stateful.rule(which=strategies.integers(0, 99), span=_SPANS)
+    @stateful.rule(which=strategies.integers(0, 99), span=_DURATIONS)
     def pause(self, which, span):
         name = self.names[which % len(self.names)]
         if name in self.links.stopped:
             self.links.wake(name)
         elif name in self.links.node_by_name:
             self.links.stop(name)
-        self.strike(span)
+        self.run_fault(span)
 
     @stateful.precondition(lambda self: self.faults >= _FAULTS_BEFORE_CALM)
     @stateful.rule()
     def calm(self):
-        """Let all faults end: everyone finds everyone again."""
+        """End all faults; all members must find each other again."""
         self.faults = 0
         self.links.heal()
         self.spoil(0.0, 0.0, 2, 1)
@@ -144,16 +149,16 @@
                 self.links.wake(name)
             if name not in self.links.node_by_name:
                 self.start(name)
-        self.links.run(_CALM)
+        self.links.run(_RECOVERY_TIME)
         self.was_cut = False
         for name in self.names:
-            self.check_calm(name)
+            self.check_recovered(name)
 
-    def check_calm(self, name):
+    def check_recovered(self, name):
         state = self.core(name).state
-        mates = {n for n in self.names if n.split("-")[0] == name[:2]}
+        expected = {n for n in self.names if n.split("-")[0] == name[:2]}
         self.CHECKS.check(
             "after the faults everyone sees everyone and acts",
-            state.membership.alive() == mates and state.authority.may_act(),
+            state.membership.alive() == expected and state.authority.may_act(),
             f"{name} sees {sorted(state.membership.alive())}",
         )
--- a/tests/peers/machines.feature
+++ b/tests/peers/machines.feature
@@ -1,11 +1,11 @@
 Feature: Many members under faults
-  Links drop, delay, repeat and cut messages; daemons die, stop, wake and
-  come back under their old names, in any order.  The promises are asserted
-  inside the program, and over the whole fleet after each event.
+  Links drop, delay, repeat and cut messages; daemons are killed, paused,
+  resumed and restarted under their names, in any order.  Invariants are
+  checked inside the program, and over the whole fleet after each event.
 
   Scenario Outline: <machine> holds its promises
     When the state machine <machine> takes <steps> steps
-    Then each of its promises was looked at
+    Then each of its invariants was checked
 
     Examples:
       | machine    | steps |
--- a/tests/peers/machines.py
+++ b/tests/peers/machines.py
@@ -1,4 +1,4 @@
-"""Many members on links that drop, delay, repeat and cut."""
+"""State machines: members on links that drop, delay, repeat and cut."""
 
 from hypothesis import stateful
 from hypothesis import strategies
@@ -11,7 +11,7 @@
 
 
 class Spreading(faultyfleet.Fleet):
-    """Watchers read new versions; the peers bring them everywhere."""
+    """Watchers read new versions, which peers spread to all members."""
 
     CHECKS = invariant.Invariants()
     DATACENTRES = 3
@@ -32,13 +32,13 @@
         for key in keys:
             row = change.Change("team", str(key), self.version, b"v" * size)
             self.rows[key] = row
-        self.read(self.names[which % len(self.names)])
+        self.read_platform(self.names[which % len(self.names)])
 
     @stateful.rule(which=strategies.integers(0, 99))
     def watch(self, which):
-        self.read(self.names[which % len(self.names)])
+        self.read_platform(self.names[which % len(self.names)])
 
-    def read(self, name):
+    def read_platform(self, name):
         if name not in self.links.node_by_name or name in self.links.stopped:
             return
         core = self.core(name)
@@ -46,8 +46,8 @@
         newer = tuple(r for r in self.rows.values() if r.version > base)
         core.publish_table(tabledelta.TableDelta(self.version, base, newer))
 
-    def check_calm(self, name):
-        super().check_calm(name)
+    def check_recovered(self, name):
+        super().check_recovered(name)
         tables = [self.core(n).state.table for n in self.names]
         newest = max(table.version for table in tables)
         table = self.core(name).state.table
@@ -62,7 +62,7 @@
 
 
 class Lending(faultyfleet.Fleet):
-    """All want more slots than there are."""
+    """Members request more slots than there are."""
 
     CHECKS = invariant.Invariants()
 
@@ -73,20 +73,20 @@
             loan_manager.lender.set_limit(key, limit)
             loan_manager.borrower.request_slots(key, limit)
 
-    def held(self, key):
-        by_name = {}
+    def held_slots(self, key):
+        slots_by_name = {}
         for name, node in self.links.node_by_name.items():
             now = node.clock.now()
             slots = node.core.state.loan_manager.borrower.usable_slots(
                 key, now
             )
             if slots:
-                by_name[name] = slots
-        return by_name
+                slots_by_name[name] = slots
+        return slots_by_name
 
-    def look(self):
+    def check_after_event(self):
         for key, limit in faultyfleet.LIMIT_BY_KEY.items():
-            held = self.held(key)
+            held = self.held_slots(key)
             self.CHECKS.check(
                 "no more slots are held in all than the limit",
                 sum(held.values()) <= limit,
@@ -102,29 +102,29 @@
             loan_manager = self.core(name).state.loan_manager
             loan_manager.borrower.request_slots(faultyfleet.TEAM, slots)
 
-    def check_calm(self, name):
-        super().check_calm(name)
+    def check_recovered(self, name):
+        super().check_recovered(name)
         self.CHECKS.check(
             "after the faults the cold upstream is lent",
-            sum(self.held(faultyfleet.COLD).values())
+            sum(self.held_slots(faultyfleet.COLD).values())
             == faultyfleet.LIMIT_BY_KEY[faultyfleet.COLD],
-            f"{self.held(faultyfleet.COLD)}",
+            f"{self.held_slots(faultyfleet.COLD)}",
         )
 
 
 class Membership(faultyfleet.Fleet):
-    """No life that its peers buried acts, and none comes back."""
+    """No dead incarnation acts, and none becomes alive again."""
 
     CHECKS = invariant.Invariants()
     MEMBERS = 6
 
-    def look(self):
+    def check_after_event(self):
         for name in self.links.stopped & self.links.node_by_name.keys():
-            self.look_at_stopped(name)
+            self.check_stopped(name)
 
-    def look_at_stopped(self, name):
-        # What a stopped process would answer if it woke at this moment,
-        # before any message or timer reached it.
+    def check_stopped(self, name):
+        # Checks whether a stopped process would act if it resumed at this
+        # moment, before it handles any message or timer.
         authority = self.core(name).state.authority
         since = self.links.stopped_at_by_name[name]
         if self.links.clock.now() - since > self.links.timing.pause_limit:
@@ -133,25 +133,25 @@
                 not authority.may_act(),
                 f"{name} stopped at {since}",
             )
-        # A member that was cut off acts on its own side while the other
-        # side buries it, until they meet; Lending shows that this does no
-        # harm.  Behind a bad link one member may bury it alone, which
-        # nobody else knows of yet; so it is the most that count.
+        # After a partition each side marks the other dead and acts until
+        # they meet; Lending checks that this is harmless.  Without one, a
+        # single member with a bad link may mark this one dead before others
+        # know, so only a majority counts.
         if self.was_cut:
             return
-        running = set(self.living()) - self.links.stopped
-        buried = [
+        running = set(self.running()) - self.links.stopped
+        witnesses = [
             other
             for other in running
-            if self.buries(other, name, authority.incarnation)
+            if self.considers_dead(other, name, authority.incarnation)
         ]
         self.CHECKS.check(
             "a life that most buried while it was stopped does not act",
-            2 * len(buried) <= len(running) or not authority.may_act(),
-            f"{name} is buried by {buried}",
+            2 * len(witnesses) <= len(running) or not authority.may_act(),
+            f"{name} is dead to {witnesses}",
         )
 
-    def buries(self, other, name, incarnation):
+    def considers_dead(self, other, name, incarnation):
         held = self.core(other).state.membership.member_by_name.get(name)
         return (
             held is not None
--- a/tests/peers/steps/drill_steps.py
+++ b/tests/peers/steps/drill_steps.py
@@ -9,15 +9,15 @@
 from standins import fleet as fleets
 from tests import drill
 
-_JUNK = (b"", b"junk", b"\x95\x01\x00")
+_INVALID_MESSAGES = (b"", b"junk", b"\x95\x01\x00")
 
 
-def _told(context, number):
+def _status(context, number):
     return fleets.status(context.made.addresses(number))
 
 
-def _alive(context, number):
-    return len(_told(context, number)["peers"]["alive"])
+def _alive_count(context, number):
+    return len(_status(context, number)["peers"]["alive"])
 
 
 @behave.given("three daemons that know each other")
@@ -28,7 +28,7 @@
     made.daemons(3, daemons_here=3)
     made.start()
     drill.eventually(
-        lambda: all(_alive(context, n) == 3 for n in range(3)),
+        lambda: all(_alive_count(context, n) == 3 for n in range(3)),
         "three members everywhere",
     )
 
@@ -42,25 +42,25 @@
     _process(context, 2).send(signal.SIGKILL)
 
 
-@behave.then("the other two bury it and know every upstream's load")
-def step_buried(context):
+@behave.then("the other two mark it dead and know every upstream's load")
+def step_dead(context):
     for number in (0, 1):
         drill.eventually(
             lambda n=number: (
-                _told(context, n)["peers"]["dead"] == ["daemon-2"]
+                _status(context, n)["peers"]["dead"] == ["daemon-2"]
             ),
-            "the dead one is buried",
+            "the killed daemon is marked dead",
         )
         drill.eventually(
             lambda n=number: (
                 [
-                    one["name"]
-                    for one in _told(context, n)["upstreams"]
-                    if one["age_ms"] < 3_000
+                    upstream["name"]
+                    for upstream in _status(context, n)["upstreams"]
+                    if upstream["age_ms"] < 3_000
                 ]
                 == ["vm-1", "vm-2"]
             ),
-            "every load is fresh",
+            "every load is recent",
         )
 
 
@@ -70,58 +70,58 @@
     version = context.made.apply("after the death")
     for number in (0, 1):
         drill.eventually(
-            lambda n=number: _told(context, n)["table_version"] == version,
+            lambda n=number: _status(context, n)["table_version"] == version,
             "the edit is in force",
         )
 
 
-@behave.when("one daemon is stopped for {seconds:d} s and goes on")
+@behave.when("one daemon is stopped for {seconds:d} s and resumed")
 def step_stop(context, seconds):
-    # The test waits for a time here, and not for a condition: what it is
-    # about is how long the process does not run.
-    context.life = _told(context, 1)["peers"]["incarnation"]
+    # The wait has a fixed duration, since the scenario is about how long the
+    # process is stopped.
+    context.incarnation = _status(context, 1)["peers"]["incarnation"]
     _process(context, 1).send(signal.SIGSTOP)
     time.sleep(seconds)
-    buried = _told(context, 0)["peers"]["dead"]
+    dead = _status(context, 0)["peers"]["dead"]
     _process(context, 1).send(signal.SIGCONT)
-    assert buried == ["daemon-1"], buried
+    assert dead == ["daemon-1"], dead
 
 
-@behave.then("it begins a new life and acts again")
+@behave.then("it acts again in a new incarnation")
 def step_rejoin(context):
     drill.eventually(
         lambda: (
-            _told(context, 1)["peers"]["incarnation"] > context.life
-            and _told(context, 1)["peers"]["acting"]
+            _status(context, 1)["peers"]["incarnation"] > context.incarnation
+            and _status(context, 1)["peers"]["acting"]
         ),
-        "a new life that acts",
+        "a new incarnation that acts",
     )
 
 
 @behave.then("every daemon sees three members")
 def step_see(context):
     drill.eventually(
-        lambda: all(_alive(context, n) == 3 for n in range(3)),
+        lambda: all(_alive_count(context, n) == 3 for n in range(3)),
         "three members everywhere",
     )
 
 
-@behave.when("a stranger sends junk to one of them")
-def step_junk(context):
+@behave.when("a stranger sends invalid messages to one of them")
+def step_invalid(context):
     with zmq.Context() as own, own.socket(zmq.DEALER) as stranger:
         stranger.linger = 2_000
         stranger.connect(f"tcp://{context.made.addresses(0).peers}")
-        for junk in _JUNK:
-            stranger.send(junk)
+        for message in _INVALID_MESSAGES:
+            stranger.send(message)
 
 
-@behave.then("it counts the junk and still knows its peers")
+@behave.then("it counts them and still knows its peers")
 def step_counted(context):
     drill.eventually(
         lambda: (
-            sum(_told(context, 0)["peers"]["dropped_by_reason"].values())
-            >= len(_JUNK)
+            sum(_status(context, 0)["peers"]["dropped_by_reason"].values())
+            >= len(_INVALID_MESSAGES)
         ),
-        "the junk is counted",
+        "the invalid messages are counted",
     )
-    assert _alive(context, 0) == 3
+    assert _alive_count(context, 0) == 3
--- a/tests/peers/steps/machine_steps.py
+++ b/tests/peers/steps/machine_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the state machines of the peers."""
+"""Steps that run the state machines of peers."""
 
 import behave
 import hypothesis
@@ -11,8 +11,10 @@
 
 @behave.when("the state machine {name} takes {steps:d} steps")
 def step_run(context, name, steps):
-    by_name = {machine.__name__: machine for machine in machines.MACHINES}
-    context.machine = by_name[name]
+    machine_by_name = {
+        machine.__name__: machine for machine in machines.MACHINES
+    }
+    context.machine = machine_by_name[name]
     settings = hypothesis.settings(
         derandomize=True,
         database=None,
@@ -24,7 +26,7 @@
     stateful.run_state_machine_as_test(context.machine, settings=settings)
 
 
-@behave.then("each of its promises was looked at")
-def step_looked(context):
+@behave.then("each of its invariants was checked")
+def step_checked(context):
     assert all(context.machine.CHECKS.count_by_name.values())
     assert context.machine.CHECKS.count_by_name
--- a/tests/peers/steps/socket_steps.py
+++ b/tests/peers/steps/socket_steps.py
@@ -1,4 +1,4 @@
-"""Steps about messages and sockets of peers."""
+"""Steps about the messages and sockets of peers."""
 
 import random
 import socket
@@ -30,12 +30,12 @@
 def _gossip(**changes):
     data = codecs.Codec().encode(_SENDER, gossip.Gossip(0, 0, 0))
     fields = msgspec.msgpack.decode(data)
-    for place, value in changes.items():
-        fields[int(place[1:])] = value
+    for position, value in changes.items():
+        fields[int(position[1:])] = value
     return msgspec.msgpack.encode(fields)
 
 
-_JUNK_BY_NAME = {
+_INVALID_BY_NAME = {
     "empty": b"",
     "random bytes": random.Random(1).randbytes(300),
     "larger than the limit": b"\x00" * (codecs.MAX_MESSAGE_BYTES + 1),
@@ -52,9 +52,9 @@
 
 
 @behave.when("a peer gets a message that is {junk}")
-def step_junk(context, junk):
+def step_invalid(context, junk):
     context.codec = codecs.Codec()
-    assert not context.codec.decode(_JUNK_BY_NAME[junk])
+    assert not context.codec.decode(_INVALID_BY_NAME[junk])
 
 
 @behave.then('it counts one as "{reason}"')
@@ -64,19 +64,19 @@
 
 @behave.when("{count:d} messages are sent to a peer that does not read")
 def step_flood(context, count):
-    deaf = socket.socket()
-    deaf.bind(("127.0.0.1", 0))
-    deaf.listen()
-    context.add_cleanup(deaf.close)
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen()
+    context.add_cleanup(listener.close)
     settings = peersettings.PeerSettings("d0-0", "d0", _address())
     context.sockets = sockets.Sockets(settings, clock.SystemClock())
     context.add_cleanup(context.sockets.close)
-    address = f"tcp://127.0.0.1:{deaf.getsockname()[1]}"
-    began = time.monotonic()
+    address = f"tcp://127.0.0.1:{listener.getsockname()[1]}"
+    started_at = time.monotonic()
     context.queued = sum(
         context.sockets.send(address, b"x" * 1_000) for _ in range(count)
     )
-    context.took = time.monotonic() - began
+    context.took = time.monotonic() - started_at
     context.count = count
 
 
@@ -100,16 +100,16 @@
         public_key=public,
         secret_key=secret,
     )
-    now = clock.SystemClock()
-    made = peers.Peer(
-        settings, now, random.Random(name), invariant.Invariants()
+    system_clock = clock.SystemClock()
+    peer = peers.Peer(
+        settings, system_clock, random.Random(name), invariant.Invariants()
     )
-    running = task.PeerTask(made, now)
+    running = task.PeerTask(peer, system_clock)
     if server:
         running._sockets._sender.curve_serverkey = server.encode()
     running.start()
     context.add_cleanup(running.stop)
-    return made, running
+    return peer, running
 
 
 @behave.given("two peers with the fleet's keys and a third {key}")
@@ -127,20 +127,20 @@
     context.peers = [first, second, third]
 
 
-@behave.when("they run until the two have met, and 3 s more")
+@behave.when("they run until the first two have met, and 3 s longer")
 def step_run(context):
-    pair = [made for made, _ in context.peers[:2]]
-    until = time.monotonic() + 15
-    while any(len(made.members()) < 2 for made in pair):
-        assert time.monotonic() < until, "the two did not meet"
+    pair = [peer for peer, _ in context.peers[:2]]
+    deadline = time.monotonic() + 15
+    while any(len(peer.members()) < 2 for peer in pair):
+        assert time.monotonic() < deadline, "the two did not meet"
         eventlet.sleep(0.05)
     eventlet.sleep(3)
 
 
-@behave.then("the third has received nothing, and nobody knows it")
+@behave.then("the third has received nothing, and the others don't know it")
 def step_nothing(context):
     stranger, running = context.peers[2]
     assert running.received == 0
     assert [m.name for m in stranger.members()] == ["stranger"]
-    for made, _ in context.peers[:2]:
-        assert [m.name for m in made.members()] == ["d0-0", "d0-1"]
+    for peer, _ in context.peers[:2]:
+        assert [m.name for m in peer.members()] == ["d0-0", "d0-1"]
--- a/tests/peers/steps/spreading_steps.py
+++ b/tests/peers/steps/spreading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what peers spread: the table, crashes and loads."""
+"""Steps about the table, crashes and loads that peers spread."""
 
 import random
 
@@ -28,16 +28,18 @@
     context.copy.apply(tabledelta.TableDelta(40, 0, _rows(40, 10)))
 
 
-@behave.when("another copy takes it with one row spoilt")
-def step_spoilt(context):
+@behave.when("another copy gets it with one row corrupted")
+def step_corrupted(context):
     context.other = tablecopy.TableCopy(invariant.Invariants())
     page = context.copy.page_after(context.other.next_cursor())
-    bad = page.changes[3]._replace(value=b"spoilt")
-    changes = (*page.changes[:3], bad, *page.changes[4:])
+    corrupted = page.changes[3]._replace(value=b"spoilt")
+    changes = (*page.changes[:3], corrupted, *page.changes[4:])
     assert not context.other.apply_page(page._replace(changes=changes))
 
 
-@behave.then("the spoilt table is refused, and the whole one is taken next")
+@behave.then(
+    "the corrupted table is refused, and the full one is applied next"
+)
 def step_refused(context):
     assert (context.other.version, context.other.pages_refused) == (0, 1)
     page = context.copy.page_after(context.other.next_cursor())
@@ -47,7 +49,7 @@
 
 @behave.given("3 members that hold {count:d} rows of {size:d} bytes")
 def step_large(context, count, size):
-    cluster.begin(context, 3)
+    cluster.start_members(context, 3)
     delta = tabledelta.TableDelta(count, 0, _rows(count, size))
     context.links.node_by_name["d0-0"].core.publish_table(delta)
     context.links.run(10 * clock.SECOND)
@@ -62,20 +64,20 @@
     context.links.start("d0-3", "d0", ("d0-1",))
 
 
-@behave.then("within {span:d} ms it holds them all, and never held a part")
+@behave.then("within {span:d} ms it holds all rows, and never only some")
 def step_all(context, span):
     table = cluster.state(context, "d0-3").table
-    seen = set()
+    counts = set()
 
-    def _done():
-        seen.add(len(table.rows()))
+    def _is_complete():
+        counts.add(len(table.rows()))
         return table.version == context.count
 
-    cluster.within(context, span, _done)
-    assert seen == {0, context.count}, seen
+    cluster.wait_until(context, span, _is_complete)
+    assert counts == {0, context.count}, counts
 
 
-@behave.when("d0-2 is stopped and an edit comes")
+@behave.when("d0-2 is stopped and an edit arrives")
 def step_edit(context):
     context.links.stop("d0-2")
     delta = tabledelta.TableDelta(7, 0, _rows(7, 10))
@@ -90,7 +92,7 @@
 
 
 @behave.given("3 data centres of 3 members with {loss:d}% loss")
-def step_places(context, loss):
+def step_datacentres(context, loss):
     context.links = memorylinks.Links(random.Random(3), loss=loss / 100)
     context.names = [f"d{d}-{m}" for d in range(3) for m in range(3)]
     for name in context.names:
@@ -98,16 +100,16 @@
     context.links.run(10 * clock.SECOND)
 
 
-@behave.when("one member sees a crash")
+@behave.when("one member reports a crash")
 def step_crash(context):
     state = cluster.state(context, "d1-2")
-    fact = crashreport.CrashReport("request", "engine-1", "start-1", 0)
-    state.crashes.record(fact, state.clock.now())
+    report = crashreport.CrashReport("request", "engine-1", "start-1", 0)
+    state.crashes.record(report, state.clock.now())
 
 
 @behave.then("within {span:d} ms every member knows of it")
 def step_known(context, span):
-    cluster.within(
+    cluster.wait_until(
         context,
         span,
         lambda: all(
@@ -128,7 +130,7 @@
 
 
 @behave.then(
-    "within {span:d} ms every member knows it, at its true age to {most:d} ms"
+    "within {span:d} ms every member knows it, with its age to {most:d} ms"
 )
 def step_age(context, span, most):
     def _reports():
@@ -137,7 +139,7 @@
             for name in context.names
         ]
 
-    cluster.within(context, span, lambda: all(_reports()))
+    cluster.wait_until(context, span, lambda: all(_reports()))
     true_age = context.links.clock.now() - context.measured_at
     for name in context.names:
         state = cluster.state(context, name)
