--- a/src/citronvalve/peers/authority.py
+++ b/src/citronvalve/peers/authority.py
@@ -55,7 +55,8 @@
         if self._joined_at is None or self._pause.is_paused():
             return False
         # A daemon without replies may already be marked dead, even if it was
-        # not paused.  It doesn't act until it gets one or is alone in its view.
+        # not paused.  It acts again after a reply, or when it is alone in its
+        # own view.
         silence = self._clock.now() - self._acknowledged_at
         if self._has_others and silence > self._timing.suspect_after:
             return False
