--- a/src/citronvalve/peers/core.py
+++ b/src/citronvalve/peers/core.py
@@ -153,7 +153,7 @@
         return self._sync.publish(delta)
 
     def reconcile_table(self, full: tabledelta.TableDelta) -> None:
-        """Replace the rows known if they differ from the platform's.
+        """Replace the rows held if they differ from the platform's.
 
         :param full: the full table, read from the platform.
         """
--- a/src/citronvalve/peers/loadsums.py
+++ b/src/citronvalve/peers/loadsums.py
@@ -62,7 +62,7 @@
     def excluding(
         self, name: str, now: clock.Ms
     ) -> tuple[int, messages.RequestCounts]:
-        """Return the number of all daemons, and all requests but one's.
+        """Return the number and the requests of all daemons except one.
 
         :param name: the daemon whose requests are excluded.
         :param now: monotonic ms.
