--- a/src/citronvalve/daemon/loadnews.py
+++ b/src/citronvalve/daemon/loadnews.py
@@ -7,8 +7,8 @@
 
 from citronvalve.forward import environment as environments
 from citronvalve.model import clock
-from citronvalve.peers import news
-from citronvalve.peers import spreading as spreadings
+from citronvalve.peers import distributor as distributors
+from citronvalve.peers import messages
 from citronvalve.policy import upstreamchoice
 
 #: How often a daemon tells its own requests.  A replica gets one every
@@ -41,8 +41,8 @@
         self,
         env: environments.Environment,
         book: upstreamchoice.LoadBook,
-        spreading: spreadings.Spreading,
-        send: Callable[[Iterable[spreadings.Outgoing]], None],
+        spreading: distributors.Distributor,
+        send: Callable[[Iterable[distributors.Outgoing]], None],
     ) -> None:
         self._env = env
         self._book = book
@@ -57,7 +57,7 @@
 
     def _tell_own(self) -> None:
         told_at = -_LOADS_SAME
-        last: news.Counts = {}
+        last: messages.RequestCounts = {}
         while True:
             eventlet.sleep(self._pause() / clock.SECOND)
             now = self._env.clock.now()
@@ -68,16 +68,16 @@
             }
             if own != last or now - told_at >= _LOADS_SAME:
                 last, told_at = own, now
-                self._send(self._spreading.report(own, now))
+                self._send(self._spreading.report_loads(own, now))
 
     def _tell_sums(self) -> None:
         while True:
             eventlet.sleep(self._pause() / clock.SECOND)
-            self._send(self._spreading.digests(self._env.clock.now()))
+            self._send(self._spreading.load_sums(self._env.clock.now()))
 
     def _pause(self) -> clock.Ms:
         pause = _LOADS_PRESSED if self.is_pressed() else _LOADS
-        near = self._spreading.neighbourhood
+        near = self._spreading.topology
         if near.is_direct:
             return pause
-        return max(pause, _LOADS_EACH * near.size)
+        return max(pause, _LOADS_EACH * near.datacentre_size)
--- a/src/citronvalve/peers/codec.py
+++ b/src/citronvalve/peers/codec.py
@@ -1,4 +1,4 @@
-"""Turns messages into bytes and back; what does not fit is junk."""
+"""Encodes and decodes messages; drops invalid ones."""
 
 import collections
 from typing import Any
@@ -6,53 +6,55 @@
 
 import msgspec
 
-from citronvalve.peers import ask
 from citronvalve.peers import envelope
 from citronvalve.peers import gossip
-from citronvalve.peers import junk
-from citronvalve.peers import lent
+from citronvalve.peers import invalidmessage
+from citronvalve.peers import loanrequest
+from citronvalve.peers import loanresponse
 from citronvalve.peers import notice
-from citronvalve.peers import tableask
 from citronvalve.peers import tablepage
+from citronvalve.peers import tablerequest
 
-#: Bytes of the largest message.  A full page of the table is 48 KiB and a
-#: row at most 16 KiB; anything larger is not ours, and would hold up the
-#: relaying of tokens while it is decoded.
-MOST_BYTES = 96 * 1_024
+#: Maximum size of a message.  A full page of the table is 48 KiB and a row
+#: at most 16 KiB.  Decoding a larger message, which no daemon sends, would
+#: delay the relaying of tokens.
+MAX_MESSAGE_BYTES = 96 * 1_024
 
 _TYPE_BY_KIND = {
     envelope.Kind.GOSSIP: gossip.Gossip,
-    envelope.Kind.TABLE_ASK: tableask.TableAsk,
+    envelope.Kind.TABLE_ASK: tablerequest.TableRequest,
     envelope.Kind.TABLE_PAGE: tablepage.TablePage,
-    envelope.Kind.NOTICE: notice.Notice,
-    envelope.Kind.ASK: ask.Ask,
-    envelope.Kind.LENT: lent.Lent,
+    envelope.Kind.NOTICE: notice.DeathNotice,
+    envelope.Kind.ASK: loanrequest.LoanRequest,
+    envelope.Kind.LENT: loanresponse.LoanResponse,
 }
 
 _KIND_BY_TYPE = {type_: kind for kind, type_ in _TYPE_BY_KIND.items()}
 
 
-class Received(NamedTuple):
-    """A good message and who sent it."""
+class ReceivedMessage(NamedTuple):
+    """A valid message and its sender."""
 
     sender: envelope.Sender
     message: Any
 
 
 class Codec:
-    """Encodes and decodes, and counts what it drops by reason.
+    """Encodes and decodes messages.
 
-    :ivar junk_by_reason: how many messages were dropped.
+    :ivar dropped_by_reason: number of messages dropped.
     """
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
-        self._envelopes = msgspec.msgpack.Decoder(envelope.Envelope)
+        self._envelope_decoder = msgspec.msgpack.Decoder(envelope.Envelope)
         self._decoder_by_kind = {
             kind: msgspec.msgpack.Decoder(type_)
             for kind, type_ in _TYPE_BY_KIND.items()
         }
-        self.junk_by_reason: collections.Counter[str] = collections.Counter()
+        self.dropped_by_reason: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     def encode(self, sender: envelope.Sender, message: Any) -> bytes:
         """Encode a message.
@@ -69,26 +71,28 @@
             )
         )
 
-    def decode(self, data: bytes) -> Received | junk.Junk:
-        """Decode a message, whoever sent it.
+    def decode(
+        self, data: bytes
+    ) -> ReceivedMessage | invalidmessage.InvalidMessage:
+        """Decode a message; count it as dropped if it is invalid.
 
         :param data: as received.
         """
-        if len(data) > MOST_BYTES:
-            return self._junk("too large")
+        if len(data) > MAX_MESSAGE_BYTES:
+            return self._drop("too large")
         try:
-            opened = self._envelopes.decode(data)
+            decoded = self._envelope_decoder.decode(data)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return self._junk("no envelope")
-        if opened.protocol != envelope.PROTOCOL:
-            return self._junk("other protocol version")
+            return self._drop("no envelope")
+        if decoded.protocol != envelope.PROTOCOL:
+            return self._drop("other protocol version")
         try:
-            decoder = self._decoder_by_kind[opened.kind]
-            body = decoder.decode(opened.body)
+            decoder = self._decoder_by_kind[decoded.kind]
+            body = decoder.decode(decoded.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            return self._junk(f"bad {opened.kind.name.lower()}")
-        return Received(opened.sender, body)
+            return self._drop(f"bad {decoded.kind.name.lower()}")
+        return ReceivedMessage(decoded.sender, body)
 
-    def _junk(self, reason: str) -> junk.Junk:
-        self.junk_by_reason[reason] += 1
-        return junk.Junk(reason)
+    def _drop(self, reason: str) -> invalidmessage.InvalidMessage:
+        self.dropped_by_reason[reason] += 1
+        return invalidmessage.InvalidMessage(reason)
--- a/src/citronvalve/peers/delays.py
+++ b/src/citronvalve/peers/delays.py
@@ -1,46 +1,48 @@
-"""How much later than usual the messages of other daemons arrive."""
+"""Measures how late the messages of other daemons arrive."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 
-#: The fastest message of this long, or of twice as long, is the usual one.  A
-#: sender whose monotonic clock stood still seems late until it has passed.
+#: The minimum delay is taken over this window and the one before.  A sender
+#: whose monotonic clock stood still seems late until both have passed.
 _WINDOW: clock.Ms = 30_000
 
 
-class _Fastest(NamedTuple):
-    """Least difference of the clocks in this window and the one before."""
+class _MinimumDelay(NamedTuple):
+    """Minimum clock difference in the current and the previous window."""
 
-    since: clock.Ms
-    here: clock.Ms
-    before: clock.Ms
+    window_start: clock.Ms
+    current: clock.Ms
+    previous: clock.Ms
 
 
-class Delays:
-    """Compares when messages were sent and when they came.
+class DelayTracker:
+    """Compares send and receive times of messages by sender.
 
-    The daemons' clocks have different origins, so that only the change of
-    the difference tells something.  A queue between two daemons, or before
-    a task that has too little processor, makes old statements look fresh.
+    The monotonic clocks have different origins, so only changes of their
+    difference are meaningful.  Queueing between two daemons, or before a
+    task that lacks CPU time, would make old information look fresh.
     """
 
     def __init__(self) -> None:
-        self._fastest_by_sender: dict[str, _Fastest] = {}
+        self._minimum_by_sender: dict[str, _MinimumDelay] = {}
 
-    def late(self, sender: str, sent_at: clock.Ms, now: clock.Ms) -> clock.Ms:
-        """Take in a message; return by how many ms it is later than usual.
+    def excess_delay(
+        self, sender: str, sent_at: clock.Ms, now: clock.Ms
+    ) -> clock.Ms:
+        """Record a message; return its delay in ms beyond the minimum.
 
         :param sender: the daemon that sent it.
-        :param sent_at: by the sender's monotonic clock, in ms.
-        :param now: by the own one.
+        :param sent_at: the sender's monotonic time in ms.
+        :param now: this daemon's monotonic time in ms.
         """
-        took = now - sent_at
-        held = self._fastest_by_sender.get(sender)
-        if held is None:
-            held = _Fastest(now, took, took)
-        elif now - held.since >= _WINDOW:
-            held = _Fastest(now, took, held.here)
-        held = held._replace(here=min(held.here, took))
-        self._fastest_by_sender[sender] = held
-        return took - min(held.here, held.before)
+        delay = now - sent_at
+        minimum = self._minimum_by_sender.get(sender)
+        if minimum is None:
+            minimum = _MinimumDelay(now, delay, delay)
+        elif now - minimum.window_start >= _WINDOW:
+            minimum = _MinimumDelay(now, delay, minimum.current)
+        minimum = minimum._replace(current=min(minimum.current, delay))
+        self._minimum_by_sender[sender] = minimum
+        return delay - min(minimum.current, minimum.previous)
--- a/src/citronvalve/peers/gossip.py
+++ b/src/citronvalve/peers/gossip.py
@@ -1,38 +1,38 @@
-"""The message that members send each other all the time."""
+"""The message by which members spread their state."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
-from citronvalve.peers import beat
-from citronvalve.peers import crashfact
-from citronvalve.peers import loadrumor
+from citronvalve.peers import crashreport
+from citronvalve.peers import heartbeat
+from citronvalve.peers import loadupdate
 from citronvalve.peers import member
 from citronvalve.peers import summary
 from citronvalve.peers import tablepage
 
-#: An age of nothing that ever happened.
-NEVER: clock.Ms = -1
+#: Age of something that never happened.
+UNKNOWN_AGE: clock.Ms = -1
 
 
 class Gossip(NamedTuple):
-    """A batch of news; every part is bounded in number.
+    """A batch of updates; the number of each kind is bounded.
 
-    ``echo``: the receiver's life that the sender knows, 0 for none.
-    ``version``, ``digest``: the sender's table.
-    ``roster``: digest of the members that the sender sees; 0 is not told.
+    ``known_incarnation``: the receiver's incarnation that the sender knows,
+    or 0.  ``table_version``, ``table_digest``: the sender's table.
+    ``roster_digest``: digest of the sender's alive members; 0 if not given.
+    ``wants_reply``: whether the sender needs an immediate reply.
     ``table_age``: ms since a watcher found this version to be the newest.
-    ``reply``: whether the sender needs an answer at once.
     """
 
-    echo: int
-    version: int
-    digest: int
-    roster: int = 0
-    reply: bool = False
-    table_age: clock.Ms = NEVER
+    known_incarnation: int
+    table_version: int
+    table_digest: int
+    roster_digest: int = 0
+    wants_reply: bool = False
+    table_age: clock.Ms = UNKNOWN_AGE
     members: tuple[member.Member, ...] = ()
-    beats: tuple[beat.Beat, ...] = ()
-    loads: tuple[loadrumor.LoadRumor, ...] = ()
-    crashes: tuple[crashfact.CrashFact, ...] = ()
+    heartbeats: tuple[heartbeat.Heartbeat, ...] = ()
+    loads: tuple[loadupdate.LoadUpdate, ...] = ()
+    crashes: tuple[crashreport.CrashReport, ...] = ()
     summaries: tuple[summary.Summary, ...] = ()
     page: tablepage.TablePage | None = None
--- a/src/citronvalve/peers/loadsums.py
+++ b/src/citronvalve/peers/loadsums.py
@@ -1,85 +1,97 @@
-"""Sums of the requests that daemons have at upstreams."""
+"""Sums of the requests of daemons at upstreams."""
 
 import collections
 from typing import NamedTuple
 
 from citronvalve.model import clock
-from citronvalve.peers import news
+from citronvalve.peers import messages
 
-#: What a daemon told counts for so long; it tells the same again in it.
-_COUNTS: clock.Ms = 1_000
+#: Reported counts are valid this long; daemons report again within it.
+_VALIDITY: clock.Ms = 1_000
 
 
-class _Told(NamedTuple):
-    counts: news.Counts
+class _Reported(NamedTuple):
+    counts: messages.RequestCounts
     daemons: int
     at: clock.Ms
 
 
 class LoadSums:
-    """What a keeper was told, by daemon and by other data centre."""
+    """The counts reported by daemons and by other data centres."""
 
     def __init__(self) -> None:
-        self._told_by_daemon: dict[str, _Told] = {}
-        self._told_by_datacentre: dict[str, _Told] = {}
+        self._reported_by_daemon: dict[str, _Reported] = {}
+        self._reported_by_datacentre: dict[str, _Reported] = {}
 
-    def put(self, name: str, counts: news.Counts, now: clock.Ms) -> None:
-        """Take in a daemon's own requests.
+    def record_daemon(
+        self, name: str, counts: messages.RequestCounts, now: clock.Ms
+    ) -> None:
+        """Record a daemon's own requests.
 
         :param name: the daemon, of this data centre.
         :param counts: its requests.
         :param now: monotonic ms.
         """
-        self._told_by_daemon[name] = _Told(counts, 1, now)
+        self._reported_by_daemon[name] = _Reported(counts, 1, now)
 
-    def put_totals(self, totals: news.Totals, now: clock.Ms) -> None:
-        """Take in the requests of another data centre's daemons.
+    def record_datacentre(
+        self, loads: messages.DatacentreLoads, now: clock.Ms
+    ) -> None:
+        """Record the requests of another data centre's daemons.
 
-        :param totals: as its keeper tells them.
+        :param loads: the sums of its coordinator.
         :param now: monotonic ms.
         """
-        told = _Told(totals.by_upstream, totals.daemons, now)
-        self._told_by_datacentre[totals.datacentre] = told
+        reported = _Reported(loads.by_upstream, loads.daemons, now)
+        self._reported_by_datacentre[loads.datacentre] = reported
 
-    def here(self, now: clock.Ms) -> tuple[int, news.Counts]:
-        """Return how many daemons here were heard, and their requests.
+    def local(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
+        """Return the number of reporting daemons here, and their requests.
 
         :param now: monotonic ms.
         """
-        return _sum(self._lately(self._told_by_daemon, now).values())
+        return _sum(self._recent(self._reported_by_daemon, now).values())
 
-    def elsewhere(self, now: clock.Ms) -> tuple[int, news.Counts]:
-        """Return the same of the other data centres.
+    def remote(self, now: clock.Ms) -> tuple[int, messages.RequestCounts]:
+        """Return the same for the other data centres.
 
         :param now: monotonic ms.
         """
-        return _sum(self._lately(self._told_by_datacentre, now).values())
+        return _sum(self._recent(self._reported_by_datacentre, now).values())
 
-    def without(self, name: str, now: clock.Ms) -> tuple[int, news.Counts]:
-        """Return how many daemons were heard, and all requests but one's.
+    def excluding(
+        self, name: str, now: clock.Ms
+    ) -> tuple[int, messages.RequestCounts]:
+        """Return the number and the requests of all daemons except one.
 
-        :param name: the daemon that is left out.
+        :param name: the daemon whose requests are excluded.
         :param now: monotonic ms.
         """
-        here = self._lately(self._told_by_daemon, now)
-        here.pop(name, None)
-        far = self._lately(self._told_by_datacentre, now)
-        return _sum([*here.values(), *far.values()])
-
-    def _lately(
-        self, told: dict[str, _Told], now: clock.Ms
-    ) -> dict[str, _Told]:
-        for key in [k for k, v in told.items() if now - v.at >= _COUNTS]:
-            del told[key]
-        return dict(told)
-
-
-def _sum(told: collections.abc.Iterable[_Told]) -> tuple[int, news.Counts]:
+        local = self._recent(self._reported_by_daemon, now)
+        local.pop(name, None)
+        remote = self._recent(self._reported_by_datacentre, now)
+        return _sum([*local.values(), *remote.values()])
+
+    def _recent(
+        self, reported: dict[str, _Reported], now: clock.Ms
+    ) -> dict[str, _Reported]:
+        for key in [
+            key
+            for key, value in reported.items()
+            if now - value.at >= _VALIDITY
+        ]:
+            del reported[key]
+        return dict(reported)
+
+
+def _sum(
+    reported: collections.abc.Iterable[_Reported],
+) -> tuple[int, messages.RequestCounts]:
     daemons = 0
-    counts: news.Counts = {}
-    for one in told:
-        daemons += one.daemons
-        for upstream, (count, late) in one.counts.items():
-            held = counts.get(upstream, (0, 0))
-            counts[upstream] = held[0] + count, held[1] + late
+    counts: messages.RequestCounts = {}
+    for report in reported:
+        daemons += report.daemons
+        for upstream, (count, late) in report.counts.items():
+            total = counts.get(upstream, (0, 0))
+            counts[upstream] = total[0] + count, total[1] + late
     return daemons, counts
--- /dev/null
+++ b/src/citronvalve/peers/messages.py
@@ -0,0 +1,136 @@
+"""Messages between the daemons of a fleet about the platform."""
+
+import enum
+
+import msgspec
+
+from citronvalve.model import clock
+from citronvalve.storage import rows
+from citronvalve.storage import tablestate
+
+#: By upstream id: the number of requests there, and how many are late.
+RequestCounts = dict[str, tuple[int, int]]
+
+
+class Hello(msgspec.Struct, tag="hello", array_like=True, frozen=True):
+    """The sender has started and listens at ``address``."""
+
+    name: str
+    address: str
+    datacentre: str
+
+
+class Heartbeat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
+    """The sender reads the platform's tables for the others.
+
+    ``lease`` is the version of its leader lease, 0 if it only coordinates a
+    data centre; ``daemons`` is how many daemons it knows.  ``sent_at`` is by
+    its own monotonic clock, None from an older release.
+    """
+
+    name: str
+    lease: int
+    daemons: int
+    tables: tuple[tablestate.TableState, ...]
+    sent_at: clock.Ms | None = None
+
+
+class TableChanges(
+    msgspec.Struct, tag="changes", array_like=True, frozen=True
+):
+    """Rows of a table that changed after ``base`` and up to ``revision``.
+
+    With ``base`` 0 they are the full table: rows not among them are removed.
+    ``reader`` is the daemon that read them from the store.
+    """
+
+    lease: int
+    table: str
+    base: int
+    revision: int
+    rows: tuple[rows.Row, ...]
+    removed: tuple[str, ...]
+    reader: str = ""
+
+
+class FullTableRequest(
+    msgspec.Struct, tag="whole-request", array_like=True, frozen=True
+):
+    """The sender lacks updates of a table and can't read it from the store."""
+
+    name: str
+    table: str
+
+
+class Crash(msgspec.Struct, tag="crash", array_like=True, frozen=True):
+    """An upstream was lost while it ran a request."""
+
+    fingerprint: str
+    upstream: str
+
+
+class Stall(msgspec.Struct, tag="standstill", array_like=True, frozen=True):
+    """An upstream sends nothing on any connection."""
+
+    upstream: str
+
+
+class DaemonLoads(msgspec.Struct, tag="loads", array_like=True, frozen=True):
+    """The sender's own requests by upstream."""
+
+    name: str
+    by_upstream: RequestCounts
+
+
+class DatacentreLoads(
+    msgspec.Struct, tag="totals", array_like=True, frozen=True
+):
+    """Requests of a data centre's daemons, sent to other data centres.
+
+    ``daemons`` counts those that the sender heard from lately, and itself.
+    """
+
+    name: str
+    datacentre: str
+    daemons: int
+    by_upstream: RequestCounts
+
+
+class OtherLoads(msgspec.Struct, tag="digest", array_like=True, frozen=True):
+    """A coordinator's sum of all requests but the receiver's own."""
+
+    name: str
+    daemons: int
+    by_upstream: RequestCounts
+
+
+class Stage(enum.IntEnum):
+    """How far a relayed message has come."""
+
+    #: To the coordinator of the sender's data centre.
+    UP = 0
+    #: To the coordinators of the other data centres.
+    ACROSS = 1
+    #: To the daemons of a data centre.
+    DOWN = 2
+
+
+Broadcast = Hello | Heartbeat | TableChanges | Crash | Stall
+
+
+class Relayed(msgspec.Struct, tag="passed", array_like=True, frozen=True):
+    """A broadcast that the coordinators relay to every daemon."""
+
+    sender: str
+    stage: Stage
+    payload: Broadcast
+
+
+Message = (
+    Broadcast
+    | FullTableRequest
+    | DaemonLoads
+    | DatacentreLoads
+    | OtherLoads
+    | Relayed
+)
--- a/src/citronvalve/peers/sockets.py
+++ b/src/citronvalve/peers/sockets.py
@@ -1,4 +1,4 @@
-"""The two sockets of a daemon among its peers."""
+"""The two sockets by which a daemon reaches its peers."""
 
 import collections
 from typing import NamedTuple
@@ -9,40 +9,39 @@
 from citronvalve.peers import codec
 from citronvalve.peers import peersettings
 
-#: Messages queued for one peer.  A peer gets one a second, so these are some
-#: seconds' worth; a slow or stopped one costs no more memory than that, and
-#: no task ever waits for it.
-_SEND_QUEUE = 8
+#: Messages queued for one peer.  A peer gets one a second, so this covers
+#: some seconds; a slow or stopped peer takes no more memory, and no task
+#: waits for it.
+_MAX_SEND_QUEUE = 8
 
-#: Messages queued on arrival: ten seconds' worth of a full-size data centre.
-_RECEIVE_QUEUE = 512
+#: Received messages queued; ten seconds' worth in the largest data centre.
+_MAX_RECEIVE_QUEUE = 512
 
-#: A connection that carried nothing for this long is dropped and made anew:
-#: something between the two ends may have lost track of it without a word,
-#: while new connections work.
-_HEARTBEAT = 3 * clock.SECOND
-_HEARTBEAT_TIMEOUT = 9 * clock.SECOND
+#: A connection without traffic for the timeout is closed and reopened.  A
+#: middlebox may have dropped its state silently while new connections work.
+_HEARTBEAT_INTERVAL_MS = 3 * clock.SECOND
+_HEARTBEAT_TIMEOUT_MS = 9 * clock.SECOND
 
 #: Connections are closed after this time without a message to send.
-_IDLE = 2 * clock.MINUTE
+_IDLE_TIMEOUT_MS = 2 * clock.MINUTE
 
-_RECONNECT = 200
-_RECONNECT_MOST = 5 * clock.SECOND
+_RECONNECT_INTERVAL_MS = 200
+_MAX_RECONNECT_INTERVAL_MS = 5 * clock.SECOND
 
 
 class _Connection(NamedTuple):
-    """An outgoing connection's routing id and last use."""
+    """Routing id and last use of an outgoing connection."""
 
     routing_id: bytes
-    used_at: clock.Ms
+    last_used_at: clock.Ms
 
 
 class Sockets:
     """Receives on one ROUTER socket and sends on another.
 
-    One socket sends to all peers: a socket for each of 52 costs memory
-    and, on eventlet, a watcher each.  It names its connections itself,
-    so that a message goes to one address and to no other.
+    One socket sends to all peers, since a socket for each of 52 costs
+    memory and, on eventlet, a watcher each.  The socket sets the routing ids
+    of its connections, so that a message goes to exactly one address.
 
     :param settings: addresses and keys.
     :param clock_: the clock.
@@ -54,37 +53,37 @@
         self._settings = settings
         self._clock = clock_
         self.context = zmq.Context()
-        self._in = self._socket()
-        self._in.setsockopt(zmq.RCVHWM, _RECEIVE_QUEUE)
-        self._in.setsockopt(zmq.MAXMSGSIZE, codec.MOST_BYTES)
-        self._out = self._socket()
-        self._out.setsockopt(zmq.SNDHWM, _SEND_QUEUE)
-        self._out.setsockopt(zmq.ROUTER_MANDATORY, 1)
+        self._receiver = self._create_socket()
+        self._receiver.setsockopt(zmq.RCVHWM, _MAX_RECEIVE_QUEUE)
+        self._receiver.setsockopt(zmq.MAXMSGSIZE, codec.MAX_MESSAGE_BYTES)
+        self._sender = self._create_socket()
+        self._sender.setsockopt(zmq.SNDHWM, _MAX_SEND_QUEUE)
+        self._sender.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self._connection_by_address: dict[str, _Connection] = {}
         self._serial = 0
         self.dropped_by_reason: collections.Counter[str] = (
             collections.Counter()
         )
         if settings.secret_key:
-            self._secure()
+            self._enable_curve()
 
     def bind(self) -> None:
-        """Start to listen at this daemon's address."""
-        self._in.bind(self._settings.address)
+        """Listen on this daemon's address."""
+        self._receiver.bind(self._settings.address)
 
     def receive(self) -> bytes:
-        """Wait for a message; other tasks run meanwhile."""
-        return self._in.recv_multipart()[-1]
+        """Wait for a message while other tasks run."""
+        return self._receiver.recv_multipart()[-1]
 
     def send(self, address: str, data: bytes) -> bool:
-        """Send without ever waiting; tell whether it was queued.
+        """Send without blocking; return whether the message was queued.
 
         :param address: a peer's address.
         :param data: an encoded message.
         """
         try:
             routing_id = self._connect(address)
-            self._out.send_multipart([routing_id, data], zmq.NOBLOCK)
+            self._sender.send_multipart([routing_id, data], zmq.NOBLOCK)
         except zmq.Again:
             self.dropped_by_reason["queue full"] += 1
         except zmq.ZMQError:
@@ -94,46 +93,48 @@
         return False
 
     def close_idle(self) -> None:
-        """Close connections to addresses that are no longer written to."""
+        """Close connections that were not used lately."""
         now = self._clock.now()
-        for address, held in list(self._connection_by_address.items()):
-            if now - held.used_at > _IDLE:
+        for address, connection in list(self._connection_by_address.items()):
+            if now - connection.last_used_at > _IDLE_TIMEOUT_MS:
                 del self._connection_by_address[address]
-                self._out.disconnect(address)
+                self._sender.disconnect(address)
 
     def close(self) -> None:
         """Close both sockets."""
-        self._in.close(linger=0)
-        self._out.close(linger=_RECONNECT)
+        self._receiver.close(linger=0)
+        self._sender.close(linger=_RECONNECT_INTERVAL_MS)
         self.context.term()
 
     def _connect(self, address: str) -> bytes:
         now = self._clock.now()
-        held = self._connection_by_address.get(address)
-        if held is None:
+        connection = self._connection_by_address.get(address)
+        if connection is None:
             self._serial += 1
             routing_id = b"peer-%d" % self._serial
-            self._out.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
-            self._out.connect(address)
-            held = _Connection(routing_id, now)
-        self._connection_by_address[address] = held._replace(used_at=now)
-        return held.routing_id
+            self._sender.setsockopt(zmq.CONNECT_ROUTING_ID, routing_id)
+            self._sender.connect(address)
+            connection = _Connection(routing_id, now)
+        self._connection_by_address[address] = connection._replace(
+            last_used_at=now
+        )
+        return connection.routing_id
 
-    def _socket(self):
+    def _create_socket(self):
         socket = self.context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT)
-        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT)
-        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT)
-        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MOST)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_INTERVAL_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL_MAX, _MAX_RECONNECT_INTERVAL_MS)
         return socket
 
-    def _secure(self) -> None:
+    def _enable_curve(self) -> None:
         public = self._settings.public_key.encode()
         secret = self._settings.secret_key.encode()
-        for socket in (self._in, self._out):
+        for socket in (self._receiver, self._sender):
             socket.curve_publickey = public
             socket.curve_secretkey = secret
-        self._in.curve_server = True
-        self._in.zap_domain = b"peers"
-        self._out.curve_serverkey = public
+        self._receiver.curve_server = True
+        self._receiver.zap_domain = b"peers"
+        self._sender.curve_serverkey = public
--- a/src/citronvalve/peers/state.py
+++ b/src/citronvalve/peers/state.py
@@ -1,27 +1,29 @@
-"""All that one daemon knows of its peers, in one place."""
+"""The state that a daemon keeps about its peers."""
 
 import random
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
-from citronvalve.peers import crashbook
-from citronvalve.peers import granting
-from citronvalve.peers import loadbook
+from citronvalve.peers import authority
+from citronvalve.peers import crashtable
+from citronvalve.peers import loadtable
+from citronvalve.peers import loanmanager
 from citronvalve.peers import member
 from citronvalve.peers import membership
 from citronvalve.peers import peersettings
 from citronvalve.peers import remote
-from citronvalve.peers import standing
 from citronvalve.peers import tablecopy
 
 
 class State:
-    """Holds the parts together; each part keeps its own rules.
+    """Groups the parts of the state.
 
-    :param settings: this daemon among its peers.
+    :param settings: this daemon's settings.
     :param clock_: the clock.
-    :param rng: chance.
-    :param invariants: where promises are asserted.
+    :param rng: source of randomness.
+    :param invariants: checks the invariants.
+    :ivar neighbours: data centres that get loads of this one; empty means
+        all, as in a fleet of one region.
     """
 
     def __init__(
@@ -36,59 +38,64 @@
         self.clock = clock_
         self.rng = rng
         self.invariants = invariants
-        first = not set(settings.seeds) - {settings.address}
-        self.standing = standing.Standing(
-            clock_, timing, invariants, first or settings.expected == 1
+        is_first = not set(settings.seeds) - {settings.address}
+        self.authority = authority.Authority(
+            clock_,
+            timing,
+            invariants,
+            is_first or settings.expected_daemons == 1,
         )
         self.membership = membership.Membership(timing, invariants)
-        self.remote = remote.Remote(settings.datacentre)
+        self.remote = remote.RemoteDatacentres(settings.datacentre)
         self.table = tablecopy.TableCopy(invariants)
-        self.loads = loadbook.LoadBook(settings.name, timing.refresh)
-        self.crashes = crashbook.CrashBook()
-        self.grants = granting.Granting(
+        self.loads = loadtable.LoadTable(
+            settings.name, timing.refresh_interval
+        )
+        self.crashes = crashtable.CrashTable()
+        self.loan_manager = loanmanager.LoanManager(
             settings.name,
             timing,
-            self.standing,
+            self.authority,
             invariants,
-            first=first,
-            expected=settings.expected,
+            is_first=is_first,
+            expected_daemons=settings.expected_daemons,
         )
-        # Which data centres take loads of this one; empty means all, as in
-        # a fleet of one region.
         self.neighbours: frozenset[str] = frozenset()
-        self._beat = 0
+        self._heartbeat_counter = 0
 
     def is_neighbour(self, datacentre: str) -> bool:
-        """Tell whether a data centre wants loads of this one.
+        """Return whether a data centre gets loads of this one.
 
         :param datacentre: its name.
         """
         return not self.neighbours or datacentre in self.neighbours
 
     def others(self) -> frozenset[str]:
-        """Return the other living members of this data centre."""
+        """Return the names of the other alive members of this data centre."""
         return self.membership.alive() - {self.settings.name}
 
-    def live(self, now: clock.Ms) -> None:
-        """Let the own heartbeat rise, or a new life begin.
+    def advance_heartbeat(self, now: clock.Ms) -> None:
+        """Raise the own heartbeat counter, or record a new incarnation.
 
         :param now: monotonic time in ms.
         """
-        self._beat += 1
+        self._heartbeat_counter += 1
         settings = self.settings
         record = member.Member(
             settings.name,
             settings.datacentre,
             settings.address,
-            self.standing.incarnation,
-            self._beat,
+            self.authority.incarnation,
+            self._heartbeat_counter,
             self.table.version,
         )
         self.membership.merge(record, now)
 
-    def note_view(self, now: clock.Ms) -> None:
-        """Tell the grants how the members look.
+    def record_view(self, now: clock.Ms) -> None:
+        """Pass the current members to the loan manager.
 
         :param now: monotonic time in ms.
         """
-        self.grants.note(now, self.membership.alive(), self.membership.known())
+        self.loan_manager.record_view(
+            now, self.membership.alive(), self.membership.known()
+        )
--- a/src/citronvalve/peers/task.py
+++ b/src/citronvalve/peers/task.py
@@ -1,25 +1,25 @@
-"""The task that owns a daemon's sockets among its peers."""
+"""The task that owns the sockets to a daemon's peers."""
 
 import eventlet
 import logbook
 
 from citronvalve.model import clock
-from citronvalve.peers import gatekeeper
+from citronvalve.peers import authenticator
 from citronvalve.peers import outgoing
 from citronvalve.peers import peer as peers
 from citronvalve.peers import sockets
 
 _log = logbook.Logger(__name__)
 
-#: Ticks between two looks for idle connections.
-_IDLE_TICKS = 80
+#: Ticks between two checks for idle connections.
+_IDLE_CHECK_INTERVAL_TICKS = 80
 
 
 class PeerTask:
-    """Moves messages between a peer and the network, on two green threads.
+    """Moves messages between a peer and the network on two green threads.
 
-    Neither waits while it handles a message or sends one, so the peer's
-    state is never seen half changed.
+    Neither yields while it handles or sends a message, so no other task sees
+    the peer's state in the middle of a change.
 
     :param peer: what to connect.
     :param clock_: the clock.
@@ -29,7 +29,7 @@
         self._peer = peer
         self._clock = clock_
         self._sockets = sockets.Sockets(peer.settings, clock_)
-        self._gatekeeper: gatekeeper.Gatekeeper | None = None
+        self._authenticator: authenticator.Authenticator | None = None
         self._threads: list = []
         self.received = 0
         self.sent = 0
@@ -37,10 +37,10 @@
         self.received_bytes = 0
 
     def start(self) -> None:
-        """Listen, and start to find the others."""
+        """Listen and start to look for peers."""
         settings = self._peer.settings
         if settings.secret_key:
-            self._gatekeeper = gatekeeper.Gatekeeper(
+            self._authenticator = authenticator.Authenticator(
                 self._sockets.context,
                 (settings.public_key, *settings.allowed_keys),
             )
@@ -51,20 +51,20 @@
         ]
 
     def stop(self) -> None:
-        """Say goodbye and close the sockets."""
+        """Announce the leave and close the sockets."""
         for thread in self._threads:
             thread.kill()
         self._send(self._peer.core.leave())
-        if self._gatekeeper is not None:
-            self._gatekeeper.close()
+        if self._authenticator is not None:
+            self._authenticator.close()
         self._sockets.close()
 
     def dropped(self) -> dict[str, int]:
         """Return how many messages were dropped, by reason."""
-        dropped = self._peer.codec.junk_by_reason.copy()
+        dropped = self._peer.codec.dropped_by_reason.copy()
         dropped.update(self._sockets.dropped_by_reason)
-        if self._gatekeeper is not None:
-            dropped["unknown key"] += self._gatekeeper.refused
+        if self._authenticator is not None:
+            dropped["unknown key"] += self._authenticator.refused
         return dict(dropped)
 
     def _receive(self) -> None:
@@ -75,19 +75,19 @@
             message = self._peer.codec.decode(data)
             if message:
                 self._send(self._peer.core.handle(message))
-            # A socket that always has more would keep every other task
-            # of the daemon waiting.
+            # Yields, since a socket that always has messages would keep all
+            # other tasks of the daemon waiting.
             eventlet.sleep(0)
 
     def _tick(self) -> None:
-        span = self._peer.settings.timing.tick / clock.SECOND
+        interval = self._peer.settings.timing.tick_interval / clock.SECOND
         ticks = 0
         while True:
             self._send(self._peer.core.tick())
             ticks += 1
-            if ticks % _IDLE_TICKS == 0:
+            if ticks % _IDLE_CHECK_INTERVAL_TICKS == 0:
                 self._sockets.close_idle()
-            eventlet.sleep(span)
+            eventlet.sleep(interval)
 
     def _send(self, out: list[outgoing.Outgoing]) -> None:
         sender = self._peer.core.sender
--- a/src/citronvalve/peers/views.py
+++ b/src/citronvalve/peers/views.py
@@ -1,4 +1,4 @@
-"""How the members looked lately, for decisions that must outlast a change."""
+"""The recent views of the members."""
 
 import collections
 from typing import NamedTuple
@@ -8,30 +8,30 @@
 
 
 class View(NamedTuple):
-    """The members from a moment on."""
+    """The members since a time."""
 
-    since: clock.Ms
+    started_at: clock.Ms
     alive: frozenset[str]
     known: frozenset[str]
-    keeper_by_key: dict[str, str | None]
+    coordinator_by_key: dict[str, str | None]
 
-    def keeper(self, key: str) -> str | None:
-        """Return the keeper of a key; worked out once a view.
+    def coordinator(self, key: str) -> str | None:
+        """Return the coordinator of a key, cached by view.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         """
-        if key not in self.keeper_by_key:
-            self.keeper_by_key[key] = rendezvous.first(key, self.alive)
-        return self.keeper_by_key[key]
+        if key not in self.coordinator_by_key:
+            self.coordinator_by_key[key] = rendezvous.first(key, self.alive)
+        return self.coordinator_by_key[key]
 
 
-class Views:
-    """The views of the last while.
+class ViewHistory:
+    """The views of the members within a time span.
 
-    Two daemons see a change at different times.  Whoever relies only on what
-    held through the whole span can't clash with one that relies on it, too.
+    Daemons see a change of the members at different times.  They don't
+    conflict if each relies only on what was true during the whole span.
 
-    :param span: ms that a view must have held.
+    :param span: the time span in ms.
     """
 
     def __init__(self, span: clock.Ms) -> None:
@@ -39,13 +39,13 @@
         self._views: collections.deque[View] = collections.deque()
 
     def clear(self) -> None:
-        """Forget the past, since this life may not rely on it."""
+        """Drop all views, which a new incarnation may not rely on."""
         self._views.clear()
 
-    def note(
+    def record(
         self, now: clock.Ms, alive: frozenset[str], known: frozenset[str]
     ) -> None:
-        """Take the present view.
+        """Record the current view.
 
         :param now: monotonic time in ms.
         :param alive: the members alive.
@@ -54,40 +54,42 @@
         last = self._views[-1] if self._views else None
         if last is None or (last.alive, last.known) != (alive, known):
             self._views.append(View(now, alive, known, {}))
-        while len(self._views) > 1 and self._views[1].since <= (
+        while len(self._views) > 1 and self._views[1].started_at <= (
             now - self._span
         ):
             self._views.popleft()
 
-    def settled(self, now: clock.Ms) -> bool:
-        """Tell whether the views reach back through the whole span.
+    def is_settled(self, now: clock.Ms) -> bool:
+        """Return whether the views cover the whole span.
 
         :param now: monotonic time in ms.
         """
-        return bool(self._views) and self._views[0].since <= now - self._span
+        return (
+            bool(self._views) and self._views[0].started_at <= now - self._span
+        )
 
-    def kept(self, key: str, name: str, now: clock.Ms) -> bool:
-        """Tell whether a member was the keeper through the whole span.
+    def was_coordinator(self, key: str, name: str, now: clock.Ms) -> bool:
+        """Return whether a member was the coordinator for the whole span.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         :param name: the member.
         :param now: monotonic time in ms.
         """
-        return self.settled(now) and all(
-            view.keeper(key) == name for view in self._views
+        return self.is_settled(now) and all(
+            view.coordinator(key) == name for view in self._views
         )
 
-    def keeper(self, key: str) -> str | None:
-        """Return the keeper of a key in the present view.
+    def coordinator(self, key: str) -> str | None:
+        """Return the coordinator of a key in the current view.
 
-        :param key: what is kept.
+        :param key: the key to coordinate.
         """
-        return self._views[-1].keeper(key) if self._views else None
+        return self._views[-1].coordinator(key) if self._views else None
 
-    def seen(self) -> frozenset[str]:
-        """Return the members that were alive all the time."""
+    def always_alive(self) -> frozenset[str]:
+        """Return the members that were alive in all views."""
         return frozenset.intersection(*(view.alive for view in self._views))
 
-    def known(self) -> frozenset[str]:
-        """Return the members that counted at any time."""
+    def ever_known(self) -> frozenset[str]:
+        """Return the members that counted in any view."""
         return frozenset().union(*(view.known for view in self._views))
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -95,7 +95,7 @@
 
     def hear(self, message):
         """Take in what a peer tells."""
-        self.peering.peer.core.handle(codec.Received(_MATE, message))
+        self.peering.peer.core.handle(codec.ReceivedMessage(_MATE, message))
 
 
 @behave.given("the example declaration is in the platform's table")
@@ -147,7 +147,7 @@
     version = max(row.version for row in held)
     _SPOIL_BY_WHAT[what](held)
     context.daemon = _Daemon(context.store, watches)
-    context.daemon.peering.peer.offer_table(
+    context.daemon.peering.peer.publish_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
     assert context.daemon.view.table
@@ -247,7 +247,7 @@
 def step_before(context):
     held = _packed(context.before)
     version = max(row.version for row in held)
-    context.daemon.peering.peer.compare_table(
+    context.daemon.peering.peer.reconcile_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
 
--- a/tests/peers/steps/spreading_steps.py
+++ b/tests/peers/steps/spreading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what peers spread: the table, crashes and loads."""
+"""Steps about the table, crashes and loads that peers spread."""
 
 import random
 
@@ -8,11 +8,11 @@
 from citronvalve.model import invariant
 from citronvalve.model import load
 from citronvalve.peers import change
-from citronvalve.peers import crashfact
+from citronvalve.peers import crashreport
 from citronvalve.peers import tablecopy
 from citronvalve.peers import tabledelta
 from standins import memorylinks
-from tests.peers import small
+from tests.peers import cluster
 
 
 def _rows(count, size):
@@ -28,32 +28,34 @@
     context.copy.apply(tabledelta.TableDelta(40, 0, _rows(40, 10)))
 
 
-@behave.when("another copy takes it with one row spoilt")
-def step_spoilt(context):
+@behave.when("another copy gets it with one row corrupted")
+def step_corrupted(context):
     context.other = tablecopy.TableCopy(invariant.Invariants())
-    page = context.copy.page_after(context.other.wanted())
-    bad = page.changes[3]._replace(value=b"spoilt")
-    changes = (*page.changes[:3], bad, *page.changes[4:])
-    assert not context.other.take(page._replace(changes=changes))
+    page = context.copy.page_after(context.other.next_cursor())
+    corrupted = page.changes[3]._replace(value=b"spoilt")
+    changes = (*page.changes[:3], corrupted, *page.changes[4:])
+    assert not context.other.apply_page(page._replace(changes=changes))
 
 
-@behave.then("the spoilt table is refused, and the whole one is taken next")
+@behave.then(
+    "the corrupted table is refused, and the full one is applied next"
+)
 def step_refused(context):
-    assert (context.other.version, context.other.refused) == (0, 1)
-    page = context.copy.page_after(context.other.wanted())
-    assert context.other.take(page)
+    assert (context.other.version, context.other.pages_refused) == (0, 1)
+    page = context.copy.page_after(context.other.next_cursor())
+    assert context.other.apply_page(page)
     assert context.other.digest == context.copy.digest
 
 
 @behave.given("3 members that hold {count:d} rows of {size:d} bytes")
 def step_large(context, count, size):
-    small.begin(context, 3)
+    cluster.start_members(context, 3)
     delta = tabledelta.TableDelta(count, 0, _rows(count, size))
-    context.links.node_by_name["d0-0"].core.offer_table(delta)
+    context.links.node_by_name["d0-0"].core.publish_table(delta)
     context.links.run(10 * clock.SECOND)
-    assert {small.state(context, n).table.version for n in context.names} == {
-        count
-    }
+    assert {
+        cluster.state(context, n).table.version for n in context.names
+    } == {count}
     context.count = count
 
 
@@ -62,24 +64,24 @@
     context.links.start("d0-3", "d0", ("d0-1",))
 
 
-@behave.then("within {span:d} ms it holds them all, and never held a part")
+@behave.then("within {span:d} ms it holds all rows, and never only some")
 def step_all(context, span):
-    table = small.state(context, "d0-3").table
-    seen = set()
+    table = cluster.state(context, "d0-3").table
+    counts = set()
 
-    def _done():
-        seen.add(len(table.rows()))
+    def _is_complete():
+        counts.add(len(table.rows()))
         return table.version == context.count
 
-    small.within(context, span, _done)
-    assert seen == {0, context.count}, seen
+    cluster.wait_until(context, span, _is_complete)
+    assert counts == {0, context.count}, counts
 
 
-@behave.when("d0-2 is stopped and an edit comes")
+@behave.when("d0-2 is stopped and an edit arrives")
 def step_edit(context):
     context.links.stop("d0-2")
     delta = tabledelta.TableDelta(7, 0, _rows(7, 10))
-    context.links.node_by_name["d0-1"].core.offer_table(delta)
+    context.links.node_by_name["d0-1"].core.publish_table(delta)
 
 
 @behave.then("{span:d} ms later d0-0 names d0-2 as silent")
@@ -90,7 +92,7 @@
 
 
 @behave.given("3 data centres of 3 members with {loss:d}% loss")
-def step_places(context, loss):
+def step_datacentres(context, loss):
     context.links = memorylinks.Links(random.Random(3), loss=loss / 100)
     context.names = [f"d{d}-{m}" for d in range(3) for m in range(3)]
     for name in context.names:
@@ -98,21 +100,21 @@
     context.links.run(10 * clock.SECOND)
 
 
-@behave.when("one member sees a crash")
+@behave.when("one member reports a crash")
 def step_crash(context):
-    state = small.state(context, "d1-2")
-    fact = crashfact.CrashFact("request", "engine-1", "start-1", 0)
-    state.crashes.hear(fact, state.clock.now())
+    state = cluster.state(context, "d1-2")
+    report = crashreport.CrashReport("request", "engine-1", "start-1", 0)
+    state.crashes.record(report, state.clock.now())
 
 
 @behave.then("within {span:d} ms every member knows of it")
 def step_known(context, span):
-    small.within(
+    cluster.wait_until(
         context,
         span,
         lambda: all(
-            small.state(context, name).crashes.facts(
-                small.state(context, name).clock.now()
+            cluster.state(context, name).crashes.reports(
+                cluster.state(context, name).clock.now()
             )
             for name in context.names
         ),
@@ -123,23 +125,23 @@
 def step_load(context):
     node = context.links.node_by_name["d1-2"]
     report = load.LoadReport("engine-1", "s", 1, 0, 8, node.clock.now())
-    node.core.offer_load(report)
+    node.core.publish_load(report)
     context.measured_at = context.links.clock.now()
 
 
 @behave.then(
-    "within {span:d} ms every member knows it, at its true age to {most:d} ms"
+    "within {span:d} ms every member knows it, with its age to {most:d} ms"
 )
 def step_age(context, span, most):
     def _reports():
         return [
-            small.state(context, name).loads.report("engine-1")
+            cluster.state(context, name).loads.report("engine-1")
             for name in context.names
         ]
 
-    small.within(context, span, lambda: all(_reports()))
+    cluster.wait_until(context, span, lambda: all(_reports()))
     true_age = context.links.clock.now() - context.measured_at
     for name in context.names:
-        state = small.state(context, name)
+        state = cluster.state(context, name)
         age = state.clock.now() - state.loads.report("engine-1").measured_at
         assert abs(age - true_age) <= most, (name, age, true_age)
--- a/tests/policy/steps/sharing_steps.py
+++ b/tests/policy/steps/sharing_steps.py
@@ -72,7 +72,7 @@
     def _carry(self, sender, out):
         for one in out:
             there = self.daemon_by_name[one.address]
-            got = codec.Received(sender.peer.core.sender, one.message)
+            got = codec.ReceivedMessage(sender.peer.core.sender, one.message)
             self._carry(there, there.peer.core.handle(got))
 
 
@@ -89,8 +89,8 @@
 @behave.when("its service times jump for one that is not its keeper")
 def step_jump(context):
     daemons = context.fleet.daemon_by_name
-    key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").keeper_key
-    keeper = daemons["daemon-0"].peer.keeper_of(key)
+    key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").lender_key
+    keeper = daemons["daemon-0"].peer.coordinator_of(key)
     context.cold = next(d for n, d in daemons.items() if n != keeper)
     context.cold.upstream.ramp.restart(context.fleet.clock.now())
 
