--- a/tests/groups/drill.feature
+++ b/tests/groups/drill.feature
@@ -10,7 +10,7 @@
     Then each daemon answers from the group
     And the operators' tool shows 1 serving group
     When a VM of the group that is not rank 0 is killed
-    Then within 3 s each daemon refuses unrun work, or a new group answers
+    Then within 3 s each daemon refuses without a run, or a new group answers
     And no answer of an incomplete group was reported as complete
     And each daemon answers from the group
     And the platform's rows match the engines
--- a/tests/groups/steps/drill_steps.py
+++ b/tests/groups/steps/drill_steps.py
@@ -135,7 +135,7 @@
 
 
 @behave.then(
-    "within 3 s each daemon refuses unrun work, or a new group answers"
+    "within 3 s each daemon refuses without a run, or a new group answers"
 )
 def step_refuses_or_renews(context):
     # A request may also have been queued until the new group served, which
