--- a/tests/groups/world.py
+++ b/tests/groups/world.py
@@ -183,7 +183,7 @@
             self.invariants.check(
                 "no half group is routed to for longer than detection takes",
                 now - since < TIMINGS.max_state_age,
-                f"{key} broken for {now - since} ms",
+                f"{key} incomplete for {now - since} ms",
             )
         self._check_owners()
 
