--- a/tests/groups/machines.py
+++ b/tests/groups/machines.py
@@ -20,12 +20,12 @@
     """Two domains of five VMs, three groups of two, three leaders."""
 
     CHECKS = invariant.Invariants()
-    refuses_old_fence = True
+    refuses = True
 
     def __init__(self):
         super().__init__()
         self.world = world.World(
-            {"a": 5, "b": 5}, 2, 3, self.refuses_old_fence, self.CHECKS
+            {"a": 5, "b": 5}, 2, 3, self.refuses, self.CHECKS
         )
         for name in _NAMES:
             self.world.start(name)
@@ -136,17 +136,17 @@
 
 
 class RefusingEngines(_Groups):
-    """Engines that refuse an outdated fencing token."""
+    """Engines that refuse an old fencing number."""
 
     CHECKS = invariant.Invariants()
 
 
 class IgnoringEngines(_Groups):
-    """Engines that accept any order."""
+    """Engines that take any order."""
 
     CHECKS = invariant.Invariants()
 
-    refuses_old_fence = False
+    refuses = False
 
 
 MACHINES = (RefusingEngines, IgnoringEngines)
