--- a/src/citronvalve/daemon/conductor.py
+++ b/src/citronvalve/daemon/conductor.py
@@ -10,9 +10,9 @@
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import lease as leases
 from citronvalve.replicas import order as orders_
-from citronvalve.replicas import orders as givers
 from citronvalve.replicas import planner as planners
 from citronvalve.replicas import runner as runners
+from citronvalve.replicas import runnerclient as givers
 from citronvalve.routes import service as services
 
 #: Between two plans when nothing has happened.
@@ -39,7 +39,7 @@
         env: environments.Environment,
         directory: directories.Directory,
         book: upstreamchoice.LoadBook,
-        giver: givers.Orders,
+        giver: givers.RunnerClient,
         stall: clock.Ms,
         lease: Callable[[], int],
         early: Callable[[], bool],
@@ -64,7 +64,7 @@
         runner = self._directory.runner_by_id.get(head)
         planner = runner and self._planner_by_service.get(runner.service)
         if planner:
-            planner.accuse(head)
+            planner.suspect_group(head)
 
     def run(self) -> None:
         """Plan for ever."""
@@ -91,8 +91,10 @@
                     service.engine, self._stall, self._epochs
                 )
                 self._planner_by_service[name] = planner
-            planner.early = self._early()
-            planner.need.see(self._load_by_model(name, service, now), now)
+            planner.before_traffic = self._early()
+            planner.demand.observe(
+                self._load_by_model(name, service, now), now
+            )
             self._carry_out(planner, self._runners(name), now)
 
     def _load_by_model(
@@ -120,10 +122,10 @@
         now: clock.Ms,
     ) -> None:
         for act in planner.step(listed, now):
-            target = planner.lives.find(act.runner)
+            target = planner.liveness.find(act.runner)
             if target is None:
                 continue
-            if isinstance(act, orders_.Look):
+            if isinstance(act, orders_.Probe):
                 self._pool.spawn_n(self._look, planner, target)
             else:
                 self._pool.spawn_n(self._give, planner, target, act)
@@ -134,8 +136,8 @@
         target: runners.Runner,
         what: orders_.Order,
     ) -> None:
-        told = self._giver.give(target, what)
-        planner.told(what, told, self._env.clock.now())
+        told = self._giver.send(target, what)
+        planner.record_result(what, told, self._env.clock.now())
         self._env.metrics.ordered(what.kind, told.name.lower())
         self._env.log.change(
             "order given",
@@ -148,14 +150,14 @@
         )
 
     def _look(self, planner: planners.Planner, target: runners.Runner) -> None:
-        seen = self._giver.look(target)
+        seen = self._giver.probe(target)
         if isinstance(seen, runners.Runner):
-            planner.lives.answered(target.id, self._env.clock.now())
+            planner.liveness.record_answer(target.id, self._env.clock.now())
             return
-        planner.lives.silent(target.id, self._env.clock.now())
+        planner.liveness.record_no_answer(target.id, self._env.clock.now())
         self._env.log.change(
             "runner silent",
             runner=target.id,
-            lost=planner.lives.is_lost(target.id),
-            departed=planner.lives.is_departed(target.id),
+            lost=planner.liveness.is_lost(target.id),
+            departed=planner.liveness.is_departed(target.id),
         )
--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -141,7 +141,7 @@
             self._is_early,
         )
         self._news.on_standstill = self._on_standstill
-        self._lease.company = self._news.has_company
+        self._lease.has_majority = self._news.has_company
         self._news.on_crash = self._crashes.learn
         self._crashes.on_crash = self._news.tell_crash
         self._news.loads.is_pressed = self._means.placing.is_pressed
@@ -209,8 +209,8 @@
         while True:
             if not self.env.stopping:
                 self._lease.step()
-                self.env.daemons = self._lease.daemons
-            eventlet.sleep(lease.EVERY / clock.SECOND)
+                self.env.daemons = self._lease.daemon_count
+            eventlet.sleep(lease.RENEW_INTERVAL / clock.SECOND)
 
     def _tidy(self) -> None:
         while True:
@@ -229,7 +229,7 @@
         show("connections", "Callers' connections.", self._callers.count)
         show("log_lines_dropped", "Lines dropped.", self._log.dropped)
         show("leading", "Whether it leads.", float(bool(self._lease.held)))
-        show("daemons", "Daemons known.", self._lease.daemons)
+        show("daemons", "Daemons known.", self._lease.daemon_count)
         tail_by_table = self._news.tables.tail_by_table
         listed = tail_by_table[self._ports.runners].revision
         declared = tail_by_table[self._ports.operators].revision
--- a/src/citronvalve/daemon/newstask.py
+++ b/src/citronvalve/daemon/newstask.py
@@ -118,7 +118,7 @@
         :param scan: what was read.
         :returns: ms in which further changes are better gathered.
         """
-        lease = self._lease.held if self._lease.leads else 0
+        lease = self._lease.held if self._lease.is_renewed else 0
         if not (scan.rows or scan.deleted) or not self.is_reader():
             return 0
         changes = self.tables.changes(lease, table, base, scan)
@@ -137,10 +137,13 @@
         the leader was killed, those of a data centre go by its keeper; who
         that is shows once they have spoken to each other.
         """
-        if self._lease.leads:
+        if self._lease.is_renewed:
             return True
         now = self._env.clock.now()
-        if self._lease.hears_leader or now - self._started_at < _ACQUAINTED:
+        if (
+            self._lease.has_recent_leader
+            or now - self._started_at < _ACQUAINTED
+        ):
             return False
         return self._spreading.topology.is_coordinator(now)
 
@@ -160,7 +163,7 @@
 
         :param table: its name.
         """
-        if self._lease.hears_leader:
+        if self._lease.has_recent_leader:
             wanted = messages.FullTableRequest(self._env.name, table)
             self._send_all([distributors.Outgoing(self._lease.leader, wanted)])
 
@@ -192,7 +195,7 @@
     def _beat(self) -> None:
         while True:
             self._settle()
-            if self._lease.leads:
+            if self._lease.is_renewed:
                 self._tell_all(self.tables.beat(self._lease.held))
             elif self.is_reader():
                 self._tell_near(self.tables.beat(0))
@@ -235,7 +238,7 @@
 
     def _on_hello(self, message: messages.Hello) -> None:
         peer = leases.Peer(message.address, message.datacentre)
-        self._lease.greet(message.name, peer)
+        self._lease.add_peer(message.name, peer)
 
     def _on_crash(self, message: messages.Crash) -> None:
         self.on_crash(message.fingerprint, message.upstream)
--- a/src/citronvalve/daemon/ports.py
+++ b/src/citronvalve/daemon/ports.py
@@ -6,8 +6,8 @@
 from citronvalve.daemon import entrysettings
 from citronvalve.forward import dialect
 from citronvalve.model import missing
-from citronvalve.replicas import orders
 from citronvalve.replicas import runner
+from citronvalve.replicas import runnerclient
 from citronvalve.routes import catalogue
 from citronvalve.storage import rows
 from citronvalve.storage import tableservice
@@ -30,7 +30,7 @@
     catalogue: Callable[[rows.Row], catalogue.Catalogue | missing.Missing]
     datacentre_out: Callable[[str], str | None]
     catalogue_key: str
-    orders: orders.Orders
+    orders: runnerclient.RunnerClient
     dialect: dialect.Dialect
     ready_path: str
     reload: Callable[[], entrysettings.EntrySettings]
--- a/src/citronvalve/daemon/runnerlist.py
+++ b/src/citronvalve/daemon/runnerlist.py
@@ -98,15 +98,15 @@
 
     def _is_held(self, row: rows.Row) -> bool:
         held = self._directory.runner_by_id.get(row.key)
-        return held is not None and held.seen >= row.version
+        return held is not None and held.list_version >= row.version
 
     def _put(self, runner: runners.Runner) -> None:
         held = self._directory.put(runner)
-        if held is not None and held.seen >= runner.seen:
+        if held is not None and held.list_version >= runner.list_version:
             return
         group = runner.membership
         before = held.membership if held else None
-        if held is None or held.born != runner.born or group != before:
+        if held is None or held.start_id != runner.start_id or group != before:
             # Another start or group owes nothing to what was seen before.
             load = self._book.of(runner.id)
             if runner.is_open_head or held is None:
@@ -119,11 +119,11 @@
                 rank=group.rank if group else 0,
                 phase=group.phase if group else "",
                 leaving=runner.leaving,
-                version=runner.seen,
+                version=runner.list_version,
             )
         elif held.leaving != runner.leaving:
             self._env.log.change(
-                "runner leaving", runner=runner.id, version=runner.seen
+                "runner leaving", runner=runner.id, version=runner.list_version
             )
 
     def _drop(self, key: str, why: str) -> None:
--- a/src/citronvalve/daemon/tablenews.py
+++ b/src/citronvalve/daemon/tablenews.py
@@ -57,7 +57,7 @@
         return messages.Heartbeat(
             self._env.name,
             lease,
-            self._lease.daemons,
+            self._lease.daemon_count,
             tuple(filter(None, states)),
             self._env.clock.now(),
         )
@@ -68,7 +68,7 @@
         :param message: as it came.
         """
         lease = message.lease
-        if lease and not self._lease.heard(
+        if lease and not self._lease.observe_leader(
             message.name, lease, message.daemons
         ):
             return
@@ -99,7 +99,7 @@
         :param message: as it came.
         """
         tail = self.tail_by_table.get(message.table)
-        if tail is None or not self._lease.leads:
+        if tail is None or not self._lease.is_renewed:
             return
         self._env.log.change(
             "whole table requested", table=message.table, by=message.name
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -55,7 +55,7 @@
         :param runner: ignored if the list said something newer before.
         """
         held = self.runner_by_id.get(runner.id)
-        if held is not None and held.seen >= runner.seen:
+        if held is not None and held.list_version >= runner.list_version:
             return held
         self.runner_by_id[runner.id] = runner
         self._sort()
--- a/src/citronvalve/replicas/need.py
+++ b/src/citronvalve/replicas/demand.py
@@ -12,14 +12,14 @@
 #: A model whose need is below this part of another one's has replicas to
 #: spare: with one more, or one fewer, it still has half as many requests at
 #: each, so runners that change hands do not come back at once.
-_TO_SPARE = 0.5
+_OVERSUPPLY_RATIO = 0.5
 
 #: A model of which no replica is open shows no load; it is never taken to
 #: need less than this part of its declared share.
-_LEAST = 0.5
+_MIN_DECLARED_PART = 0.5
 
 
-class Need:
+class Demand:
     """Weighs the models by their declared share, then by what is seen.
 
     The declared share is of the runners' work, so a replica of twice the
@@ -28,20 +28,28 @@
 
     def __init__(self) -> None:
         self._load_by_model: dict[str, float] = {}
-        self._at: clock.Ms | None = None
+        self._observed_at: clock.Ms | None = None
 
-    def see(self, load_by_model: Mapping[str, float], now: clock.Ms) -> None:
+    def observe(
+        self, load_by_model: Mapping[str, float], now: clock.Ms
+    ) -> None:
         """Take in how many requests are at the replicas of each model.
 
         :param load_by_model: running and waiting, over all replicas.
         :param now: monotonic ms.
         """
-        passed = 0 if self._at is None else now - self._at
-        kept = 0.5 ** (passed / _HALF_LIFE) if self._at is not None else 0.0
-        self._at = now
+        elapsed = 0 if self._observed_at is None else now - self._observed_at
+        old_weight = (
+            0.5 ** (elapsed / _HALF_LIFE)
+            if self._observed_at is not None
+            else 0.0
+        )
+        self._observed_at = now
         for model, load in load_by_model.items():
-            held = self._load_by_model.get(model, load)
-            self._load_by_model[model] = kept * held + (1 - kept) * load
+            previous = self._load_by_model.get(model, load)
+            self._load_by_model[model] = (
+                old_weight * previous + (1 - old_weight) * load
+            )
 
     def ranked(
         self,
@@ -56,15 +64,17 @@
         :param models: by name.
         :param count_by_model: replicas that stand or are being formed.
         """
-        need = self._need_by_model(models, count_by_model, 1)
-        return sorted(models.values(), key=lambda m: (-need[m.name], m.name))
+        demand_by_model = self._demand_by_model(models, count_by_model, 1)
+        return sorted(
+            models.values(), key=lambda m: (-demand_by_model[m.name], m.name)
+        )
 
-    def to_spare(
+    def oversupplied(
         self,
         top: modelspec.ModelSpec,
         models: Mapping[str, modelspec.ModelSpec],
         count_by_model: Mapping[str, int],
-        fewer: int = 0,
+        removed: int = 0,
     ) -> set[str]:
         """Return the models that have replicas to spare beside another.
 
@@ -73,33 +83,36 @@
         :param count_by_model: replicas that stand or are being formed.
         :param fewer: 1 to ask for those that could also give one up.
         """
-        need = self._need_by_model(models, count_by_model, 1)
-        without = self._need_by_model(models, count_by_model, 1 - fewer)
+        demand_by_model = self._demand_by_model(models, count_by_model, 1)
+        without_by_model = self._demand_by_model(
+            models, count_by_model, 1 - removed
+        )
         return {
             name
             for name in models
-            if without[name] < _TO_SPARE * need[top.name]
+            if without_by_model[name]
+            < _OVERSUPPLY_RATIO * demand_by_model[top.name]
         }
 
-    def _need_by_model(
+    def _demand_by_model(
         self,
         models: Mapping[str, modelspec.ModelSpec],
         count_by_model: Mapping[str, int],
-        more: int,
+        added: int,
     ) -> dict[str, float]:
         return {
-            name: weight / max(1, count_by_model.get(name, 0) + more)
-            for name, weight in self._weights(models).items()
+            name: weight / max(1, count_by_model.get(name, 0) + added)
+            for name, weight in self._weight_by_model(models).items()
         }
 
-    def _weights(
+    def _weight_by_model(
         self, models: Mapping[str, modelspec.ModelSpec]
     ) -> dict[str, float]:
         declared = {m.name: m.initial_share / m.size for m in models.values()}
-        seen = sum(self._load_by_model.get(name, 0.0) for name in models)
-        if not seen:
+        total = sum(self._load_by_model.get(name, 0.0) for name in models)
+        if not total:
             return declared
-        scale = _LEAST * seen / sum(declared.values())
+        scale = _MIN_DECLARED_PART * total / sum(declared.values())
         return {
             name: max(self._load_by_model.get(name, 0.0), scale * weight)
             for name, weight in declared.items()
--- a/src/citronvalve/replicas/lease.py
+++ b/src/citronvalve/replicas/lease.py
@@ -12,34 +12,34 @@
 from citronvalve.storage import tableservice
 
 TABLE = "citronvalve"
-_KEY = "leader"
-_DAEMON = "daemon/"
+_LEADER_KEY = "leader"
+_DAEMON_PREFIX = "daemon/"
 
 #: How often the holder renews, and the others look.
-EVERY: clock.Ms = 1_000
+RENEW_INTERVAL: clock.Ms = 1_000
 
 #: A row that has not changed for so long may be taken: a renewal that was
 #: lost, and some.  It only saves work: what keeps two leaders apart are
 #: the epochs, since a runner refuses one lower than it has seen.
-_LAPSE: clock.Ms = 1_900
+_LEASE_DURATION: clock.Ms = 1_900
 
 #: A leader that was heard this lately need not be looked for in the store.
-_HEARD: clock.Ms = 1_000
+_LEADER_TIMEOUT: clock.Ms = 1_000
 
 #: A leader that could not renew for so long goes silent.
-_SILENT: clock.Ms = 2_200
+_RENEWAL_TIMEOUT: clock.Ms = 2_200
 
 #: Even then the list of daemons is read once in this time.
-_LIST: clock.Ms = 10_000
+_SCAN_INTERVAL: clock.Ms = 10_000
 
 #: A leader reads it this often for a while after it took the lead, since at
 #: the start daemons come one after the other.
-_LIST_NEW: clock.Ms = 1_000
-_NEW: clock.Ms = 5_000
+_NEW_LEADER_SCAN_INTERVAL: clock.Ms = 1_000
+_NEW_LEADER_TIME: clock.Ms = 5_000
 
 
 #: Epochs of one lease; a leader forms far fewer groups.
-_EPOCHS = 100_000
+_EPOCHS_PER_LEASE = 100_000
 
 
 def epochs(lease: int) -> Iterator[int]:
@@ -47,7 +47,7 @@
 
     :param lease: version at which the lead was taken.
     """
-    return itertools.count(lease * _EPOCHS + 1)
+    return itertools.count(lease * _EPOCHS_PER_LEASE + 1)
 
 
 class Peer(NamedTuple):
@@ -77,7 +77,7 @@
         self,
         service: tableservice.TableService,
         name: str,
-        here: Peer,
+        own_peer: Peer,
         now: clock.Clock,
         log: decisionlog.DecisionLog,
     ) -> None:
@@ -86,43 +86,50 @@
         self._clock = now
         self._log = log
         self._row: rows.Row | None = None
-        self._seen_at: clock.Ms = 0
-        self._turn = 0
+        self._row_changed_at: clock.Ms = 0
+        self._write_count = 0
         self._registered = False
-        self._here = here
-        self._heard_at: clock.Ms | None = None
-        self._listed_at: clock.Ms | None = None
-        self._taken_at: clock.Ms | None = None
-        self._told_daemons = 0
+        self._own_peer = own_peer
+        self._leader_heard_at: clock.Ms | None = None
+        self._scanned_at: clock.Ms | None = None
+        self._acquired_at: clock.Ms | None = None
+        self._reported_daemons = 0
         self.renewed_at: clock.Ms | None = None
         self._suspended = False
-        self.company: Callable[[], bool] = lambda: False
+        self.has_majority: Callable[[], bool] = lambda: False
         self.held = 0
         self.leader = ""
         self.newest = 0
-        self.peer_by_name: dict[str, Peer] = {name: here}
+        self.peer_by_name: dict[str, Peer] = {name: own_peer}
 
     def step(self) -> None:
         """Renew, look or take; a failure leaves everything as it is."""
         if self.held and self._row is not None:
             self._renew()
-            new = not self._is_due(self._taken_at, _NEW)
-            if not self._is_due(self._listed_at, _LIST_NEW if new else _LIST):
+            recently_acquired = not self._has_elapsed(
+                self._acquired_at, _NEW_LEADER_TIME
+            )
+            if not self._has_elapsed(
+                self._scanned_at,
+                _NEW_LEADER_SCAN_INTERVAL
+                if recently_acquired
+                else _SCAN_INTERVAL,
+            ):
                 return
-        elif self.hears_leader:
-            if not self._is_due(self._listed_at, _LIST):
+        elif self.has_recent_leader:
+            if not self._has_elapsed(self._scanned_at, _SCAN_INTERVAL):
                 return
         found = self._service.scan(TABLE)
         if not isinstance(found, rows.Scan):
             return
-        self._look(found)
+        self._apply_scan(found)
         if self.held:
             return
-        if self._has_lapsed() and not self.hears_leader:
-            self._take()
+        if self._has_lapsed() and not self.has_recent_leader:
+            self._acquire()
 
     @property
-    def leads(self) -> bool:
+    def is_renewed(self) -> bool:
         """Tell whether this daemon may speak as the leader.
 
         One that can't reach the store reads an old list.  It goes silent,
@@ -131,12 +138,14 @@
         """
         if not self.held or self.renewed_at is None:
             return False
-        return self._clock.now() - self.renewed_at < _SILENT
+        return self._clock.now() - self.renewed_at < _RENEWAL_TIMEOUT
 
     @property
-    def hears_leader(self) -> bool:
+    def has_recent_leader(self) -> bool:
         """Tell whether another daemon said just now that it leads."""
-        return not self.held and not self._is_due(self._heard_at, _HEARD)
+        return not self.held and not self._has_elapsed(
+            self._leader_heard_at, _LEADER_TIMEOUT
+        )
 
     def may_act(self) -> bool:
         """Tell whether this daemon may give orders now.
@@ -146,18 +155,18 @@
         cut off from them too may have been followed by another, which closes
         what it would open; it acts again only after it has renewed.
         """
-        if self.leads:
+        if self.is_renewed:
             self._suspended = False
-        elif not self.company():
+        elif not self.has_majority():
             self._suspended = True
         return bool(self.held) and not self._suspended
 
     @property
-    def daemons(self) -> int:
+    def daemon_count(self) -> int:
         """Return how many daemons are known."""
         return max(1, len(self.peer_by_name))
 
-    def heard(self, name: str, lease: int, daemons: int = 0) -> bool:
+    def observe_leader(self, name: str, lease: int, daemons: int = 0) -> bool:
         """Take in that a daemon says it leads; tell whether it is believed.
 
         :param name: the daemon.
@@ -167,17 +176,17 @@
         """
         if lease < self.newest:
             return False
-        if daemons > max(self._told_daemons, len(self.peer_by_name)):
-            self._told_daemons = daemons
-            self._listed_at = None
+        if daemons > max(self._reported_daemons, len(self.peer_by_name)):
+            self._reported_daemons = daemons
+            self._scanned_at = None
         self.newest, self.leader = lease, name
-        self._heard_at = self._clock.now()
+        self._leader_heard_at = self._clock.now()
         if self.held and lease > self.held:
             self._row = None
             self._lose("a newer leader was heard")
         return True
 
-    def greet(self, name: str, peer: Peer) -> None:
+    def add_peer(self, name: str, peer: Peer) -> None:
         """Take in that a daemon has started.
 
         :param name: the daemon.
@@ -191,36 +200,36 @@
             self._write("")
             self._lose("resigned")
 
-    def _is_due(self, at: clock.Ms | None, span: clock.Ms) -> bool:
+    def _has_elapsed(self, at: clock.Ms | None, span: clock.Ms) -> bool:
         return at is None or self._clock.now() - at >= span
 
-    def _look(self, found: rows.Scan) -> None:
+    def _apply_scan(self, found: rows.Scan) -> None:
         now = self._clock.now()
-        self._listed_at = now
-        held = {row.key: row for row in found.rows}
-        for key, row in held.items():
-            if key.startswith(_DAEMON):
-                self._know(key[len(_DAEMON) :], row)
+        self._scanned_at = now
+        row_by_key = {row.key: row for row in found.rows}
+        for key, row in row_by_key.items():
+            if key.startswith(_DAEMON_PREFIX):
+                self._record_peer(key[len(_DAEMON_PREFIX) :], row)
         if not self._registered:
             self._register()
         if self.held:
             return
-        row = held.get(_KEY)
+        row = row_by_key.get(_LEADER_KEY)
         self.leader = row.value.get("holder", "") if row else ""
         known = self._row.version if self._row else None
         if row is None or row.version != known:
-            self._seen_at = now
+            self._row_changed_at = now
         self._row = row
 
-    def _know(self, name: str, row: rows.Row) -> None:
+    def _record_peer(self, name: str, row: rows.Row) -> None:
         peer = row.value.get("address"), row.value.get("datacentre")
         # Its own place a daemon knows better than a row of an earlier start.
         if name != self._name and all(isinstance(p, str) for p in peer):
             self.peer_by_name[name] = Peer(*peer)
 
     def _register(self) -> None:
-        key = f"{_DAEMON}{self._name}"
-        write = rows.Write(TABLE, key, self._here._asdict())
+        key = f"{_DAEMON_PREFIX}{self._name}"
+        write = rows.Write(TABLE, key, self._own_peer._asdict())
         done = self._service.commit(rows.Transaction(key, (), (write,)))
         self._registered = isinstance(done, rows.Committed)
 
@@ -231,13 +240,13 @@
         if not holder or holder == self._name:
             # Given up, or taken by this daemon before it started again.
             return True
-        return self._clock.now() - self._seen_at >= _LAPSE
+        return self._clock.now() - self._row_changed_at >= _LEASE_DURATION
 
-    def _take(self) -> None:
+    def _acquire(self) -> None:
         done = self._write(self._name)
         if isinstance(done, rows.Committed):
             self.held = self.newest = done.revision
-            self._taken_at = self._clock.now()
+            self._acquired_at = self._clock.now()
             self.leader = self._name
             self._log.change("lead taken", lease=self.held)
 
@@ -250,7 +259,7 @@
             self._read_back()
 
     def _read_back(self) -> None:
-        found = self._service.read(TABLE, _KEY)
+        found = self._service.read(TABLE, _LEADER_KEY)
         if not isinstance(found, rows.Row):
             return
         if found.value.get("holder") == self._name:
@@ -260,19 +269,19 @@
             self._lose("another daemon took it")
 
     def _write(self, holder: str) -> rows.CommitResult:
-        self._turn += 1
+        self._write_count += 1
         version = self._row.version if self._row else rows.NO_ROW
-        value = {"holder": holder, "turn": self._turn}
+        value = {"holder": holder, "turn": self._write_count}
         done = self._service.commit(
             rows.Transaction(
-                f"{self._name}/{self._turn}",
-                (rows.Condition(TABLE, _KEY, version),),
-                (rows.Write(TABLE, _KEY, value),),
+                f"{self._name}/{self._write_count}",
+                (rows.Condition(TABLE, _LEADER_KEY, version),),
+                (rows.Write(TABLE, _LEADER_KEY, value),),
             )
         )
         if isinstance(done, rows.Committed):
-            self._row = rows.Row(TABLE, _KEY, value, done.revision)
-            self._seen_at = self.renewed_at = self._clock.now()
+            self._row = rows.Row(TABLE, _LEADER_KEY, value, done.revision)
+            self._row_changed_at = self.renewed_at = self._clock.now()
         return done
 
     def _lose(self, why: str) -> None:
--- a/src/citronvalve/replicas/order.py
+++ b/src/citronvalve/replicas/order.py
@@ -33,13 +33,13 @@
     members: tuple[str, ...] = ()
 
 
-class Look(NamedTuple):
+class Probe(NamedTuple):
     """A runner is to be asked whether it is there."""
 
     runner: str
 
 
-class Told(enum.Enum):
+class OrderResult(enum.Enum):
     """What came back of an order."""
 
     #: It has begun.
--- a/src/citronvalve/replicas/pending.py
+++ b/src/citronvalve/replicas/pending.py
@@ -4,7 +4,7 @@
 from citronvalve.replicas import membership
 
 
-class Pending:
+class PendingReplica:
     """Ordered, and not yet seen open.
 
     :param key: the formation.
@@ -17,9 +17,9 @@
         self,
         key: membership.GroupKey,
         members: tuple[str, ...],
-        until: clock.Ms,
+        deadline: clock.Ms,
     ) -> None:
         self.key = key
         self.members = members
-        self.until = until
-        self.opened = False
+        self.deadline = deadline
+        self.open_ordered = False
--- a/src/citronvalve/replicas/planner.py
+++ b/src/citronvalve/replicas/planner.py
@@ -4,31 +4,31 @@
 from collections.abc import Iterator
 
 from citronvalve.model import clock
-from citronvalve.replicas import forming
-from citronvalve.replicas import heads
-from citronvalve.replicas import lives as lives_
+from citronvalve.replicas import builder
+from citronvalve.replicas import demand
+from citronvalve.replicas import liveness as liveness_
 from citronvalve.replicas import membership
-from citronvalve.replicas import need
 from citronvalve.replicas import order as orders
-from citronvalve.replicas import orderbook
+from citronvalve.replicas import outbox
 from citronvalve.replicas import phase as phases
-from citronvalve.replicas import reshaping
+from citronvalve.replicas import rebalancer
+from citronvalve.replicas import replica as replicas
+from citronvalve.replicas import reservations
 from citronvalve.replicas import runner as runners
-from citronvalve.replicas import standing as standings
 from citronvalve.replicas import weights
 from citronvalve.routes import enginespec
 
 #: What runs in a whole replica that is closed may finish for so long; a
 #: usual answer takes one to two seconds.
-_FINISH: clock.Ms = 4_000
+_DRAIN_TIME: clock.Ms = 4_000
 
 #: At the first start, the list is taken to be still growing for so long
 #: after a runner came; they come some tens of ms apart.
-_FILLING: clock.Ms = 500
+_GROWTH_PAUSE: clock.Ms = 500
 
 _Kind = orders.OrderKind
 _Phase = phases.Phase
-_Found = dict[membership.GroupKey, standings.Standing]
+_ReplicaByKey = dict[membership.GroupKey, replicas.Replica]
 
 
 class Planner:
@@ -47,52 +47,59 @@
     def __init__(
         self,
         spec: enginespec.EngineSpec,
-        stall: clock.Ms,
+        stall_timeout: clock.Ms,
         epochs: Iterator[int],
     ) -> None:
         self.spec = spec
-        self.lives = lives_.Lives()
-        self._book = orderbook.OrderBook()
-        self._heads = heads.Heads(self.lives, self._book, stall)
-        self._weights = weights.Weights(spec, self.lives, self._book)
-        self._forming = forming.Forming(
-            spec, epochs, self.lives, self._heads, self._weights, self._book
+        self.liveness = liveness_.Liveness()
+        self._outbox = outbox.Outbox()
+        self._reservations = reservations.Reservations(
+            self.liveness, self._outbox, stall_timeout
         )
-        self._dissolved: dict[membership.GroupKey, clock.Ms] = {}
-        self._reshaping = reshaping.Reshaping(spec, self._forming)
-        self._listed = 0
+        self._weights = weights.Weights(spec, self.liveness, self._outbox)
+        self._builder = builder.ReplicaBuilder(
+            spec,
+            epochs,
+            self.liveness,
+            self._reservations,
+            self._weights,
+            self._outbox,
+        )
+        self._dissolved_at_by_key: dict[membership.GroupKey, clock.Ms] = {}
+        self._rebalancer = rebalancer.Rebalancer(spec, self._builder)
+        self._listed_count = 0
         self._grown_at: clock.Ms = 0
 
     @property
-    def need(self) -> need.Need:
+    def demand(self) -> demand.Demand:
         """Return what weighs the models."""
-        return self._forming.need
+        return self._builder.demand
 
     @property
-    def early(self) -> bool:
+    def before_traffic(self) -> bool:
         """Tell whether no request has come; loads are quick until then."""
-        return self._weights.early
+        return self._weights.before_traffic
 
-    @early.setter
-    def early(self, early: bool) -> None:
-        self._weights.early = early
+    @before_traffic.setter
+    def before_traffic(self, before_traffic: bool) -> None:
+        self._weights.before_traffic = before_traffic
 
-    def accuse(self, head: str) -> None:
+    def suspect_group(self, head_id: str) -> None:
         """Take in that a replica stands still: any member may be lost.
 
         :param head: the head's id.
         """
-        held = self.lives.find(head)
-        self.lives.accuse(head)
+        held = self.liveness.find(head_id)
+        self.liveness.suspect(head_id)
         if held is None or held.membership is None:
             return
-        for runner in self.lives.known():
+        for runner in self.liveness.alive():
             other = runner.membership
             if other is not None and other.key == held.membership.key:
-                self.lives.accuse(runner.id)
+                self.liveness.suspect(runner.id)
 
-    def told(
-        self, what: orders.Order, told: orders.Told, now: clock.Ms
+    def record_result(
+        self, order: orders.Order, result: orders.OrderResult, now: clock.Ms
     ) -> None:
         """Take in what came back of an order.
 
@@ -100,170 +107,176 @@
         :param told: the runner's answer.
         :param now: monotonic ms.
         """
-        self._heads.told(what, told, now)
+        self._reservations.record_result(order, result, now)
 
     def step(
         self, runner_by_id: dict[str, runners.Runner], now: clock.Ms
-    ) -> list[orders.Order | orders.Look]:
+    ) -> list[orders.Order | orders.Probe]:
         """Return what is to be done now.
 
         :param runner_by_id: the list's runners of this service.
         :param now: monotonic ms.
         """
-        found = self._take_in(runner_by_id, now)
+        replica_by_key = self._observe(runner_by_id, now)
         count_by_model: collections.Counter[str] = collections.Counter()
-        bound = self._settle_all(found, count_by_model, now)
-        bound |= self._heads.bound(now)
-        bound |= self._advance_all(found, count_by_model, now)
-        by_domain: dict[str, list[runners.Runner]] = {}
+        reserved = self._review_all(replica_by_key, count_by_model, now)
+        reserved |= self._reservations.reserved_runners(now)
+        reserved |= self._advance_all(replica_by_key, count_by_model, now)
+        free_by_domain: dict[str, list[runners.Runner]] = {}
         for runner in self._usable():
-            settled = self.lives.is_settled(runner.datacentre, now)
-            if settled and runner.id not in bound:
-                by_domain.setdefault(runner.domain, []).append(runner)
-        filling = self.early and now - self._grown_at < _FILLING
-        self._forming.form(by_domain, count_by_model, filling, now)
-        if not self.early:
-            self._reshaping.step(found, by_domain, count_by_model, now)
-        if not filling:
-            spares = by_domain.values()
+            settled = self.liveness.is_settled(runner.datacentre, now)
+            if settled and runner.id not in reserved:
+                free_by_domain.setdefault(runner.domain, []).append(runner)
+        list_growing = (
+            self.before_traffic and now - self._grown_at < _GROWTH_PAUSE
+        )
+        self._builder.form(free_by_domain, count_by_model, list_growing, now)
+        if not self.before_traffic:
+            self._rebalancer.step(
+                replica_by_key, free_by_domain, count_by_model, now
+            )
+        if not list_growing:
+            spares = free_by_domain.values()
             self._weights.stage_spares(spares, count_by_model, now)
-            self._weights.stage_members(found.values(), now)
-        for runner in self.lives.due(now):
-            if self.lives.find(runner) is not None:
-                self._book.look(runner)
-        return self._book.take(now)
+            self._weights.stage_members(replica_by_key.values(), now)
+        for runner in self.liveness.due_probes(now):
+            if self.liveness.find(runner) is not None:
+                self._outbox.add_probe(runner)
+        return self._outbox.drain(now)
 
-    def _take_in(
+    def _observe(
         self, runner_by_id: dict[str, runners.Runner], now: clock.Ms
-    ) -> _Found:
-        if len(runner_by_id) > self._listed:
+    ) -> _ReplicaByKey:
+        if len(runner_by_id) > self._listed_count:
             self._grown_at = now
-        self._listed = len(runner_by_id)
-        self.lives.listed(runner_by_id, now)
-        self.lives.watch_cuts(now)
-        known = self.lives.known()
-        self._heads.remember(known)
-        self._weights.remember(known)
-        sizes = {m.name: m.size for m in self.spec.model_by_name.values()}
-        found = standings.census(known, sizes)
-        self._dissolved = {
-            k: at for k, at in self._dissolved.items() if k in found
+        self._listed_count = len(runner_by_id)
+        self.liveness.apply_list(runner_by_id, now)
+        self.liveness.track_partitions(now)
+        alive = self.liveness.alive()
+        self._reservations.update(alive)
+        self._weights.update(alive)
+        size_by_model = {
+            m.name: m.size for m in self.spec.model_by_name.values()
         }
-        return found
+        replica_by_key = replicas.collect(alive, size_by_model)
+        self._dissolved_at_by_key = {
+            k: at
+            for k, at in self._dissolved_at_by_key.items()
+            if k in replica_by_key
+        }
+        return replica_by_key
 
     def _usable(self) -> list[runners.Runner]:
         return [
             runner
-            for runner in self.lives.known()
-            if self.lives.is_listed(runner.id)
+            for runner in self.liveness.alive()
+            if self.liveness.is_listed(runner.id)
             and not runner.leaving
-            and not self.lives.is_doubted(runner.id)
+            and not self.liveness.is_suspected(runner.id)
         ]
 
-    def _settle_all(
+    def _review_all(
         self,
-        found: _Found,
+        replica_by_key: _ReplicaByKey,
         count_by_model: collections.Counter[str],
         now: clock.Ms,
     ) -> set[str]:
-        bound: set[str] = set()
-        spare = collections.Counter(
+        reserved: set[str] = set()
+        spare_count = collections.Counter(
             r.domain for r in self._usable() if r.membership is None
         )
-        for key, standing in found.items():
-            if self._settle(standing, spare, now):
-                bound.update(r.id for r in standing.member_by_rank.values())
-                if key not in self._dissolved:
+        for key, replica in replica_by_key.items():
+            if self._review(replica, spare_count, now):
+                reserved.update(r.id for r in replica.member_by_rank.values())
+                if key not in self._dissolved_at_by_key:
                     count_by_model[key.model] += 1
-        return bound
+        return reserved
 
     def _advance_all(
         self,
-        found: _Found,
+        replica_by_key: _ReplicaByKey,
         count_by_model: collections.Counter[str],
         now: clock.Ms,
     ) -> set[str]:
-        bound: set[str] = set()
-        for key, pending in list(self._forming.pending_by_key.items()):
-            if self._forming.advance(pending, found.get(key), now):
-                bound.update(pending.members)
-                if key not in found:
+        reserved: set[str] = set()
+        for key, pending in list(self._builder.pending_by_key.items()):
+            if self._builder.advance(pending, replica_by_key.get(key), now):
+                reserved.update(pending.members)
+                if key not in replica_by_key:
                     count_by_model[key.model] += 1
             else:
-                self._dissolved[key] = now
+                self._dissolved_at_by_key[key] = now
         # One that was given up this very moment binds nobody by itself.
-        return bound | self._heads.bound(now)
+        return reserved | self._reservations.reserved_runners(now)
 
-    def _settle(
+    def _review(
         self,
-        standing: standings.Standing,
-        spare: collections.Counter[str],
+        replica: replicas.Replica,
+        spare_count: collections.Counter[str],
         now: clock.Ms,
     ) -> bool:
         """Act on one replica; tell whether its members are bound to it."""
-        key = standing.key
-        if key in self._forming.pending_by_key:
+        key = replica.key
+        if key in self._builder.pending_by_key:
             return True
-        head = standing.head
-        datacentre = next(iter(standing.member_by_rank.values())).datacentre
-        if not self.lives.is_settled(datacentre, now):
+        head = replica.head
+        datacentre = next(iter(replica.member_by_rank.values())).datacentre
+        if not self.liveness.is_settled(datacentre, now):
             return True
         if head is None:
-            self._dissolved.setdefault(key, now)
-            if self._may_finish(standing, now):
+            self._dissolved_at_by_key.setdefault(key, now)
+            if self._may_drain(replica, now):
                 return True
-            return self._heads.await_break(standing, now)
-        self._heads.seen(key)
-        if standing.phase in phases.SERVING:
-            if self._is_sound(standing, spare):
-                self._dissolved.pop(key, None)
+            return self._reservations.dissolve_headless(replica, now)
+        self._reservations.record_head_alive(key)
+        if replica.phase in phases.SERVING:
+            if self._should_keep(replica, spare_count):
+                self._dissolved_at_by_key.pop(key, None)
             else:
-                self._close(standing, now)
+                self._close(replica, now)
             return True
-        if standing.is_ready() and key not in self._dissolved:
-            self._forming.adopt(standing, now)
+        if replica.is_ready() and key not in self._dissolved_at_by_key:
+            self._builder.adopt(replica, now)
             return True
         return False
 
-    def _is_sound(
-        self, standing: standings.Standing, spare: collections.Counter[str]
+    def _should_keep(
+        self, replica: replicas.Replica, spare_count: collections.Counter[str]
     ) -> bool:
-        head = standing.head
-        if head.leaving or not self.lives.is_listed(head.id):
+        head = replica.head
+        if head.leaving or not self.liveness.is_listed(head.id):
             return False
-        if standing.key in self._reshaping.given_up:
+        if replica.key in self._rebalancer.to_close:
             return False
-        if not standing.is_complete():
+        if not replica.is_complete():
             return False
-        if standing.phase is _Phase.CLOSING:
+        if replica.phase is _Phase.CLOSING:
             return False
         # A member that leaves stays while its head has work, so nothing is
         # won by closing before there is another runner in its place.
-        leaving = any(r.leaving for r in standing.member_by_rank.values())
-        return not (leaving and spare[head.domain])
+        leaving = any(r.leaving for r in replica.member_by_rank.values())
+        return not (leaving and spare_count[head.domain])
 
-    def _close(self, standing: standings.Standing, now: clock.Ms) -> None:
-        self._dissolved.setdefault(standing.key, now)
-        finishes = self._may_finish(standing, now)
-        if finishes and standing.phase is _Phase.CLOSING:
+    def _close(self, replica: replicas.Replica, now: clock.Ms) -> None:
+        self._dissolved_at_by_key.setdefault(replica.key, now)
+        drains = self._may_drain(replica, now)
+        if drains and replica.phase is _Phase.CLOSING:
             return
-        kind = _Kind.CLOSE if finishes else _Kind.CUT
-        self._book.give(
-            orders.Order(kind, standing.head.id, standing.key), now
-        )
+        kind = _Kind.CLOSE if drains else _Kind.CUT
+        self._outbox.add(orders.Order(kind, replica.head.id, replica.key), now)
 
-    def _may_finish(self, standing: standings.Standing, now: clock.Ms) -> bool:
+    def _may_drain(self, replica: replicas.Replica, now: clock.Ms) -> bool:
         """Tell whether what runs in a replica that is closed may finish.
 
         With a member dead nothing that runs there can end.
         """
-        if now - self._dissolved[standing.key] >= _FINISH:
+        if now - self._dissolved_at_by_key[replica.key] >= _DRAIN_TIME:
             return False
         departed = {
             runner.membership.rank
-            for runner in self.lives.departed()
+            for runner in self.liveness.departed()
             if runner.membership is not None
-            and runner.membership.key == standing.key
+            and runner.membership.key == replica.key
         }
-        there = standing.member_by_rank.keys() | departed
-        return len(there) == standing.size
+        present = replica.member_by_rank.keys() | departed
+        return len(present) == replica.size
--- a/src/citronvalve/replicas/reshaping.py
+++ b/src/citronvalve/replicas/rebalancer.py
@@ -3,19 +3,19 @@
 from collections.abc import Mapping
 
 from citronvalve.model import clock
-from citronvalve.replicas import forming as formings
+from citronvalve.replicas import builder as builders
 from citronvalve.replicas import membership
 from citronvalve.replicas import phase
+from citronvalve.replicas import replica as replicas
 from citronvalve.replicas import runner as runners
-from citronvalve.replicas import standing as standings
 from citronvalve.routes import enginespec
 
 #: Between two replicas that are given up: what follows from one, its end (up
 #: to 4 s), a join (2 s) and requests that move, must show in the loads first.
-_APART: clock.Ms = 6_000
+_MIN_INTERVAL: clock.Ms = 6_000
 
 
-class Reshaping:
+class Rebalancer:
     """Decides when a sound replica gives its runners to another model.
 
     Made for losses that hit the model of large replicas more often: a domain
@@ -30,17 +30,17 @@
     """
 
     def __init__(
-        self, spec: enginespec.EngineSpec, forming: formings.Forming
+        self, spec: enginespec.EngineSpec, builder: builders.ReplicaBuilder
     ) -> None:
         self._spec = spec
-        self._forming = forming
-        self._at: clock.Ms | None = None
-        self.given_up: set[membership.GroupKey] = set()
+        self._builder = builder
+        self._chosen_at: clock.Ms | None = None
+        self.to_close: set[membership.GroupKey] = set()
 
     def step(
         self,
-        found: Mapping[membership.GroupKey, standings.Standing],
-        by_domain: Mapping[str, list[runners.Runner]],
+        replica_by_key: Mapping[membership.GroupKey, replicas.Replica],
+        free_by_domain: Mapping[str, list[runners.Runner]],
         count_by_model: Mapping[str, int],
         now: clock.Ms,
     ) -> None:
@@ -51,26 +51,34 @@
         :param count_by_model: replicas that stand or are being formed.
         :param now: monotonic ms.
         """
-        self.given_up &= found.keys()
-        if self.given_up or (self._at is not None and now - self._at < _APART):
+        self.to_close &= replica_by_key.keys()
+        if self.to_close or (
+            self._chosen_at is not None
+            and now - self._chosen_at < _MIN_INTERVAL
+        ):
             return
         models = self._spec.model_by_name
-        top = self._forming.top(count_by_model)
-        if top is None:
+        most_demanded = self._builder.most_demanded(count_by_model)
+        if most_demanded is None:
             return
-        free = {domain: len(there) for domain, there in by_domain.items()}
-        if max(free.values(), default=0) >= top.size:
+        free_count_by_domain = {
+            domain: len(there) for domain, there in free_by_domain.items()
+        }
+        if max(free_count_by_domain.values(), default=0) >= most_demanded.size:
             # It is about to be formed, or waits for its weights.
             return
-        spared = self._forming.need.to_spare(top, models, count_by_model, 1)
-        fitting = [
-            (free.get(standing.head.domain, 0), key)
-            for key, standing in found.items()
-            if key.model in spared
-            and standing.phase is phase.Phase.OPEN
-            and standing.is_complete()
-            and free.get(standing.head.domain, 0) + standing.size >= top.size
+        oversupplied = self._builder.demand.oversupplied(
+            most_demanded, models, count_by_model, 1
+        )
+        candidates = [
+            (free_count_by_domain.get(replica.head.domain, 0), key)
+            for key, replica in replica_by_key.items()
+            if key.model in oversupplied
+            and replica.phase is phase.Phase.OPEN
+            and replica.is_complete()
+            and free_count_by_domain.get(replica.head.domain, 0) + replica.size
+            >= most_demanded.size
         ]
-        if fitting:
-            self.given_up.add(max(fitting)[1])
-            self._at = now
+        if candidates:
+            self.to_close.add(max(candidates)[1])
+            self._chosen_at = now
--- a/src/citronvalve/replicas/standing.py
+++ b/src/citronvalve/replicas/replica.py
@@ -8,7 +8,7 @@
 from citronvalve.replicas import runner as runners
 
 
-class Standing(NamedTuple):
+class Replica(NamedTuple):
     """One formation of a group, with the members that are known."""
 
     key: membership.GroupKey
@@ -38,23 +38,23 @@
         )
 
 
-def census(
-    known: Iterable[runners.Runner], size_by_model: dict[str, int]
-) -> dict[membership.GroupKey, Standing]:
+def collect(
+    alive: Iterable[runners.Runner], size_by_model: dict[str, int]
+) -> dict[membership.GroupKey, Replica]:
     """Return the replicas that runners say they belong to.
 
     :param known: runners with their own word.
     :param size_by_model: members of one replica; groups of other models are
         not ours.
     """
-    found: dict[membership.GroupKey, Standing] = {}
-    for runner in known:
+    replica_by_key: dict[membership.GroupKey, Replica] = {}
+    for runner in alive:
         held = runner.membership
         if held is None or held.key.model not in size_by_model:
             continue
-        standing = found.get(held.key)
-        if standing is None:
+        replica = replica_by_key.get(held.key)
+        if replica is None:
             size = size_by_model[held.key.model]
-            standing = found[held.key] = Standing(held.key, size, {})
-        standing.member_by_rank[held.rank] = runner
-    return found
+            replica = replica_by_key[held.key] = Replica(held.key, size, {})
+        replica.member_by_rank[held.rank] = runner
+    return replica_by_key
--- /dev/null
+++ b/src/citronvalve/replicas/reservations.py
@@ -0,0 +1,242 @@
+"""Members that no other group may have, since their head may serve."""
+
+from typing import NamedTuple
+
+from citronvalve.model import clock
+from citronvalve.replicas import liveness as liveness_
+from citronvalve.replicas import membership
+from citronvalve.replicas import order as orders
+from citronvalve.replicas import outbox as outboxes
+from citronvalve.replicas import pending as pendings
+from citronvalve.replicas import replica as replicas
+from citronvalve.replicas import runner as runners
+
+#: Added to the time a head that stands still takes to break.
+_BREAK_MARGIN: clock.Ms = 500
+
+#: Entries that lapsed while the list was away are back within so long.
+_RELIST_TIME: clock.Ms = 2_500
+
+#: An order that had no answer is carried out up to so much later.
+_MAX_ORDER_DELAY: clock.Ms = 12_500
+
+#: Formations remembered before those that nobody tells of are dropped.
+_MAX_HEADS = 1_000
+
+_Kind = orders.OrderKind
+
+
+class _Reservation(NamedTuple):
+    """Members that are bound to a head until a moment."""
+
+    head: str
+    expires_at: clock.Ms
+    members: set[str]
+
+
+class Reservations:
+    """Knows which runners may still belong to a group that serves.
+
+    A head goes on accepting requests whatever its members do.  One that is
+    lost may only be out of sight, behind a cut, and serve there; one that
+    was told to open may do so late.  A member that joined another group
+    meanwhile would belong to two.
+
+    :param lives: who is there.
+    :param book: takes orders.
+    :param stall: ms until a head that stands still is broken.
+    """
+
+    def __init__(
+        self,
+        liveness: liveness_.Liveness,
+        outbox: outboxes.Outbox,
+        stall_timeout: clock.Ms,
+    ) -> None:
+        self._liveness = liveness
+        self._outbox = outbox
+        self._stall_timeout = stall_timeout
+        self._head_by_key: dict[membership.GroupKey, str] = {}
+        self._headless_since: dict[membership.GroupKey, clock.Ms] = {}
+        self._lost_by_key: dict[membership.GroupKey, _Reservation] = {}
+        self._abandoned_by_key: dict[membership.GroupKey, _Reservation] = {}
+        self._open_answered: set[membership.GroupKey] = set()
+        self._opening_by_key: dict[membership.GroupKey, _Reservation] = {}
+        self._cut_answered: set[membership.GroupKey] = set()
+
+    def update(self, alive: list[runners.Runner]) -> None:
+        """Take in who is the head of what.
+
+        :param known: all runners with their own word.
+        """
+        live_keys = set()
+        for runner in alive:
+            held = runner.membership
+            if held is None:
+                continue
+            live_keys.add(held.key)
+            if held.key in self._opening_by_key:
+                self._opening_by_key[held.key].members.add(runner.id)
+            if not held.rank:
+                self._head_by_key[held.key] = runner.id
+        if len(self._head_by_key) > _MAX_HEADS:
+            live_keys |= (
+                self._lost_by_key.keys() | self._abandoned_by_key.keys()
+            )
+            self._head_by_key = {
+                k: head
+                for k, head in self._head_by_key.items()
+                if k in live_keys
+            }
+            self._open_answered &= live_keys
+            self._cut_answered &= live_keys
+
+    def record_head_alive(self, key: membership.GroupKey) -> None:
+        """Note that a head is in sight.
+
+        :param key: its group.
+        """
+        self._lost_by_key.pop(key, None)
+        self._headless_since.pop(key, None)
+
+    def dissolve_headless(
+        self, replica: replicas.Replica, now: clock.Ms
+    ) -> bool:
+        """Act on a group without a head; tell whether its members are bound.
+
+        Once all others have left it, a lost head stands still, and breaks.
+
+        :param standing: the group.
+        :param now: monotonic ms.
+        """
+        key = replica.key
+        members = list(replica.member_by_rank.values())
+        head = self._head_by_key.get(key)
+        if head is not None and self._has_left(head, key):
+            return False
+        if not self._is_head_lost(key, head, now):
+            return True
+        # Counted from when the last of them has left: an order to leave may
+        # not have arrived.  Those that have left are kept in mind, since
+        # they tell of no group any more.
+        previous = self._lost_by_key.get(key)
+        self._lost_by_key[key] = _Reservation(
+            head or "",
+            now + self._stall_timeout + _BREAK_MARGIN,
+            {runner.id for runner in members}
+            | (previous.members if previous else set()),
+        )
+        for runner in members:
+            self._outbox.add(orders.Order(_Kind.LEAVE, runner.id, key), now)
+        return True
+
+    def record_abandoned(
+        self, pending: pendings.PendingReplica, now: clock.Ms
+    ) -> None:
+        """Note that a group was given up after its head was told to open.
+
+        :param pending: the group.
+        :param now: monotonic ms.
+        """
+        self._cut_answered.discard(pending.key)
+        self._abandoned_by_key[pending.key] = _Reservation(
+            pending.members[0], now, set(pending.members)
+        )
+
+    def has_opened(self, key: membership.GroupKey) -> bool:
+        """Tell whether a head has answered the order to open.
+
+        :param key: its group.
+        """
+        return key in self._open_answered
+
+    def record_result(
+        self, order: orders.Order, result: orders.OrderResult, now: clock.Ms
+    ) -> None:
+        """Take in what came back of an order.
+
+        :param what: the order.
+        :param told: the runner's answer.
+        :param now: monotonic ms.
+        """
+        unanswered = result is orders.OrderResult.SILENT
+        if order.kind is _Kind.OPEN and unanswered:
+            # It may be carried out after the group was opened by another
+            # order and closed again.
+            previous = self._opening_by_key.get(order.key)
+            members = previous.members if previous else {order.runner}
+            self._opening_by_key[order.key] = _Reservation(
+                order.runner, now + _MAX_ORDER_DELAY, members
+            )
+        if order.kind is _Kind.OPEN and not unanswered:
+            self._open_answered.add(order.key)
+        if order.kind is _Kind.CUT and not unanswered:
+            self._cut_answered.add(order.key)
+
+    def reserved_runners(self, now: clock.Ms) -> set[str]:
+        """Return the runners that no other group may have now.
+
+        :param now: monotonic ms.
+        """
+        reserved: set[str] = set()
+        for reservation_by_key in (
+            self._lost_by_key,
+            self._opening_by_key,
+        ):
+            for key, reservation in list(reservation_by_key.items()):
+                has_left = reservation.head and self._has_left(
+                    reservation.head, key
+                )
+                if now >= reservation.expires_at or has_left:
+                    del reservation_by_key[key]
+                else:
+                    reserved |= reservation.members
+        for key, reservation in list(self._abandoned_by_key.items()):
+            if self._has_stopped(key, reservation, now):
+                del self._abandoned_by_key[key]
+            else:
+                reserved |= reservation.members
+                self._outbox.add(
+                    orders.Order(_Kind.CUT, reservation.head, key), now
+                )
+        return reserved
+
+    def _has_stopped(
+        self,
+        key: membership.GroupKey,
+        reservation: _Reservation,
+        now: clock.Ms,
+    ) -> bool:
+        """Tell whether a doubtful head has certainly stopped serving.
+
+        The list may be old, and an order that had no answer may be carried
+        out once a cut has healed, so only the head's own answer counts.
+        """
+        if key in self._cut_answered:
+            return True
+        # One that is lost for so long broke with its members' leaving.
+        lost = self._liveness.is_lost(reservation.head)
+        if (
+            lost
+            and now
+            >= reservation.expires_at + self._stall_timeout + _MAX_ORDER_DELAY
+        ):
+            return True
+        return self._has_left(reservation.head, key)
+
+    def _is_head_lost(
+        self, key: membership.GroupKey, head: str | None, now: clock.Ms
+    ) -> bool:
+        """Tell whether a head is lost, and not only told of later."""
+        if head is not None and self._liveness.find(head) is not None:
+            return self._liveness.is_lost(head)
+        # After an outage of the list its entries come back one by one.
+        since = self._headless_since.setdefault(key, now)
+        return now - since >= _RELIST_TIME
+
+    def _has_left(self, head: str, key: membership.GroupKey) -> bool:
+        runner = self._liveness.find(head)
+        if runner is None or self._liveness.is_lost(head):
+            return False
+        held = runner.membership
+        return held is None or held.key != key
--- a/src/citronvalve/replicas/runner.py
+++ b/src/citronvalve/replicas/runner.py
@@ -25,8 +25,8 @@
     staged: tuple[str, ...] = ()
     membership: memberships.Membership | None = None
     cold_until: clock.Ms = 0
-    born: int = 0
-    seen: int = 0
+    start_id: int = 0
+    list_version: int = 0
 
     @property
     def is_open_head(self) -> bool:
--- a/src/citronvalve/replicas/orders.py
+++ b/src/citronvalve/replicas/runnerclient.py
@@ -6,11 +6,13 @@
 from citronvalve.replicas import runner
 
 
-class Orders(abc.ABC):
+class RunnerClient(abc.ABC):
     """Speaks to runners; each call waits for its answer."""
 
     @abc.abstractmethod
-    def give(self, target: runner.Runner, what: order.Order) -> order.Told:
+    def send(
+        self, target: runner.Runner, what: order.Order
+    ) -> order.OrderResult:
         """Give an order once.
 
         :param target: the runner that it is for.
@@ -18,7 +20,9 @@
         """
 
     @abc.abstractmethod
-    def look(self, target: runner.Runner) -> runner.Runner | order.Told:
+    def probe(
+        self, target: runner.Runner
+    ) -> runner.Runner | order.OrderResult:
         """Ask a runner for its state.
 
         :param target: what is known of it.
--- a/src/citronvalve/replicas/doubt.py
+++ b/src/citronvalve/replicas/suspicion.py
@@ -4,10 +4,10 @@
 
 #: Looks in a row without an answer after which a runner counts as lost.  One
 #: packet that was dropped is no proof, and two take under a second.
-_LOOKS = 2
+_FAILURES_UNTIL_LOST = 2
 
 
-class Doubt:
+class Suspicion:
     """One runner that may be lost, from when it is accused.
 
     :ivar looked_at: monotonic ms of the last look, None before the first.
@@ -15,35 +15,35 @@
     :ivar outlived_entry: whether it answered after it had left the list.
     """
 
-    __slots__ = ("_failed", "looked_at", "lost_at", "outlived_entry")
+    __slots__ = ("_failed_probes", "answered_unlisted", "lost_at", "probed_at")
 
     def __init__(self) -> None:
-        self._failed = 0
-        self.looked_at: clock.Ms | None = None
+        self._failed_probes = 0
+        self.probed_at: clock.Ms | None = None
         self.lost_at: clock.Ms | None = None
-        self.outlived_entry = False
+        self.answered_unlisted = False
 
     @property
     def is_lost(self) -> bool:
         """Tell whether it counts as lost."""
-        return self._failed >= _LOOKS
+        return self._failed_probes >= _FAILURES_UNTIL_LOST
 
     @property
-    def is_silent(self) -> bool:
+    def last_probe_failed(self) -> bool:
         """Tell whether the last look had no answer."""
-        return self._failed > 0
+        return self._failed_probes > 0
 
-    def silent(self, now: clock.Ms) -> None:
+    def record_failure(self, now: clock.Ms) -> None:
         """Note that a look had no answer.
 
         :param now: monotonic ms.
         """
-        self._failed += 1
+        self._failed_probes += 1
         if self.lost_at is None and self.is_lost:
             self.lost_at = now
 
-    def outlived(self) -> None:
+    def record_unlisted_answer(self) -> None:
         """Note that it answered a look though it has left the list."""
-        self._failed = 0
+        self._failed_probes = 0
         self.lost_at = None
-        self.outlived_entry = True
+        self.answered_unlisted = True
--- a/src/citronvalve/replicas/weights.py
+++ b/src/citronvalve/replicas/weights.py
@@ -5,21 +5,21 @@
 
 from citronvalve.model import clock
 from citronvalve.policy import slidingcount
-from citronvalve.replicas import lives as lives_
+from citronvalve.replicas import liveness as liveness_
 from citronvalve.replicas import order as orders
-from citronvalve.replicas import orderbook
+from citronvalve.replicas import outbox as outboxes
 from citronvalve.replicas import phase
+from citronvalve.replicas import replica as replicas
 from citronvalve.replicas import runner as runners
-from citronvalve.replicas import standing as standings
 from citronvalve.routes import enginespec
 from citronvalve.routes import modelspec
 
 #: Ms of a join by a runner whose last group had the same model.
-_AT_HAND: clock.Ms = 200
+_RESIDENT_JOIN_TIME: clock.Ms = 200
 
 #: Part of the weight store's rate that is used.  A leader that took over
 #: does not know what its predecessor has started within the last second.
-_LOAD_SHARE = 0.5
+_LOAD_RATE_SHARE = 0.5
 
 
 class Weights:
@@ -34,32 +34,34 @@
     def __init__(
         self,
         spec: enginespec.EngineSpec,
-        lives: lives_.Lives,
-        book: orderbook.OrderBook,
+        liveness: liveness_.Liveness,
+        outbox: outboxes.Outbox,
     ) -> None:
         self._spec = spec
-        self._lives = lives
-        self._book = book
-        self._last_model: dict[tuple[str, int], str] = {}
-        self._staging: dict[str, tuple[str, clock.Ms]] = {}
-        self._loads = slidingcount.SlidingCount(clock.SECOND)
-        self.early = False
-
-    def remember(self, known: list[runners.Runner]) -> None:
+        self._liveness = liveness
+        self._outbox = outbox
+        self._last_model_by_start: dict[tuple[str, int], str] = {}
+        self._staging_by_id: dict[str, tuple[str, clock.Ms]] = {}
+        self._recent_loads = slidingcount.SlidingCount(clock.SECOND)
+        self.before_traffic = False
+
+    def update(self, alive: list[runners.Runner]) -> None:
         """Take in which model each runner's group has or had.
 
         :param known: all runners with their own word.
         """
-        here = {(runner.id, runner.born) for runner in known}
-        self._last_model = {
-            k: model for k, model in self._last_model.items() if k in here
+        starts = {(runner.id, runner.start_id) for runner in alive}
+        self._last_model_by_start = {
+            k: model
+            for k, model in self._last_model_by_start.items()
+            if k in starts
         }
-        for runner in known:
+        for runner in alive:
             if runner.membership is not None:
-                place = runner.id, runner.born
-                self._last_model[place] = runner.membership.key.model
+                start = runner.id, runner.start_id
+                self._last_model_by_start[start] = runner.membership.key.model
 
-    def price(
+    def join_time(
         self, runner: runners.Runner, model: modelspec.ModelSpec
     ) -> clock.Ms:
         """Return roughly how long a join takes.
@@ -67,13 +69,16 @@
         :param runner: who joins.
         :param model: of the group.
         """
-        if self._last_model.get((runner.id, runner.born)) == model.name:
-            return _AT_HAND
+        if (
+            self._last_model_by_start.get((runner.id, runner.start_id))
+            == model.name
+        ):
+            return _RESIDENT_JOIN_TIME
         if model.name in runner.staged:
             return model.staged_load_time
         return model.load_time
 
-    def bring(
+    def ensure_staged(
         self,
         members: list[runners.Runner],
         model: modelspec.ModelSpec,
@@ -85,18 +90,18 @@
         :param model: its model.
         :param now: monotonic ms.
         """
-        if self.early:
+        if self.before_traffic:
             return True
-        lacking = [
-            r for r in members if self.price(r, model) == model.load_time
+        unstaged = [
+            r for r in members if self.join_time(r, model) == model.load_time
         ]
-        for runner in lacking:
+        for runner in unstaged:
             self._stage(runner, model, now)
-        return not lacking
+        return not unstaged
 
     def stage_spares(
         self,
-        spares: Iterable[list[runners.Runner]],
+        spares_by_domain: Iterable[list[runners.Runner]],
         count_by_model: collections.Counter[str],
         now: clock.Ms,
     ) -> None:
@@ -106,18 +111,18 @@
         :param count_by_model: replicas that stand or are being formed.
         :param now: monotonic ms.
         """
-        for there in spares:
-            held = collections.Counter(
-                name for runner in there for name in runner.staged[:1]
+        for spares in spares_by_domain:
+            staged_count = collections.Counter(
+                name for runner in spares for name in runner.staged[:1]
             )
-            for runner in there:
+            for runner in spares:
                 if not runner.staged:
-                    model = self._most_lost(held, count_by_model)
-                    held[model.name] += 1
+                    model = self._model_to_stage(staged_count, count_by_model)
+                    staged_count[model.name] += 1
                     self._stage(runner, model, now)
 
     def stage_members(
-        self, standing: Iterable[standings.Standing], now: clock.Ms
+        self, replicas: Iterable[replicas.Replica], now: clock.Ms
     ) -> None:
         """Stage another model on the hosts of members that serve.
 
@@ -129,7 +134,7 @@
         :param standing: all replicas.
         :param now: monotonic ms.
         """
-        for replica in standing:
+        for replica in replicas:
             if replica.phase is not phase.Phase.OPEN:
                 continue
             others = [
@@ -141,21 +146,25 @@
                 return
             wanted = max(others, key=lambda m: m.initial_share / m.size)
             for runner in replica.member_by_rank.values():
-                sound = self._lives.is_listed(runner.id)
-                sound = sound and not self._lives.is_doubted(runner.id)
-                if sound and wanted.name not in runner.staged:
+                healthy = self._liveness.is_listed(runner.id)
+                healthy = healthy and not self._liveness.is_suspected(
+                    runner.id
+                )
+                if healthy and wanted.name not in runner.staged:
                     self._stage(runner, wanted, now)
 
-    def _most_lost(
+    def _model_to_stage(
         self,
-        held: collections.Counter[str],
+        staged_count: collections.Counter[str],
         count_by_model: collections.Counter[str],
     ) -> modelspec.ModelSpec:
         # A replica of twice the size loses members twice as often.
         return max(
             self._spec.model_by_name.values(),
             key=lambda m: (
-                m.size * max(1, count_by_model[m.name]) / (1 + held[m.name])
+                m.size
+                * max(1, count_by_model[m.name])
+                / (1 + staged_count[m.name])
             ),
         )
 
@@ -165,16 +174,24 @@
         model: modelspec.ModelSpec,
         now: clock.Ms,
     ) -> None:
-        name, since = self._staging.get(runner.id, ("", 0))
-        busy = self._spec.model_by_name.get(name)
-        if busy and now - since < busy.load_time + orderbook.AGAIN:
+        name, since = self._staging_by_id.get(runner.id, ("", 0))
+        loading = self._spec.model_by_name.get(name)
+        if (
+            loading
+            and now - since < loading.load_time + outboxes.RETRY_INTERVAL
+        ):
             return
-        most = max(1, int(_LOAD_SHARE * self._spec.weight_loads_per_second))
-        if not self.early and self._loads.count(now) >= most:
+        max_loads = max(
+            1, int(_LOAD_RATE_SHARE * self._spec.weight_loads_per_second)
+        )
+        if (
+            not self.before_traffic
+            and self._recent_loads.count(now) >= max_loads
+        ):
             return
-        self._loads.add(now)
-        self._staging[runner.id] = model.name, now
-        self._book.give(
+        self._recent_loads.add(now)
+        self._staging_by_id[runner.id] = model.name, now
+        self._outbox.add(
             orders.Order(orders.OrderKind.STAGE, runner.id, model=model.name),
             now,
         )
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -95,7 +95,7 @@
         "10.0.0.1:1",
         zone,
         membership=membership.Membership(key, 0, phase.Phase.OPEN),
-        seen=seen,
+        list_version=seen,
     )._replace(**changes)
 
 
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -11,8 +11,8 @@
 from citronvalve.model import missing
 from citronvalve.policy import repeatbudget
 from citronvalve.replicas import order
-from citronvalve.replicas import orders
 from citronvalve.replicas import runner
+from citronvalve.replicas import runnerclient
 from citronvalve.routes import callerlimits
 from citronvalve.routes import catalogue
 from citronvalve.routes import service
@@ -22,17 +22,17 @@
 _ANY_PORT = "127.0.0.1:0"
 
 
-class _Orders(orders.Orders):
+class _Orders(runnerclient.RunnerClient):
     """Takes every order, and keeps it."""
 
     def __init__(self):
         self.given = []
 
-    def give(self, target, what):
+    def send(self, target, what):
         self.given.append(what)
-        return order.Told.ACCEPTED
+        return order.OrderResult.ACCEPTED
 
-    def look(self, target):
+    def probe(self, target):
         return target
 
 
@@ -94,8 +94,8 @@
                 "zone-0",
                 domain="zone-0/d0",
                 staged=("large", "small"),
-                born=1,
-                seen=1,
+                start_id=1,
+                list_version=1,
             )
         )
     directory.known = True
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -125,7 +125,7 @@
                 "zone-0",
                 slots=6,
                 membership=membership.Membership(key, 0, phase.Phase.OPEN),
-                seen=1,
+                list_version=1,
             )
         )
 
--- a/tests/forward/steps/forward_steps.py
+++ b/tests/forward/steps/forward_steps.py
@@ -81,7 +81,9 @@
     for runner in rig.directory.runner_by_id.values():
         if runner.id == later:
             rig.directory.put(
-                runner._replace(datacentre="zone-1", seen=runner.seen + 1)
+                runner._replace(
+                    datacentre="zone-1", list_version=runner.list_version + 1
+                )
             )
 
 
--- a/tests/logs/steps/log_steps.py
+++ b/tests/logs/steps/log_steps.py
@@ -141,7 +141,9 @@
     if "head-2" in scripts:
         held = context.rig.directory.runner_by_id["head-2"]
         context.rig.directory.put(
-            held._replace(datacentre="zone-1", seen=held.seen + 1)
+            held._replace(
+                datacentre="zone-1", list_version=held.list_version + 1
+            )
         )
     context.rig.send(path, "X-Model: large\r\nX-Tokens: 100,60\r\n")
 
--- a/tests/replicas/steps/late_steps.py
+++ b/tests/replicas/steps/late_steps.py
@@ -18,12 +18,12 @@
     world.crash(world.members(context.head)[-1])
     # The leader's own look comes before the list's word.
     for member in world.members(context.head):
-        world.planner.lives.accuse(member)
+        world.planner.liveness.suspect(member)
 
 
 @behave.when("the new head is accused of standing still")
 def step_accuse_new(context):
-    context.world.planner.accuse(context.head)
+    context.world.planner.suspect_group(context.head)
 
 
 @behave.then("for {seconds:d} s no runner is in two groups")
@@ -99,7 +99,7 @@
     # A head's entry may lapse before those of its members.
     for runner in context.there:
         if runner.is_open_head:
-            context.world.planner.lives.accuse(runner.id)
+            context.world.planner.liveness.suspect(runner.id)
 
 
 @behave.when(
@@ -129,7 +129,7 @@
     world.deaf = there - dead
     world.dark |= there
     world.run(300)
-    world.planner.lives.accuse(context.head)
+    world.planner.liveness.suspect(context.head)
 
 
 @behave.when("the cut heals and the orders arrive as they were given")
@@ -172,7 +172,7 @@
     world.run(1_000)
     victim = [m for m in world.members(head.id) if m != head.id][-1]
     world.crash(victim)
-    world.planner.accuse(head.id)
+    world.planner.suspect_group(head.id)
     for _ in range(100):
         world.step()
         held = world.runner_by_id[head.id].membership
@@ -221,7 +221,7 @@
     context.there = world.cut_off(zone)
     for runner in context.there:
         if runner.is_open_head:
-            world.planner.accuse(runner.id)
+            world.planner.suspect_group(runner.id)
     world.run(300)
     world.dark -= {runner.id for runner in context.there[::2]}
     world.run(300)
--- a/tests/replicas/steps/lead_steps.py
+++ b/tests/replicas/steps/lead_steps.py
@@ -47,7 +47,7 @@
             context.lease[name].step()
         if each is not None:
             each()
-        context.clock.advance(lease.EVERY // 2)
+        context.clock.advance(lease.RENEW_INTERVAL // 2)
 
 
 @behave.given("daemons a, b, c, of which a leads")
@@ -98,7 +98,7 @@
         seconds * 1_000,
         each=lambda: context.held.append(context.lease["a"].held),
     )
-    context.spoke = context.lease["a"].leads
+    context.spoke = context.lease["a"].is_renewed
     for door in context.door.values():
         door.shut = False
 
@@ -115,7 +115,7 @@
     _run(
         context,
         seconds * 1_000,
-        each=lambda: context.lease["b"].heard("a", held),
+        each=lambda: context.lease["b"].observe_leader("a", held),
     )
     context.reads = context.door["b"].reads - before
 
@@ -138,7 +138,7 @@
 def step_still(context, seconds):
     _run(context, seconds * 1_000)
     assert context.lease["a"].held == context.first
-    assert context.lease["a"].leads
+    assert context.lease["a"].is_renewed
 
 
 @behave.then(
@@ -148,7 +148,7 @@
     assert set(context.held) == {context.first}
     assert not context.spoke
     # The others are in sight, so repairs go on.
-    context.lease["a"].company = lambda: True
+    context.lease["a"].has_majority = lambda: True
 
 
 @behave.then(
@@ -156,13 +156,13 @@
 )
 def step_speaks(context, seconds):
     _run(context, seconds * 1_000)
-    assert context.lease["a"].leads
+    assert context.lease["a"].is_renewed
 
 
 @behave.then("when a hears of it, it leads no more")
 def step_hears(context):
     newer = context.lease[context.leader].held
-    assert context.lease["a"].heard(context.leader, newer)
+    assert context.lease["a"].observe_leader(context.leader, newer)
     assert not context.lease["a"].held
 
 
@@ -195,7 +195,7 @@
     "a is cut off from the store and from the others for {seconds:d} s"
 )
 def step_cut_off(context, seconds):
-    context.lease["a"].company = lambda: False
+    context.lease["a"].has_majority = lambda: False
     context.door["a"].shut = True
     _run(context, 3_000)
     context.acts = []
@@ -215,7 +215,7 @@
     "once the store can be reached again a gives none before it has renewed"
 )
 def step_none_before(context):
-    context.lease["a"].company = lambda: True
+    context.lease["a"].has_majority = lambda: True
     assert not context.lease["a"].may_act()
     context.door["a"].shut = False
     _run(context, 1_000)
@@ -230,7 +230,7 @@
     before = context.door["b"].reads
     held = context.lease["a"].held
     for _ in range(3):
-        context.lease["b"].heard("a", held, count)
+        context.lease["b"].observe_leader("a", held, count)
         _run(context, 1_000, names=["b"])
     context.reads = context.door["b"].reads - before
 
--- a/tests/replicas/steps/leaving_steps.py
+++ b/tests/replicas/steps/leaving_steps.py
@@ -41,7 +41,7 @@
     context.mates = set(world.members(head.id)) - {head.id}
     world.working.add(head.id)
     world.runner_by_id[head.id] = head._replace(
-        leaving=True, seen=head.seen + 1
+        leaving=True, list_version=head.list_version + 1
     )
     world.run(2_000)
     _listens_no_more(world, head.id)
@@ -61,7 +61,9 @@
     world = context.world
     name = _member(context)
     held = world.runner_by_id[name]
-    world.runner_by_id[name] = held._replace(leaving=True, seen=held.seen + 1)
+    world.runner_by_id[name] = held._replace(
+        leaving=True, list_version=held.list_version + 1
+    )
     world.run(4_000)
     _listens_no_more(world, name)
     world.lead(2)
--- a/tests/replicas/steps/planning_steps.py
+++ b/tests/replicas/steps/planning_steps.py
@@ -25,7 +25,7 @@
 
 def _started(domains, size, models="large, small"):
     world = worlds.World(domains, size, models=_MODELS[models])
-    world.planner.early = True
+    world.planner.before_traffic = True
     return world
 
 
@@ -45,7 +45,7 @@
 def step_serve(context, domains, size):
     context.world = world = _started(domains, size)
     world.run(4_000)
-    world.planner.early = False
+    world.planner.before_traffic = False
     assert _counts(world) == (domains, domains), _counts(world)
 
 
@@ -114,7 +114,7 @@
 
 @behave.when("the head is accused of standing still")
 def step_accuse(context):
-    context.world.planner.accuse(context.head)
+    context.world.planner.suspect_group(context.head)
 
 
 @behave.when('every runner of "{zone}" goes silent to the leader')
@@ -139,7 +139,7 @@
 def step_accuse_all(context):
     for runner in context.there:
         if runner.is_open_head:
-            context.world.planner.accuse(runner.id)
+            context.world.planner.suspect_group(runner.id)
 
 
 @behave.when("for {seconds:g} s nothing else happens")
--- a/tests/replicas/steps/reshaping_steps.py
+++ b/tests/replicas/steps/reshaping_steps.py
@@ -20,7 +20,7 @@
             model: each * len(world.open_heads(model))
             for model, each in context.each.items()
         }
-        world.planner.need.see(load, world.now)
+        world.planner.demand.observe(load, world.now)
         world.run(worlds.STEP)
 
 
@@ -35,7 +35,7 @@
         head = next(h for h in world.open_heads("large") if h.domain == domain)
         member = [m for m in world.members(head.id) if m != head.id][0]
         world.crash(member)
-        world.planner.accuse(head.id)
+        world.planner.suspect_group(head.id)
         _run(context, 6_000)
 
 
@@ -70,7 +70,9 @@
     context.head = world.open_heads("large")[0].id
     name = [m for m in world.members(context.head) if m != context.head][0]
     held = world.runner_by_id[name]
-    world.runner_by_id[name] = held._replace(leaving=True, seen=held.seen + 1)
+    world.runner_by_id[name] = held._replace(
+        leaving=True, list_version=held.list_version + 1
+    )
     world.run(4_000)
     world.unlisted.add(name)
     world.dark.add(name)
--- a/tests/replicas/world.py
+++ b/tests/replicas/world.py
@@ -88,8 +88,8 @@
             zone,
             domain=f"{zone}/{domain}",
             staged=(model,) if staged else (),
-            born=1,
-            seen=1,
+            start_id=1,
+            list_version=1,
         )
 
     def lead(self, lease):
@@ -113,16 +113,22 @@
         )
         listed = {k: r for k, r in shown.items() if k not in self.unlisted}
         for act in self.planner.step(listed, self.now):
-            if isinstance(act, orders.Look):
+            if isinstance(act, orders.Probe):
                 self._look(act.runner)
             elif act.runner in self.deaf or self._is_delayed(act):
                 self.late.append(act)
-                self.planner.told(act, orders.Told.SILENT, self.now)
+                self.planner.record_result(
+                    act, orders.OrderResult.SILENT, self.now
+                )
             else:
                 self.carry_out(act)
                 gone = act.runner in self.dark | self.refusing
-                told = orders.Told.SILENT if gone else orders.Told.ACCEPTED
-                self.planner.told(act, told, self.now)
+                told = (
+                    orders.OrderResult.SILENT
+                    if gone
+                    else orders.OrderResult.ACCEPTED
+                )
+                self.planner.record_result(act, told, self.now)
         self.now += STEP
         self._progress()
         self._check()
@@ -157,7 +163,7 @@
         self.dark.discard(name)
         self.refusing.discard(name)
         held = self.runner_by_id[name]
-        self._put(held._replace(membership=None, born=held.born + 1))
+        self._put(held._replace(membership=None, start_id=held.start_id + 1))
 
     def open_heads(self, model=None):
         """Return the heads that serve."""
@@ -191,7 +197,9 @@
 
     def _put(self, runner):
         self._seen += 1
-        self.runner_by_id[runner.id] = runner._replace(seen=self._seen + 1)
+        self.runner_by_id[runner.id] = runner._replace(
+            list_version=self._seen + 1
+        )
 
     def _set(self, runner, key, rank, at):
         self._put(
@@ -208,9 +216,13 @@
         rank = act.members.index(runner.id)
         self._set(runner, act.key, rank, phase.Phase.JOINING)
         model = self.models[act.model]
-        load = model.load_time // 10 if self.planner.early else model.load_time
+        load = (
+            model.load_time // 10
+            if self.planner.before_traffic
+            else model.load_time
+        )
         span = model.staged_load_time if act.model in runner.staged else load
-        if self._last.get((runner.id, runner.born)) == act.model:
+        if self._last.get((runner.id, runner.start_id)) == act.model:
             span = 200
         self._done_at[runner.id] = self.now + span
 
@@ -273,8 +285,8 @@
                 del self._done_at[name]
             elif self.now >= at and held.phase is phase.Phase.JOINING:
                 del self._done_at[name]
-                last = self._last.get((name, runner.born))
-                self._last[name, runner.born] = held.key.model
+                last = self._last.get((name, runner.start_id))
+                self._last[name, runner.start_id] = held.key.model
                 if last != held.key.model:
                     # A join that had to load leaves the weights staged.
                     self._put(runner._replace(staged=(held.key.model,)))
@@ -290,11 +302,11 @@
                     self._set(runner, key, held.rank, phase.Phase.BROKEN)
 
     def _look(self, name):
-        lives = self.planner.lives
+        lives = self.planner.liveness
         if name in self.dark or name in self.refusing:
-            lives.silent(name, self.now)
+            lives.record_no_answer(name, self.now)
         else:
-            lives.answered(name, self.now)
+            lives.record_answer(name, self.now)
 
     def _check(self):
         seen = {}
--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -83,6 +83,6 @@
         staged=(),
         membership=None,
         cold_until=0,
-        born=1,
-        seen=row.version,
+        start_id=1,
+        list_version=row.version,
     )
