--- a/src/citronvalve/replicas/__init__.py
+++ b/src/citronvalve/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Groups of runners that serve one model together on the users' engines."""
+"""Plans the replicas: groups of runners that serve one model together."""
--- a/src/citronvalve/replicas/builder.py
+++ b/src/citronvalve/replicas/builder.py
@@ -1,4 +1,4 @@
-"""Forms replicas from free runners, and opens them once all are ready."""
+"""Forms replicas from free runners and opens them once all are ready."""
 
 import collections
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 from citronvalve.routes import enginespec
 from citronvalve.routes import modelspec
 
-#: Added to the expected time of a join before it is given up.
+#: Added to the expected time of a join to get its deadline.
 _JOIN_MARGIN: clock.Ms = 2_500
 
 _Kind = orders.OrderKind
@@ -27,16 +27,16 @@
 
 
 class ReplicaBuilder:
-    """Knows the replicas that are on their way.
+    """Forms the replicas of one service.
 
-    :param spec: the service's engines.
-    :param epochs: gives each formation its own, rising.
-    :param lives: who is there.
-    :param heads: who is bound to a head that may serve.
-    :param weights: what lies where.
-    :param book: takes orders.
-    :ivar pending_by_key: ordered, and not yet seen open.
-    :ivar need: which model needs a replica most.
+    :param spec: engine settings of the service.
+    :param epochs: rising epochs, one for each formation.
+    :param liveness: which runners are alive.
+    :param reservations: runners that may still belong to an open group.
+    :param weights: where the models' weights are staged.
+    :param outbox: takes the orders.
+    :ivar pending_by_key: replicas that were ordered and are not yet open.
+    :ivar demand: demand for each model.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
         self.demand = demands.Demand()
 
     def adopt(self, replica: replicas.Replica, now: clock.Ms) -> None:
-        """Open what a leader formed that did not come to open it.
+        """Take over a replica that an earlier leader formed and did not open.
 
-        :param standing: a replica whose members are all ready.
+        :param replica: a replica whose members are all ready.
         :param now: monotonic ms.
         """
         members = tuple(
@@ -78,10 +78,10 @@
         replica: replicas.Replica | None,
         now: clock.Ms,
     ) -> bool:
-        """Bring a replica a step on; return False when it was given up.
+        """Give the next orders for a replica; return False if abandoned.
 
         :param pending: the replica.
-        :param standing: what its members say, if any does.
+        :param replica: its state as reported by its members, if any.
         :param now: monotonic ms.
         """
         if replica is not None and replica.phase is phase.Phase.OPEN:
@@ -94,14 +94,14 @@
         if lost or now >= pending.deadline:
             del self.pending_by_key[pending.key]
             if not lost and self._reservations.has_opened(pending.key):
-                # It serves; only the list does not show it yet.
+                # It serves; the list does not show it yet.
                 return True
             if pending.open_ordered:
                 self._reservations.record_abandoned(pending, now)
             return False
         if replica is not None and replica.is_ready():
-            # Each member has itself said that it is ready under this name
-            # and epoch; the head checks none of them.
+            # Each member has reported that it is ready for this name and
+            # epoch.  The head does not check its members.
             pending.open_ordered = True
             head = pending.members[0]
             self._outbox.add(orders.Order(_Kind.OPEN, head, pending.key), now)
@@ -116,14 +116,14 @@
         list_growing: bool,
         now: clock.Ms,
     ) -> None:
-        """Form what can be formed, and take its members out.
+        """Form as many replicas as possible from the free runners.
 
-        What can serve in two seconds goes before what is in more need and
-        has to load weights.
+        Replicas that need no load and so serve within two seconds go first,
+        even if another model is in higher demand.
 
-        :param by_domain: free runners.
-        :param count_by_model: replicas that stand or are being formed.
-        :param filling: whether more runners are about to come.
+        :param free_by_domain: free runners; members are removed from it.
+        :param count_by_model: replicas that exist or are being formed.
+        :param list_growing: whether more runners are expected shortly.
         :param now: monotonic ms.
         """
         for staged_only in (True, False):
@@ -143,20 +143,20 @@
         oversupplied = self._oversupplied(count_by_model)
         for model in self._by_demand(count_by_model):
             if model.name in oversupplied:
-                # Its next replica would stand idle, and take the runners
-                # that the other model needs as soon as one more is there.
+                # Another replica of it would stay idle, and take runners
+                # that the other model can use once one more is free.
                 continue
             domain = self._best_domain(free_by_domain, model, staged_only)
             if domain is None and list_growing:
-                # Replicas of the smaller model would take the places of the
-                # larger one, which only does not fit yet.
+                # Replicas of a smaller model would take the runners of the
+                # larger one, which will fit once the list is complete.
                 return False
             if domain is None:
                 continue
             free = free_by_domain[domain]
             members = self._choose_members(free, model)
-            # Where weights are missing it is counted as formed all the
-            # same, or the next in need would take its members.
+            # Counted as formed even while its weights are being staged, so
+            # that the next model does not take its members.
             if staged_only or self._weights.ensure_staged(members, model, now):
                 self._start(members, model, now)
             count_by_model[model.name] += 1
@@ -179,9 +179,9 @@
     def most_demanded(
         self, count_by_model: _Counts
     ) -> modelspec.ModelSpec | None:
-        """Return the model in most need that some domain is large enough for.
+        """Return the model in highest demand that fits into some domain.
 
-        :param count_by_model: replicas that stand or are being formed.
+        :param count_by_model: replicas that exist or are being formed.
         """
         largest_size = self._liveness.largest_domain_size()
         for model in self._by_demand(count_by_model):
@@ -195,8 +195,8 @@
         model: modelspec.ModelSpec,
         staged_only: bool,
     ) -> str | None:
-        # The domain that is left with the fewest: a larger rest may still
-        # take a larger replica.
+        # Best fit: among equal join times prefers the domain with the fewest
+        # free runners, so that a larger one can still hold a larger replica.
         candidates = []
         for domain, free in free_by_domain.items():
             if len(free) < model.size:
@@ -219,7 +219,7 @@
         ranked = sorted(
             free, key=lambda r: (self._weights.join_time(r, model), r.id)
         )
-        # A cold head would bear only a part of the replica's requests.
+        # Warm runners first: a cold head takes only part of the requests.
         return sorted(ranked[: model.size], key=lambda r: (r.cold_until, r.id))
 
     def _start(
--- a/src/citronvalve/replicas/demand.py
+++ b/src/citronvalve/replicas/demand.py
@@ -1,29 +1,29 @@
-"""Which model the next replica should be of."""
+"""Demand for replicas of each model."""
 
 from collections.abc import Mapping
 
 from citronvalve.model import clock
 from citronvalve.routes import modelspec
 
-#: What was seen of the load loses half its weight in this time: bursts last
-#: some seconds, and a replica takes up to two to form.
+#: An observed load loses half its weight in this time: bursts last some
+#: seconds, and a replica takes up to 2 s to form.
 _HALF_LIFE: clock.Ms = 4_000
 
-#: A model whose need is below this part of another one's has replicas to
-#: spare: with one more, or one fewer, it still has half as many requests at
-#: each, so runners that change hands do not come back at once.
+#: A model whose demand is below this ratio of another one's is oversupplied.
+#: With one replica more or fewer each of its replicas still has about half
+#: as many requests, so runners don't move back and forth.
 _OVERSUPPLY_RATIO = 0.5
 
-#: A model of which no replica is open shows no load; it is never taken to
-#: need less than this part of its declared share.
+#: Lower bound of a model's load as a part of its declared share, since a
+#: model without an open replica shows no load.
 _MIN_DECLARED_PART = 0.5
 
 
 class Demand:
-    """Weighs the models by their declared share, then by what is seen.
+    """Ranks models by their declared share, or by load once there is any.
 
-    The declared share is of the runners' work, so a replica of twice the
-    size does twice as much of it; what is seen is requests at the replicas.
+    The declared share is a share of the runners' work, of which a replica of
+    twice the size does twice as much.  The load counts requests at replicas.
     """
 
     def __init__(self) -> None:
@@ -33,9 +33,9 @@
     def observe(
         self, load_by_model: Mapping[str, float], now: clock.Ms
     ) -> None:
-        """Take in how many requests are at the replicas of each model.
+        """Update the moving average of each model's load.
 
-        :param load_by_model: running and waiting, over all replicas.
+        :param load_by_model: requests running and queued at all replicas.
         :param now: monotonic ms.
         """
         elapsed = 0 if self._observed_at is None else now - self._observed_at
@@ -56,13 +56,13 @@
         models: Mapping[str, modelspec.ModelSpec],
         count_by_model: Mapping[str, int],
     ) -> list[modelspec.ModelSpec]:
-        """Return the models, the one in most need of a replica first.
+        """Return the models by demand, the highest first.
 
-        Made so that the model whose replicas are the busiest grows first:
-        the need is the work of each replica once there is one more.
+        The demand is the load of each replica once there is one more, so the
+        model with the busiest replicas comes first.
 
         :param models: by name.
-        :param count_by_model: replicas that stand or are being formed.
+        :param count_by_model: replicas that exist or are being formed.
         """
         demand_by_model = self._demand_by_model(models, count_by_model, 1)
         return sorted(
@@ -76,12 +76,12 @@
         count_by_model: Mapping[str, int],
         removed: int = 0,
     ) -> set[str]:
-        """Return the models that have replicas to spare beside another.
+        """Return the models that are oversupplied compared with another.
 
-        :param top: the model in more need.
+        :param top: the model in higher demand.
         :param models: by name.
-        :param count_by_model: replicas that stand or are being formed.
-        :param fewer: 1 to ask for those that could also give one up.
+        :param count_by_model: replicas that exist or are being formed.
+        :param removed: 1 for models that could also close one replica.
         """
         demand_by_model = self._demand_by_model(models, count_by_model, 1)
         without_by_model = self._demand_by_model(
--- a/src/citronvalve/replicas/lease.py
+++ b/src/citronvalve/replicas/lease.py
@@ -1,4 +1,4 @@
-"""Which daemon leads the replica groups."""
+"""The lease of the daemon that leads the replica groups."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -15,62 +15,64 @@
 _LEADER_KEY = "leader"
 _DAEMON_PREFIX = "daemon/"
 
-#: How often the holder renews, and the others look.
+#: Time between two renewals by the holder, and two scans by the others.
 RENEW_INTERVAL: clock.Ms = 1_000
 
-#: A row that has not changed for so long may be taken: a renewal that was
-#: lost, and some.  It only saves work: what keeps two leaders apart are
-#: the epochs, since a runner refuses one lower than it has seen.
+#: A lease that has not been renewed for this long may be acquired, which
+#: allows for one lost renewal.  Two leaders at once would only waste work:
+#: runners reject an epoch lower than one they have seen.
 _LEASE_DURATION: clock.Ms = 1_900
 
-#: A leader that was heard this lately need not be looked for in the store.
+#: A leader that was heard of within this time is not looked up in the store.
 _LEADER_TIMEOUT: clock.Ms = 1_000
 
-#: A leader that could not renew for so long goes silent.
+#: A leader that could not renew for this long stops announcing itself.
 _RENEWAL_TIMEOUT: clock.Ms = 2_200
 
-#: Even then the list of daemons is read once in this time.
+#: Longest time between two scans, which refresh the list of daemons.
 _SCAN_INTERVAL: clock.Ms = 10_000
 
-#: A leader reads it this often for a while after it took the lead, since at
-#: the start daemons come one after the other.
+#: Time between two scans for a while after a daemon has become the leader,
+#: since daemons register one after the other at the start.
 _NEW_LEADER_SCAN_INTERVAL: clock.Ms = 1_000
 _NEW_LEADER_TIME: clock.Ms = 5_000
 
 
-#: Epochs of one lease; a leader forms far fewer groups.
+#: Number of epochs of one lease; a leader forms far fewer groups.
 _EPOCHS_PER_LEASE = 100_000
 
 
 def epochs(lease: int) -> Iterator[int]:
-    """Return the epochs of a lease, above those of all earlier ones.
+    """Return the epochs of a lease, above those of all earlier leases.
 
-    :param lease: version at which the lead was taken.
+    :param lease: version at which the lease was acquired.
     """
     return itertools.count(lease * _EPOCHS_PER_LEASE + 1)
 
 
 class Peer(NamedTuple):
-    """Where a daemon is reached, as ``host:port``, and where it stands."""
+    """A daemon's address, as ``host:port``, and its data centre."""
 
     address: str
     datacentre: str
 
 
 class Lease:
-    """The one row that lasts; its version at taking makes the epochs.
+    """Acquires and renews the leader lease, a row of the store.
+
+    The row's version when the lease was acquired determines the epochs.
 
     :param service: the table service.
-    :param name: this daemon.
-    :param here: where other daemons reach it.
+    :param name: name of this daemon.
+    :param own_peer: address of this daemon.
     :param now: the clock.
-    :param log: told of each change of the leader.
-    :ivar held: version at which this daemon took the lead, or 0.
-    :ivar leader: the daemon that leads, as far as is known.
-    :ivar newest: the highest lease that was heard of.
-    :ivar company: tells whether most daemons were heard just now.
-    :ivar renewed_at: monotonic ms of the last answer of the store, or None.
-    :ivar peer_by_name: where all daemons are reached, this one too.
+    :param log: records each change of the leader.
+    :ivar held: version at which this daemon acquired the lease, or 0.
+    :ivar leader: name of the leader as last known, or empty.
+    :ivar newest: the highest lease version heard of.
+    :ivar has_majority: returns whether most daemons were heard recently.
+    :ivar renewed_at: monotonic ms of the last write of the lease, or None.
+    :ivar peer_by_name: addresses of all daemons, including this one.
     """
 
     def __init__(
@@ -103,7 +105,10 @@
         self.peer_by_name: dict[str, Peer] = {name: own_peer}
 
     def step(self) -> None:
-        """Renew, look or take; a failure leaves everything as it is."""
+        """Renew the lease, or scan the store and acquire it if it is free.
+
+        A failure of the store changes nothing.
+        """
         if self.held and self._row is not None:
             self._renew()
             recently_acquired = not self._has_elapsed(
@@ -130,11 +135,11 @@
 
     @property
     def is_renewed(self) -> bool:
-        """Tell whether this daemon may speak as the leader.
+        """Return whether this daemon leads and has renewed recently.
 
-        One that can't reach the store reads an old list.  It goes silent,
-        so that another takes the lead, and goes on planning only as long as
-        no other has.
+        A leader that can't reach the store has an old list.  It must not
+        announce itself, so that another daemon can become the leader; until
+        then it goes on planning.
         """
         if not self.held or self.renewed_at is None:
             return False
@@ -142,18 +147,18 @@
 
     @property
     def has_recent_leader(self) -> bool:
-        """Tell whether another daemon said just now that it leads."""
+        """Return whether another daemon announced recently that it leads."""
         return not self.held and not self._has_elapsed(
             self._leader_heard_at, _LEADER_TIMEOUT
         )
 
     def may_act(self) -> bool:
-        """Tell whether this daemon may give orders now.
+        """Return whether this daemon may give orders now.
 
-        While the store is away for all, nobody else can take the lead, and
-        repairs go on as long as most daemons are in sight.  A leader that is
-        cut off from them too may have been followed by another, which closes
-        what it would open; it acts again only after it has renewed.
+        While no daemon can reach the store, nobody else can become the
+        leader, so repairs go on as long as most daemons are reachable.  A
+        leader cut off from them too may have a successor, which closes
+        groups that it would open; it acts again only after a renewal.
         """
         if self.is_renewed:
             self._suspended = False
@@ -163,16 +168,16 @@
 
     @property
     def daemon_count(self) -> int:
-        """Return how many daemons are known."""
+        """Return the number of known daemons."""
         return max(1, len(self.peer_by_name))
 
     def observe_leader(self, name: str, lease: int, daemons: int = 0) -> bool:
-        """Take in that a daemon says it leads; tell whether it is believed.
+        """Record that a daemon claims to lead; return False if outdated.
 
         :param name: the daemon.
-        :param lease: version at which it took the lead.
-        :param daemons: how many it knows; with more than before the list is
-            read once more, so that all rank the same daemons.
+        :param lease: version at which it acquired the lease.
+        :param daemons: number of daemons it knows.  If it is higher than
+            before, the list is read again, so that all rank the same daemons.
         """
         if lease < self.newest:
             return False
@@ -183,19 +188,19 @@
         self._leader_heard_at = self._clock.now()
         if self.held and lease > self.held:
             self._row = None
-            self._lose("a newer leader was heard")
+            self._lose("a leader with a newer lease was heard")
         return True
 
     def add_peer(self, name: str, peer: Peer) -> None:
-        """Take in that a daemon has started.
+        """Record that a daemon has started.
 
         :param name: the daemon.
-        :param peer: where it is reached.
+        :param peer: its address.
         """
         self.peer_by_name[name] = peer
 
     def resign(self) -> None:
-        """Let another daemon take the lead at once."""
+        """Release the lease, so that another daemon can acquire it at once."""
         if self.held:
             self._write("")
             self._lose("resigned")
@@ -223,7 +228,7 @@
 
     def _record_peer(self, name: str, row: rows.Row) -> None:
         peer = row.value.get("address"), row.value.get("datacentre")
-        # Its own place a daemon knows better than a row of an earlier start.
+        # The row of this daemon may be from an earlier start.
         if name != self._name and all(isinstance(p, str) for p in peer):
             self.peer_by_name[name] = Peer(*peer)
 
@@ -238,7 +243,7 @@
             return True
         holder = self._row.value.get("holder")
         if not holder or holder == self._name:
-            # Given up, or taken by this daemon before it started again.
+            # Released, or acquired by this daemon before a restart.
             return True
         return self._clock.now() - self._row_changed_at >= _LEASE_DURATION
 
@@ -254,7 +259,7 @@
         done = self._write(self._name)
         if isinstance(done, rows.Conflict):
             self._row = None
-            self._lose("another daemon took it")
+            self._lose("another daemon acquired the lease")
         elif isinstance(done, missing.AnswerLost):
             self._read_back()
 
@@ -266,7 +271,7 @@
             self._row = found
         else:
             self._row = None
-            self._lose("another daemon took it")
+            self._lose("another daemon acquired the lease")
 
     def _write(self, holder: str) -> rows.CommitResult:
         self._write_count += 1
--- a/src/citronvalve/replicas/liveness.py
+++ b/src/citronvalve/replicas/liveness.py
@@ -1,4 +1,4 @@
-"""Which runners are there, from the list and from looking."""
+"""Which runners are alive, according to the list and to probes."""
 
 import collections
 
@@ -6,35 +6,35 @@
 from citronvalve.replicas import runner as runners
 from citronvalve.replicas import suspicion as suspicions
 
-#: A runner that answers is looked at again after this time while it is in
-#: doubt.
+#: Time between two probes of a suspected runner.
 _SUSPECT_PROBE_INTERVAL: clock.Ms = 400
 
-#: How often others of a data centre are looked at after a loss there, until
-#: one of them answers.
+#: Time between two probes of other runners in a data centre after a loss
+#: there, until one of them answers.
 _DATACENTRE_PROBE_INTERVAL: clock.Ms = 300
 
-#: One that left the list and answers is looked at less often.
+#: Time between two probes of a lost runner, and of one that left the list
+#: and answers.
 _SLOW_PROBE_INTERVAL: clock.Ms = 2_000
 
-#: A data centre of which nobody answers for so long is behind a cut; after a
-#: single loss another runner there answers within a third of it.
+#: A data centre without any answer for this long is partitioned.  After the
+#: loss of a single runner another one there answers within a third of it.
 _MIN_PARTITION_TIME: clock.Ms = 1_000
 
-#: Once a cut has healed, what is known of the data centre is old for so long:
-#: its entries come back within two seconds, orders that were held up arrive.
+#: Time after a partition has healed for which the state of the data centre is
+#: stale: its entries come back within 2 s, and delayed orders arrive.
 _SETTLING_TIME: clock.Ms = 2_500
 
-#: One that left the list is kept in mind for this long.
+#: A runner that left the list is remembered for this long.
 _UNLISTED_RETENTION: clock.Ms = 30_000
 
 
 class Liveness:
-    """Keeps what is known of each runner's life.
+    """Tracks which runners are alive.
 
-    The list lags by seconds when a runner dies without a word, and drops
-    runners that live but can't reach it.  So whoever is accused, or gone
-    from the list, is looked at before anything is decided.
+    The list shows a crash only seconds later, and drops live runners that
+    can't reach it.  So a runner that is suspected or has left the list is
+    probed before it counts as lost.
     """
 
     def __init__(self) -> None:
@@ -49,9 +49,9 @@
     def apply_list(
         self, runner_by_id: dict[str, runners.Runner], now: clock.Ms
     ) -> None:
-        """Take in the list as it is now.
+        """Apply the current list.
 
-        :param runner_by_id: all that it holds.
+        :param runner_by_id: all entries.
         :param now: monotonic ms.
         """
         for gone in self._listed_by_id.keys() - runner_by_id.keys():
@@ -60,7 +60,7 @@
         for runner_id, runner in runner_by_id.items():
             held = self._listed_by_id.get(runner_id)
             if held is None or held.start_id != runner.start_id:
-                # A new start owes nothing to what was seen of the last.
+                # Probe results of an earlier start don't apply to this one.
                 self._suspicion_by_id.pop(runner_id, None)
                 self._unlisted_by_id.pop(runner_id, None)
         self._listed_by_id = dict(runner_by_id)
@@ -75,14 +75,14 @@
                 self._suspicion_by_id.pop(gone, None)
 
     def suspect(self, runner_id: str) -> None:
-        """Note that a runner may be lost.
+        """Suspect a runner, so that it is probed.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         self._suspicion_by_id.setdefault(runner_id, suspicions.Suspicion())
 
     def alive(self) -> list[runners.Runner]:
-        """Return all runners that may live, listed or not."""
+        """Return all runners that are not lost, listed or not."""
         unlisted = [held for held, _ in self._unlisted_by_id.values()]
         return [
             runner
@@ -91,15 +91,15 @@
         ]
 
     def is_departed(self, runner_id: str) -> bool:
-        """Tell whether a runner that is silent left in order.
+        """Return whether a lost runner left in an orderly way.
 
-        One that leaves listens no more while its head's work goes on, and
-        stays for that work.  Taken for dead, it would have its group cut,
-        and callers would lose streams that end within a second or two.  It
-        said that it leaves, or it answered after it had left the list; one
-        that dies does neither.
+        A leaving runner stops listening but stays until the requests of its
+        head have ended.  If it counted as dead, its group would be cut, and
+        callers would lose streams that end within a second or two.  It
+        announced that it leaves or answered after it had left the list; a
+        runner that crashes does neither.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         held = self.find(runner_id)
         if held is None or not self.is_lost(runner_id):
@@ -109,7 +109,7 @@
         )
 
     def departed(self) -> list[runners.Runner]:
-        """Return the silent runners that left in order, as last known."""
+        """Return the runners that left in an orderly way, as last known."""
         return [
             self.find(runner)
             for runner in self._suspicion_by_id
@@ -117,9 +117,9 @@
         ]
 
     def find(self, runner_id: str) -> runners.Runner | None:
-        """Return what was last known of a runner.
+        """Return a runner as last known.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         held = self._listed_by_id.get(runner_id)
         if held is not None:
@@ -128,41 +128,40 @@
         return unlisted[0] if unlisted else None
 
     def largest_domain_size(self) -> int:
-        """Return how many listed runners the largest domain has."""
+        """Return the number of listed runners in the largest domain."""
         counts = collections.Counter(
             r.domain for r in self._listed_by_id.values()
         )
         return max(counts.values(), default=0)
 
     def is_listed(self, runner_id: str) -> bool:
-        """Tell whether the list holds a runner.
+        """Return whether a runner is in the list.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         return runner_id in self._listed_by_id
 
     def is_lost(self, runner_id: str) -> bool:
-        """Tell whether a runner counts as lost.
+        """Return whether a runner counts as lost.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         suspicion = self._suspicion_by_id.get(runner_id)
         return suspicion is not None and suspicion.is_lost
 
     def is_suspected(self, runner_id: str) -> bool:
-        """Tell whether a runner is being looked at.
+        """Return whether a runner is suspected to be lost.
 
-        :param runner: its id.
+        :param runner_id: its id.
         """
         return runner_id in self._suspicion_by_id
 
     def is_reachable(self, datacentre: str) -> bool:
-        """Tell whether a data centre can be reached from here.
+        """Return whether a data centre can be reached from here.
 
-        When a link between data centres is cut, every runner behind it goes
-        silent, and each of them lives.  So after the last loss there another
-        runner must have answered; an answer from before the loss may be from
-        before the cut.
+        In a network partition no runner behind it answers although all are
+        alive.  So another runner must have answered since the last loss; an
+        earlier answer may be from before the partition.
 
         :param datacentre: its name.
         """
@@ -176,7 +175,7 @@
         )
 
     def due_probes(self, now: clock.Ms) -> list[str]:
-        """Return the runners that are to be looked at now.
+        """Return the ids of the runners to be probed now.
 
         :param now: monotonic ms.
         """
@@ -200,7 +199,7 @@
         return due
 
     def is_settled(self, datacentre: str, now: clock.Ms) -> bool:
-        """Tell whether what is known of a data centre can be acted on.
+        """Return whether a data centre is reachable and its state is current.
 
         :param datacentre: its name.
         :param now: monotonic ms.
@@ -211,10 +210,10 @@
         return healed is None or now - healed >= _SETTLING_TIME
 
     def track_partitions(self, now: clock.Ms) -> None:
-        """Note which data centres are behind a cut, and which are back.
+        """Record which data centres are partitioned and which have healed.
 
-        Whoever went silent behind a cut is asked anew when it has healed;
-        taken for lost, it would lose its group, which served all the while.
+        When a partition heals, the runners behind it are probed afresh.  If
+        they stayed lost, groups that served all the while would be closed.
 
         :param now: monotonic ms.
         """
@@ -248,8 +247,8 @@
         return newest
 
     def _due_datacentre_probes(self, now: clock.Ms) -> list[str]:
-        # After a loss one runner of each domain there is looked at, until
-        # one of them has answered.
+        # After a loss one runner of each domain there is probed until one of
+        # them has answered.
         if now - self._datacentre_probed_at < _DATACENTRE_PROBE_INTERVAL:
             return []
         unreachable = {
@@ -267,9 +266,9 @@
         return list(due.values())
 
     def record_answer(self, runner_id: str, now: clock.Ms) -> None:
-        """Note that a runner answered a look.
+        """Record that a runner answered a probe.
 
-        :param runner: its id.
+        :param runner_id: its id.
         :param now: monotonic ms.
         """
         self._answered_at_by_id[runner_id] = now
@@ -281,12 +280,12 @@
             suspicion.record_unlisted_answer()
 
     def record_no_answer(self, runner_id: str, now: clock.Ms) -> None:
-        """Note that a look had no answer.
+        """Record that a probe had no answer.
 
-        A port that refuses proves no more than silence: a link that is cut
-        may refuse in the runner's place, which lives behind it.
+        A refused connection counts the same: during a partition the network
+        may refuse it on behalf of a runner that is alive.
 
-        :param runner: its id.
+        :param runner_id: its id.
         :param now: monotonic ms.
         """
         suspicion = self._suspicion_by_id.get(runner_id)
--- a/src/citronvalve/replicas/membership.py
+++ b/src/citronvalve/replicas/membership.py
@@ -6,23 +6,23 @@
 
 
 class GroupKey(NamedTuple):
-    """One formation of a group: its name and its epoch, never used again."""
+    """One formation of a group: its name and epoch, which is never reused."""
 
     name: str
     epoch: int
 
     @property
     def model(self) -> str:
-        """Return the model, which stands in the group's name.
+        """Return the model, which is part of the group's name.
 
-        A daemon that takes the lead then needs nothing but the runners'
-        own word to know what each group serves.
+        So a new leader learns from the runners' reports alone what each
+        group serves.
         """
         return self.name.partition("~")[0]
 
 
 class Membership(NamedTuple):
-    """A group and what a runner is in it; the head has rank 0."""
+    """A runner's group, rank and phase in it; the head has rank 0."""
 
     key: GroupKey
     rank: int
--- a/src/citronvalve/replicas/order.py
+++ b/src/citronvalve/replicas/order.py
@@ -1,4 +1,4 @@
-"""Orders to runners, and what they say to them."""
+"""Orders to runners and their results."""
 
 import enum
 from typing import NamedTuple
@@ -7,24 +7,28 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What a runner is told to do."""
+    """What a runner is ordered to do."""
 
     #: Become a member of a group.
     JOIN = "join"
-    #: As the head of a ready group, begin to serve.
+    #: As the head of a ready group, start to serve.
     OPEN = "open"
-    #: As the head, finish what runs and take no more.
+    #: As the head, finish running requests and accept no more.
     CLOSE = "close"
-    #: As the head, cut what runs and take no more.
+    #: As the head, abort running requests and accept no more.
     CUT = "cut"
-    #: Drop out of a group at once.
+    #: Leave a group at once.
     LEAVE = "leave"
-    #: Bring a model's weights to the host.
+    #: Load a model's weights to the host.
     STAGE = "stage"
 
 
 class Order(NamedTuple):
-    """``members`` are ids, the head first; empty but for a join."""
+    """An order to one runner.
+
+    ``runner`` is its id.  ``members`` are ids, the head first; only a join
+    has them.
+    """
 
     kind: OrderKind
     runner: str
@@ -34,19 +38,19 @@
 
 
 class Probe(NamedTuple):
-    """A runner is to be asked whether it is there."""
+    """A check whether a runner, given by its id, is alive."""
 
     runner: str
 
 
 class OrderResult(enum.Enum):
-    """What came back of an order."""
+    """The result of an order."""
 
-    #: It has begun.
+    #: The runner has started to carry it out.
     ACCEPTED = enum.auto()
-    #: The state holds already.
+    #: The runner is in the ordered state already.
     HOLDS = enum.auto()
-    #: It does not fit the runner's state, or its epoch is too low.
+    #: The order does not fit the runner's state, or its epoch is too low.
     REFUSED = enum.auto()
-    #: No answer; it may be carried out later.
+    #: No answer; the order may still be carried out later.
     SILENT = enum.auto()
--- a/src/citronvalve/replicas/outbox.py
+++ b/src/citronvalve/replicas/outbox.py
@@ -1,27 +1,27 @@
-"""Orders of one plan, each given again only after a while."""
+"""Orders and probes of one plan, with repeats rate-limited."""
 
 from citronvalve.model import clock
 from citronvalve.replicas import order as orders
 
-#: An order without visible effect is given again after this time: the list
-#: shows a change some tens of ms after it, and an answer may have been lost.
+#: An order without visible effect is repeated after this time, since it or
+#: its answer may be lost.  The list shows a change within some tens of ms.
 RETRY_INTERVAL: clock.Ms = 1_000
 
-#: Orders remembered before those that may be given again are dropped.
+#: Orders remembered before those that may be repeated are dropped.
 _MAX_REMEMBERED = 1_000
 
 
 class Outbox:
-    """Collects what a plan gives, and remembers what was given lately."""
+    """Queues orders and probes, and drops repeats of recent orders."""
 
     def __init__(self) -> None:
         self._sent_at_by_order: dict[orders.Order, clock.Ms] = {}
         self._queued: list[orders.Order | orders.Probe] = []
 
     def add(self, order: orders.Order, now: clock.Ms) -> None:
-        """Give an order, unless it was given just now.
+        """Queue an order unless it was queued within the retry interval.
 
-        :param what: the order.
+        :param order: the order.
         :param now: monotonic ms.
         """
         sent_at = self._sent_at_by_order.get(order)
@@ -31,14 +31,14 @@
         self._queued.append(order)
 
     def add_probe(self, runner_id: str) -> None:
-        """Ask whether a runner is there.
+        """Queue a probe.
 
-        :param runner: its id.
+        :param runner_id: the runner to probe.
         """
         self._queued.append(orders.Probe(runner_id))
 
     def drain(self, now: clock.Ms) -> list[orders.Order | orders.Probe]:
-        """Return what was given since the last call.
+        """Return what was queued since the last call.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/replicas/pending.py
+++ b/src/citronvalve/replicas/pending.py
@@ -5,12 +5,12 @@
 
 
 class PendingReplica:
-    """Ordered, and not yet seen open.
+    """A replica that was ordered and is not yet open.
 
     :param key: the formation.
     :param members: ids, the head first.
-    :param until: monotonic ms at which it is given up.
-    :ivar opened: whether the head was told to open.
+    :param deadline: monotonic ms at which it is abandoned.
+    :ivar open_ordered: whether the head was ordered to open.
     """
 
     def __init__(
--- a/src/citronvalve/replicas/phase.py
+++ b/src/citronvalve/replicas/phase.py
@@ -1,10 +1,10 @@
-"""How far a runner has got in its group, as it says itself."""
+"""Phase of a runner in its group, as it reports itself."""
 
 import enum
 
 
 class Phase(enum.StrEnum):
-    """The phase of one member; a head serves only while it is open."""
+    """Phase of one member; a head accepts requests only while open."""
 
     JOINING = "joining"
     READY = "ready"
@@ -13,5 +13,5 @@
     BROKEN = "broken"
 
 
-#: A head in one of these may be running requests.
+#: Phases in which a head may be running requests.
 SERVING = frozenset({Phase.OPEN, Phase.CLOSING})
--- a/src/citronvalve/replicas/planner.py
+++ b/src/citronvalve/replicas/planner.py
@@ -1,4 +1,4 @@
-"""Decides which replicas to form, open, close and give up."""
+"""Decides which replicas to form, open and close."""
 
 import collections
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 from citronvalve.replicas import weights
 from citronvalve.routes import enginespec
 
-#: What runs in a whole replica that is closed may finish for so long; a
-#: usual answer takes one to two seconds.
+#: Time for which a complete replica that is being closed may finish its
+#: running requests.  A usual answer takes 1 to 2 s.
 _DRAIN_TIME: clock.Ms = 4_000
 
-#: At the first start, the list is taken to be still growing for so long
-#: after a runner came; they come some tens of ms apart.
+#: At the first start, the list counts as growing until no runner has been
+#: added for this long.  Runners register some tens of ms apart.
 _GROWTH_PAUSE: clock.Ms = 500
 
 _Kind = orders.OrderKind
@@ -32,16 +32,15 @@
 
 
 class Planner:
-    """Plans for one service; pure but for what it remembers.
+    """Plans the replicas of one service, without any I/O.
 
-    A replica that lost a member is closed, and what is missing is formed
-    anew from free runners; so there is one way to form a replica, at the
-    start as in a repair.
+    A replica that lost a member is closed, and a new one is formed from free
+    runners.  So a repair works in the same way as the first start.
 
-    :param spec: the service's engines.
-    :param stall: ms until a head that stands still is broken.
-    :param epochs: gives each formation its own, rising.
-    :ivar lives: who is there.
+    :param spec: engine settings of the service.
+    :param stall_timeout: ms after which a stalled head breaks.
+    :param epochs: rising epochs, one for each formation.
+    :ivar liveness: which runners are alive.
     """
 
     def __init__(
@@ -72,12 +71,12 @@
 
     @property
     def demand(self) -> demand.Demand:
-        """Return what weighs the models."""
+        """Return the demand for each model."""
         return self._builder.demand
 
     @property
     def before_traffic(self) -> bool:
-        """Tell whether no request has come; loads are quick until then."""
+        """Return whether no request has come; until then loads are fast."""
         return self._weights.before_traffic
 
     @before_traffic.setter
@@ -85,9 +84,9 @@
         self._weights.before_traffic = before_traffic
 
     def suspect_group(self, head_id: str) -> None:
-        """Take in that a replica stands still: any member may be lost.
+        """Suspect all members of a stalled replica.
 
-        :param head: the head's id.
+        :param head_id: the head's id.
         """
         held = self.liveness.find(head_id)
         self.liveness.suspect(head_id)
@@ -101,10 +100,10 @@
     def record_result(
         self, order: orders.Order, result: orders.OrderResult, now: clock.Ms
     ) -> None:
-        """Take in what came back of an order.
+        """Record the result of an order.
 
-        :param what: the order.
-        :param told: the runner's answer.
+        :param order: the order.
+        :param result: the runner's response.
         :param now: monotonic ms.
         """
         self._reservations.record_result(order, result, now)
@@ -112,9 +111,9 @@
     def step(
         self, runner_by_id: dict[str, runners.Runner], now: clock.Ms
     ) -> list[orders.Order | orders.Probe]:
-        """Return what is to be done now.
+        """Return the orders and probes to send now.
 
-        :param runner_by_id: the list's runners of this service.
+        :param runner_by_id: the listed runners of this service.
         :param now: monotonic ms.
         """
         replica_by_key = self._observe(runner_by_id, now)
@@ -206,7 +205,8 @@
                     count_by_model[key.model] += 1
             else:
                 self._dissolved_at_by_key[key] = now
-        # One that was given up this very moment binds nobody by itself.
+        # A replica abandoned in this step has no pending entry that reserves
+        # its members, so the reservations are read again.
         return reserved | self._reservations.reserved_runners(now)
 
     def _review(
@@ -215,7 +215,7 @@
         spare_count: collections.Counter[str],
         now: clock.Ms,
     ) -> bool:
-        """Act on one replica; tell whether its members are bound to it."""
+        """Act on one replica; return whether its members stay reserved."""
         key = replica.key
         if key in self._builder.pending_by_key:
             return True
@@ -252,8 +252,8 @@
             return False
         if replica.phase is _Phase.CLOSING:
             return False
-        # A member that leaves stays while its head has work, so nothing is
-        # won by closing before there is another runner in its place.
+        # A leaving member stays while its head runs requests, so closing the
+        # replica only helps once a spare can take its place.
         leaving = any(r.leaving for r in replica.member_by_rank.values())
         return not (leaving and spare_count[head.domain])
 
@@ -266,9 +266,9 @@
         self._outbox.add(orders.Order(kind, replica.head.id, replica.key), now)
 
     def _may_drain(self, replica: replicas.Replica, now: clock.Ms) -> bool:
-        """Tell whether what runs in a replica that is closed may finish.
+        """Return whether a replica may finish its running requests.
 
-        With a member dead nothing that runs there can end.
+        With a dead member none of them can end.
         """
         if now - self._dissolved_at_by_key[replica.key] >= _DRAIN_TIME:
             return False
--- a/src/citronvalve/replicas/rebalancer.py
+++ b/src/citronvalve/replicas/rebalancer.py
@@ -1,4 +1,4 @@
-"""Gives up a replica of one model for a replica of another."""
+"""Closes a replica of one model in favour of a replica of another."""
 
 from collections.abc import Mapping
 
@@ -10,23 +10,23 @@
 from citronvalve.replicas import runner as runners
 from citronvalve.routes import enginespec
 
-#: Between two replicas that are given up: what follows from one, its end (up
-#: to 4 s), a join (2 s) and requests that move, must show in the loads first.
+#: Time between two closures.  The effects of one, its draining (up to 4 s),
+#: a join (2 s) and moved requests, must first show in the loads.
 _MIN_INTERVAL: clock.Ms = 6_000
 
 
 class Rebalancer:
-    """Decides when a sound replica gives its runners to another model.
+    """Chooses healthy replicas to close for a model in higher demand.
 
-    Made for losses that hit the model of large replicas more often: a domain
-    that is one runner short of a large replica can still form a small one,
-    so that in time the small model has replicas to spare, and callers of the
-    large one are refused.  A model's replica is given up only while the
-    other needs twice as much at each replica, also afterwards.
+    Losses hit the model of large replicas more often: a domain one runner
+    short of a large replica can still form a small one.  Over time the small
+    model becomes oversupplied while callers of the large one are refused.  A
+    replica is closed only while the other model has at least twice the
+    demand for each replica, also after the change.
 
-    :param spec: the service's engines.
-    :param forming: knows the need.
-    :ivar given_up: replicas that are to be closed.
+    :param spec: engine settings of the service.
+    :param builder: knows the demand.
+    :ivar to_close: replicas that are to be closed.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         count_by_model: Mapping[str, int],
         now: clock.Ms,
     ) -> None:
-        """Choose a replica to give up, if there is reason to.
+        """Choose a replica to close, if the demand calls for it.
 
-        :param found: all replicas.
-        :param by_domain: runners that are free.
-        :param count_by_model: replicas that stand or are being formed.
+        :param replica_by_key: all replicas.
+        :param free_by_domain: free runners.
+        :param count_by_model: replicas that exist or are being formed.
         :param now: monotonic ms.
         """
         self.to_close &= replica_by_key.keys()
@@ -65,7 +65,7 @@
             domain: len(there) for domain, there in free_by_domain.items()
         }
         if max(free_count_by_domain.values(), default=0) >= most_demanded.size:
-            # It is about to be formed, or waits for its weights.
+            # It is about to be formed or is waiting for its weights.
             return
         oversupplied = self._builder.demand.oversupplied(
             most_demanded, models, count_by_model, 1
--- a/src/citronvalve/replicas/replica.py
+++ b/src/citronvalve/replicas/replica.py
@@ -1,4 +1,4 @@
-"""A replica as its members tell of it."""
+"""A replica as reported by its members."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -17,21 +17,21 @@
 
     @property
     def head(self) -> runners.Runner | None:
-        """Return the member that takes the requests, if it is known."""
+        """Return the member that takes the requests, None if not known."""
         return self.member_by_rank.get(0)
 
     @property
     def phase(self) -> phases.Phase | None:
-        """Return the head's phase, None without a head."""
+        """Return the head's phase, None if the head is not known."""
         head = self.head
         return head.membership.phase if head is not None else None
 
     def is_complete(self) -> bool:
-        """Tell whether every member is known."""
+        """Return whether every member is known."""
         return len(self.member_by_rank) == self.size
 
     def is_ready(self) -> bool:
-        """Tell whether all members have said that they are ready."""
+        """Return whether all members report that they are ready."""
         return self.is_complete() and all(
             member.membership.phase is phases.Phase.READY
             for member in self.member_by_rank.values()
@@ -41,11 +41,11 @@
 def collect(
     alive: Iterable[runners.Runner], size_by_model: dict[str, int]
 ) -> dict[membership.GroupKey, Replica]:
-    """Return the replicas that runners say they belong to.
+    """Return the replicas that runners report to be members of.
 
-    :param known: runners with their own word.
+    :param alive: runners that are not lost, as they report themselves.
     :param size_by_model: members of one replica; groups of other models are
-        not ours.
+        ignored.
     """
     replica_by_key: dict[membership.GroupKey, Replica] = {}
     for runner in alive:
--- a/src/citronvalve/replicas/reservations.py
+++ b/src/citronvalve/replicas/reservations.py
@@ -1,4 +1,4 @@
-"""Members that no other group may have, since their head may serve."""
+"""Runners that must not join another group since their head may serve."""
 
 from typing import NamedTuple
 
@@ -11,23 +11,27 @@
 from citronvalve.replicas import replica as replicas
 from citronvalve.replicas import runner as runners
 
-#: Added to the time a head that stands still takes to break.
+#: Added to the time after which a stalled head breaks.
 _BREAK_MARGIN: clock.Ms = 500
 
-#: Entries that lapsed while the list was away are back within so long.
+#: Entries that lapsed during an outage of the list are back within this time.
 _RELIST_TIME: clock.Ms = 2_500
 
-#: An order that had no answer is carried out up to so much later.
+#: An order that had no answer may be carried out up to this much later.
 _MAX_ORDER_DELAY: clock.Ms = 12_500
 
-#: Formations remembered before those that nobody tells of are dropped.
+#: Heads kept before those of groups without a reported member are dropped.
 _MAX_HEADS = 1_000
 
 _Kind = orders.OrderKind
 
 
 class _Reservation(NamedTuple):
-    """Members that are bound to a head until a moment."""
+    """Members that are reserved for the group of a head.
+
+    ``expires_at`` is monotonic ms; for an abandoned group it is when the
+    group was abandoned.
+    """
 
     head: str
     expires_at: clock.Ms
@@ -35,16 +39,16 @@
 
 
 class Reservations:
-    """Knows which runners may still belong to a group that serves.
+    """Tracks which runners may still belong to a group that serves.
 
-    A head goes on accepting requests whatever its members do.  One that is
-    lost may only be out of sight, behind a cut, and serve there; one that
-    was told to open may do so late.  A member that joined another group
-    meanwhile would belong to two.
+    A head accepts requests whatever its members do.  A lost head may be
+    serving behind a network partition, and a head that was ordered to open
+    may do so late.  If a member joined another group meanwhile, it would
+    belong to two groups that serve.
 
-    :param lives: who is there.
-    :param book: takes orders.
-    :param stall: ms until a head that stands still is broken.
+    :param liveness: which runners are alive.
+    :param outbox: takes the orders.
+    :param stall_timeout: ms after which a stalled head breaks.
     """
 
     def __init__(
@@ -65,9 +69,9 @@
         self._cut_answered: set[membership.GroupKey] = set()
 
     def update(self, alive: list[runners.Runner]) -> None:
-        """Take in who is the head of what.
+        """Update the heads of all groups.
 
-        :param known: all runners with their own word.
+        :param alive: all runners that are not lost, as they report themselves.
         """
         live_keys = set()
         for runner in alive:
@@ -92,9 +96,9 @@
             self._cut_answered &= live_keys
 
     def record_head_alive(self, key: membership.GroupKey) -> None:
-        """Note that a head is in sight.
+        """Record that the head of a group is alive.
 
-        :param key: its group.
+        :param key: the group.
         """
         self._lost_by_key.pop(key, None)
         self._headless_since.pop(key, None)
@@ -102,11 +106,11 @@
     def dissolve_headless(
         self, replica: replicas.Replica, now: clock.Ms
     ) -> bool:
-        """Act on a group without a head; tell whether its members are bound.
+        """Dissolve a group without a head; return whether it stays reserved.
 
-        Once all others have left it, a lost head stands still, and breaks.
+        Once all other members have left, a lost head stalls and breaks.
 
-        :param standing: the group.
+        :param replica: the group.
         :param now: monotonic ms.
         """
         key = replica.key
@@ -116,9 +120,9 @@
             return False
         if not self._is_head_lost(key, head, now):
             return True
-        # Counted from when the last of them has left: an order to leave may
-        # not have arrived.  Those that have left are kept in mind, since
-        # they tell of no group any more.
+        # Counts from when the last member has left, since an order to leave
+        # may be lost.  Members that have left report no group, so they are
+        # kept from the previous reservation.
         previous = self._lost_by_key.get(key)
         self._lost_by_key[key] = _Reservation(
             head or "",
@@ -133,7 +137,7 @@
     def record_abandoned(
         self, pending: pendings.PendingReplica, now: clock.Ms
     ) -> None:
-        """Note that a group was given up after its head was told to open.
+        """Record an abandoned group whose head was ordered to open.
 
         :param pending: the group.
         :param now: monotonic ms.
@@ -144,25 +148,25 @@
         )
 
     def has_opened(self, key: membership.GroupKey) -> bool:
-        """Tell whether a head has answered the order to open.
+        """Return whether the head of a group has answered the order to open.
 
-        :param key: its group.
+        :param key: the group.
         """
         return key in self._open_answered
 
     def record_result(
         self, order: orders.Order, result: orders.OrderResult, now: clock.Ms
     ) -> None:
-        """Take in what came back of an order.
+        """Record the result of an order.
 
-        :param what: the order.
-        :param told: the runner's answer.
+        :param order: the order.
+        :param result: the runner's response.
         :param now: monotonic ms.
         """
         unanswered = result is orders.OrderResult.SILENT
         if order.kind is _Kind.OPEN and unanswered:
-            # It may be carried out after the group was opened by another
-            # order and closed again.
+            # The order may be carried out after another order has opened the
+            # group and it has been closed again.
             previous = self._opening_by_key.get(order.key)
             members = previous.members if previous else {order.runner}
             self._opening_by_key[order.key] = _Reservation(
@@ -174,7 +178,9 @@
             self._cut_answered.add(order.key)
 
     def reserved_runners(self, now: clock.Ms) -> set[str]:
-        """Return the runners that no other group may have now.
+        """Drop expired reservations; return the runners still reserved.
+
+        Orders the heads of abandoned groups to cut until they have stopped.
 
         :param now: monotonic ms.
         """
@@ -207,14 +213,14 @@
         reservation: _Reservation,
         now: clock.Ms,
     ) -> bool:
-        """Tell whether a doubtful head has certainly stopped serving.
+        """Return whether the head of an abandoned group no longer serves.
 
-        The list may be old, and an order that had no answer may be carried
-        out once a cut has healed, so only the head's own answer counts.
+        The list may be old, and an order without an answer may be carried
+        out once a partition has healed, so only the head's response counts.
         """
         if key in self._cut_answered:
             return True
-        # One that is lost for so long broke with its members' leaving.
+        # A head that is lost for this long broke when its members left.
         lost = self._liveness.is_lost(reservation.head)
         if (
             lost
@@ -227,10 +233,10 @@
     def _is_head_lost(
         self, key: membership.GroupKey, head: str | None, now: clock.Ms
     ) -> bool:
-        """Tell whether a head is lost, and not only told of later."""
+        """Return whether a head is lost, not only missing from the list."""
         if head is not None and self._liveness.find(head) is not None:
             return self._liveness.is_lost(head)
-        # After an outage of the list its entries come back one by one.
+        # Entries come back one by one after an outage of the list.
         since = self._headless_since.setdefault(key, now)
         return now - since >= _RELIST_TIME
 
--- a/src/citronvalve/replicas/runner.py
+++ b/src/citronvalve/replicas/runner.py
@@ -1,4 +1,4 @@
-"""One upstream as the platform's list shows it."""
+"""An upstream as the platform's list shows it."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 
 
 class Runner(NamedTuple):
-    """``born`` tells one start of a runner from the next.
+    """An entry of the list.
 
-    ``cold_until`` is monotonic ms, 0 when it is warm.  ``staged`` are the
-    models on its host.  ``seen`` is the version of the list at which it was
-    last told of.
+    ``start_id`` differs between two starts of a runner.  ``cold_until`` is
+    monotonic ms, 0 when it is warm.  ``staged`` are the models on its host.
+    ``list_version`` is the version of the list that last updated it.
     """
 
     id: str
@@ -30,7 +30,7 @@
 
     @property
     def is_open_head(self) -> bool:
-        """Tell whether it takes a group's requests."""
+        """Return whether the runner takes the requests of a group."""
         held = self.membership
         return (
             held is not None
--- a/src/citronvalve/replicas/runnerclient.py
+++ b/src/citronvalve/replicas/runnerclient.py
@@ -1,4 +1,4 @@
-"""How orders reach runners."""
+"""Interface of clients that send orders and probes to runners."""
 
 import abc
 
@@ -7,25 +7,26 @@
 
 
 class RunnerClient(abc.ABC):
-    """Speaks to runners; each call waits for its answer."""
+    """Calls runners; each call blocks until the answer or a timeout."""
 
     @abc.abstractmethod
     def send(
         self, target: runner.Runner, what: order.Order
     ) -> order.OrderResult:
-        """Give an order once.
+        """Send an order once.
 
         :param target: the runner that it is for.
         :param what: the order.
+        :returns: the result.
         """
 
     @abc.abstractmethod
     def probe(
         self, target: runner.Runner
     ) -> runner.Runner | order.OrderResult:
-        """Ask a runner for its state.
+        """Read a runner's state.
 
-        :param target: what is known of it.
-        :returns: the same with its own word on groups and staged models,
-            or why there is none.
+        :param target: the runner as last known.
+        :returns: the runner with its group, staged models and start as it
+            reports them, or why there is no report.
         """
--- a/src/citronvalve/replicas/suspicion.py
+++ b/src/citronvalve/replicas/suspicion.py
@@ -1,18 +1,18 @@
-"""What looks at a runner in doubt have shown."""
+"""Probe results of a runner that may be lost."""
 
 from citronvalve.model import clock
 
-#: Looks in a row without an answer after which a runner counts as lost.  One
-#: packet that was dropped is no proof, and two take under a second.
+#: Consecutive failed probes after which a runner counts as lost.  One may be
+#: due to a dropped packet; two still take less than a second.
 _FAILURES_UNTIL_LOST = 2
 
 
 class Suspicion:
-    """One runner that may be lost, from when it is accused.
+    """Suspicion that one runner is lost.
 
-    :ivar looked_at: monotonic ms of the last look, None before the first.
+    :ivar probed_at: monotonic ms of the last probe, None before the first.
     :ivar lost_at: monotonic ms from which it counts as lost, or None.
-    :ivar outlived_entry: whether it answered after it had left the list.
+    :ivar answered_unlisted: whether it answered after it had left the list.
     """
 
     __slots__ = ("_failed_probes", "answered_unlisted", "lost_at", "probed_at")
@@ -25,16 +25,16 @@
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether it counts as lost."""
+        """Return whether the runner counts as lost."""
         return self._failed_probes >= _FAILURES_UNTIL_LOST
 
     @property
     def last_probe_failed(self) -> bool:
-        """Tell whether the last look had no answer."""
+        """Return whether the last probe had no answer."""
         return self._failed_probes > 0
 
     def record_failure(self, now: clock.Ms) -> None:
-        """Note that a look had no answer.
+        """Record that a probe had no answer.
 
         :param now: monotonic ms.
         """
@@ -43,7 +43,7 @@
             self.lost_at = now
 
     def record_unlisted_answer(self) -> None:
-        """Note that it answered a look though it has left the list."""
+        """Record that the runner answered a probe after it left the list."""
         self._failed_probes = 0
         self.lost_at = None
         self.answered_unlisted = True
--- a/src/citronvalve/replicas/weights.py
+++ b/src/citronvalve/replicas/weights.py
@@ -1,4 +1,4 @@
-"""Which weights lie where, and which are to be brought there."""
+"""Which models' weights are staged where, and which to stage next."""
 
 import collections
 from collections.abc import Iterable
@@ -14,21 +14,22 @@
 from citronvalve.routes import enginespec
 from citronvalve.routes import modelspec
 
-#: Ms of a join by a runner whose last group had the same model.
+#: Duration of a join if the runner's last group had the same model.
 _RESIDENT_JOIN_TIME: clock.Ms = 200
 
-#: Part of the weight store's rate that is used.  A leader that took over
-#: does not know what its predecessor has started within the last second.
+#: Used part of the weight store's rate.  A new leader does not know which
+#: loads its predecessor has started within the last second.
 _LOAD_RATE_SHARE = 0.5
 
 
 class Weights:
-    """Knows what a join costs, and has weights staged ahead of need.
+    """Estimates how long joins take, and stages weights in advance.
 
-    :param spec: the service's engines.
-    :param lives: who is there.
-    :param book: takes orders.
-    :ivar early: before any request; loads are quick then and not bounded.
+    :param spec: engine settings of the service.
+    :param liveness: which runners are alive.
+    :param outbox: takes the orders.
+    :ivar before_traffic: whether no request has come yet; until then loads
+        are fast and not rate-limited.
     """
 
     def __init__(
@@ -46,9 +47,9 @@
         self.before_traffic = False
 
     def update(self, alive: list[runners.Runner]) -> None:
-        """Take in which model each runner's group has or had.
+        """Update the last model of each runner.
 
-        :param known: all runners with their own word.
+        :param alive: all runners that are not lost, as they report themselves.
         """
         starts = {(runner.id, runner.start_id) for runner in alive}
         self._last_model_by_start = {
@@ -64,10 +65,10 @@
     def join_time(
         self, runner: runners.Runner, model: modelspec.ModelSpec
     ) -> clock.Ms:
-        """Return roughly how long a join takes.
+        """Return the expected ms of a join.
 
-        :param runner: who joins.
-        :param model: of the group.
+        :param runner: the runner that joins.
+        :param model: the group's model.
         """
         if (
             self._last_model_by_start.get((runner.id, runner.start_id))
@@ -84,10 +85,10 @@
         model: modelspec.ModelSpec,
         now: clock.Ms,
     ) -> bool:
-        """Stage what is missing; tell whether nothing is.
+        """Stage missing weights; return whether none are missing.
 
-        :param members: of a group to be.
-        :param model: its model.
+        :param members: runners that are to form a group.
+        :param model: the group's model.
         :param now: monotonic ms.
         """
         if self.before_traffic:
@@ -101,17 +102,17 @@
 
     def stage_spares(
         self,
-        spares_by_domain: Iterable[list[runners.Runner]],
+        spare_lists: Iterable[list[runners.Runner]],
         count_by_model: collections.Counter[str],
         now: clock.Ms,
     ) -> None:
-        """Stage, on spares without weights, what their domain loses most.
+        """Stage on spares without weights the model most likely to need them.
 
-        :param spares: those of each domain.
-        :param count_by_model: replicas that stand or are being formed.
+        :param spare_lists: the spares of each domain.
+        :param count_by_model: replicas that exist or are being formed.
         :param now: monotonic ms.
         """
-        for spares in spares_by_domain:
+        for spares in spare_lists:
             staged_count = collections.Counter(
                 name for runner in spares for name in runner.staged[:1]
             )
@@ -122,19 +123,19 @@
                     self._stage(runner, model, now)
 
     def stage_members(
-        self, replicas: Iterable[replicas.Replica], now: clock.Ms
+        self, all_replicas: Iterable[replicas.Replica], now: clock.Ms
     ) -> None:
         """Stage another model on the hosts of members that serve.
 
-        A member keeps its own model's weights while it is in the group and
-        can join another of that model at once.  So with the other model
-        staged, whatever is left of a replica that lost a member can form
-        either within seconds, and need not wait 12 to 16 s for a load.
+        A member has the weights of its own model in use and can join another
+        group of it at once.  With another model staged too, the remaining
+        members of a replica that lost one can form a replica of either model
+        within seconds, instead of after a load of 12 to 16 s.
 
-        :param standing: all replicas.
+        :param all_replicas: all replicas.
         :param now: monotonic ms.
         """
-        for replica in replicas:
+        for replica in all_replicas:
             if replica.phase is not phase.Phase.OPEN:
                 continue
             others = [
@@ -158,7 +159,7 @@
         staged_count: collections.Counter[str],
         count_by_model: collections.Counter[str],
     ) -> modelspec.ModelSpec:
-        # A replica of twice the size loses members twice as often.
+        # A replica of twice the size loses a member twice as often.
         return max(
             self._spec.model_by_name.values(),
             key=lambda m: (
