--- a/tests/replicas/leaving.feature
+++ b/tests/replicas/leaving.feature
@@ -1,63 +1,63 @@
-Feature: What runs at a replica may end while one of its members leaves
-  A runner that leaves listens no more, and stays until its head's work has
-  ended.  To a leader that looks at it, this is the same silence as a death.
+Feature: Running requests end while a member of their replica leaves
+  A leaving runner stops listening, and stays until the requests of its head
+  have ended.  A leader that probes it can't tell it from a crashed one.
 
-  Scenario: a member lapses from the list, and later listens no more
-    Some runners leave without saying so: their entry goes, they serve on for
-    seconds, then they only stay for the head's work. Cut, that work is lost
-    to its callers.
+  Scenario: a member lapses from the list and later stops listening
+    Some runners leave without announcing it: their entry lapses, they serve
+    on for seconds, and then stay only for the requests of the head. Cutting
+    the replica would abort these requests.
 
     Given 2 domains of 9 runners serve
-    When the entry of a member of a "large" replica lapses, and 4 s later it listens no more
-    Then its head is told to let what runs end, before anything is cut
+    When the entry of a member of a "large" replica lapses, and 4 s later it stops listening
+    Then its head is ordered to close before it is ordered to cut
 
-  Scenario: a head that leaves listens no more while it works
-    Its group was told to close when it said that it leaves, and the last
-    streams still run. Members that leave it now would stop them midway.
+  Scenario: a head that leaves stops listening while requests run
+    Its group was ordered to close when it announced that it leaves, and the
+    last streams still run. They would break off if members left.
 
     Given 2 domains of 9 runners serve
-    When the head of a "large" replica leaves while it works, and 2 s later listens no more
-    Then for 1.5 s nobody of its group is told to leave
-    And within 4 s all of its group are told to leave
-    And no runner was ever in two groups, and none opened incomplete
+    When the head of a "large" replica leaves while requests run, and 2 s later stops listening
+    Then for 1.5 s no member of its group is ordered to leave
+    And within 4 s all members of its group are ordered to leave
+    And no runner was ever in two groups, and no group opened incomplete
 
-  Scenario: the work of a head whose member has left does not end
-    The member may have died before that work ended; nobody could tell. The
-    head then stands still, and its runners are needed elsewhere.
+  Scenario: the requests of a head whose member has left do not end
+    The member may have crashed before they ended, which nobody can tell. The
+    head then stalls while its runners are needed elsewhere.
 
     Given 2 domains of 9 runners serve
-    When a "large" replica's head works without an end
-    And a member of a "large" replica leaves, and 4 s later listens no more
-    Then its head is told to let what runs end, before anything is cut
-    And within 3 s it is told to cut
-    And no runner was ever in two groups, and none opened incomplete
+    When the head of a "large" replica runs requests that do not end
+    And a member of a "large" replica leaves, and 4 s later stops listening
+    Then its head is ordered to close before it is ordered to cut
+    And within 3 s it is ordered to cut
+    And no runner was ever in two groups, and no group opened incomplete
 
-  Scenario: a member that dies in the middle of a work
-    It said nothing, and nothing that runs can end: waiting for it would only
-    keep the callers' streams silent for seconds.
+  Scenario: a member crashes while requests run
+    It announced nothing, and no request can end. Waiting would only keep the
+    callers' streams silent for seconds.
 
     Given 2 domains of 9 runners serve
-    When a "large" replica's head works without an end
-    And a member of a "large" replica dies without a word
-    And the head is accused of standing still
-    Then within 2 s it is told to cut
+    When the head of a "large" replica runs requests that do not end
+    And a member of a "large" replica crashes without notice
+    And the head is reported as stalled
+    Then within 2 s it is ordered to cut
 
-  Scenario: a runner that left starts again under its id
-    What it was said to have left belongs to an earlier start: now it is a
-    free runner, and its old group lacks a member for good.
+  Scenario: a runner that left restarts under its id
+    Its leaving belongs to the earlier start. After the restart it is a free
+    runner, and its old group lacks a member for good.
 
     Given 2 domains of 9 runners serve
-    When a "large" replica's head works without an end
-    And a member of a "large" replica leaves, and 4 s later listens no more
-    And that member starts again
-    Then within 1 s it is told to cut
+    When the head of a "large" replica runs requests that do not end
+    And a member of a "large" replica leaves, and 4 s later stops listening
+    And that member restarts
+    Then within 1 s it is ordered to cut
 
   Scenario: another daemon takes the lead when a member has departed
-    The new leader reads a list that lacks the member, and never heard that it
-    left. It can't tell this from a death by the list alone, and cuts what the
-    head would have finished.
+    The new leader reads a list without the member, and has not heard that it
+    left. By the list alone it can't tell this from a crash, and cuts requests
+    that the head would have finished.
 
     Given 2 domains of 9 runners serve
-    When a "large" replica's head works without an end
-    And a member of a "large" replica departs just as another daemon takes the lead
-    Then its head is told to let what runs end, before anything is cut
+    When the head of a "large" replica runs requests that do not end
+    And a member of a "large" replica has left when another daemon becomes the leader
+    Then its head is ordered to close before it is ordered to cut
--- a/tests/replicas/steps/lead_steps.py
+++ b/tests/replicas/steps/lead_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the lease of the lead."""
+"""Steps about the leader lease."""
 
 import behave
 
@@ -10,43 +10,43 @@
 from tests import quietlog
 
 
-class _Door(tableservice.TableService):
-    """One daemon's way to the store, which can be shut."""
+class _DaemonStore(tableservice.TableService):
+    """One daemon's access to the store, which can be made to fail."""
 
     def __init__(self, store):
         self._store = store
-        self.shut = False
-        self.lose = False
-        self.reads = 0
+        self.unavailable = False
+        self.lose_next_answer = False
+        self.scans = 0
 
     def read(self, table, key):
-        if self.shut:
-            return missing.Unavailable("turned away")
+        if self.unavailable:
+            return missing.Unavailable("store unavailable")
         return self._store.read(table, key)
 
     def scan(self, table, after=0):
-        if self.shut:
-            return missing.Unavailable("turned away")
-        self.reads += 1
+        if self.unavailable:
+            return missing.Unavailable("store unavailable")
+        self.scans += 1
         return self._store.scan(table, after)
 
     def commit(self, transaction):
-        if self.shut:
-            return missing.Unavailable("turned away")
+        if self.unavailable:
+            return missing.Unavailable("store unavailable")
         done = self._store.commit(transaction)
-        if self.lose:
-            self.lose = False
-            return missing.AnswerLost("lost on order")
+        if self.lose_next_answer:
+            self.lose_next_answer = False
+            return missing.AnswerLost("answer dropped by the test")
         return done
 
 
-def _run(context, span, names=None, each=None):
-    until = context.clock.now() + span
-    while context.clock.now() < until:
+def _run(context, span, names=None, after_round=None):
+    end = context.clock.now() + span
+    while context.clock.now() < end:
         for name in names or context.alive:
-            context.lease[name].step()
-        if each is not None:
-            each()
+            context.lease_by_daemon[name].step()
+        if after_round is not None:
+            after_round()
         context.clock.advance(lease.RENEW_INTERVAL // 2)
 
 
@@ -55,10 +55,10 @@
     context.clock = manualclock.ManualClock()
     context.clock.advance(100_000)
     store = memorytable.MemoryTable()
-    context.door = {name: _Door(store) for name in "abc"}
-    context.lease = {
+    context.store_by_daemon = {name: _DaemonStore(store) for name in "abc"}
+    context.lease_by_daemon = {
         name: lease.Lease(
-            context.door[name],
+            context.store_by_daemon[name],
             name,
             lease.Peer(f"addr-{name}", "hakodate"),
             context.clock,
@@ -68,68 +68,74 @@
     }
     context.alive = ["a", "b", "c"]
     _run(context, 2_000)
-    assert context.lease["a"].held
-    context.first = context.lease["a"].held
+    assert context.lease_by_daemon["a"].held
+    context.first_lease = context.lease_by_daemon["a"].held
 
 
-@behave.when("a stops without a word")
-def step_stop(context):
+@behave.when("a crashes")
+def step_crash(context):
     context.alive.remove("a")
 
 
 @behave.when("a resigns")
 def step_resign(context):
     context.alive.remove("a")
-    context.lease["a"].resign()
+    context.lease_by_daemon["a"].resign()
 
 
 @behave.when("the answer to a's next renewal is lost")
 def step_lose(context):
-    context.door["a"].lose = True
+    context.store_by_daemon["a"].lose_next_answer = True
 
 
-@behave.when("the store is away for {seconds:d} s")
-def step_away(context, seconds):
-    for door in context.door.values():
-        door.shut = True
+@behave.when("the store is unavailable for {seconds:d} s")
+def step_store_unavailable(context, seconds):
+    for store in context.store_by_daemon.values():
+        store.unavailable = True
     context.held = []
     _run(
         context,
         seconds * 1_000,
-        each=lambda: context.held.append(context.lease["a"].held),
+        after_round=lambda: context.held.append(
+            context.lease_by_daemon["a"].held
+        ),
     )
-    context.spoke = context.lease["a"].is_renewed
-    for door in context.door.values():
-        door.shut = False
+    context.was_renewed = context.lease_by_daemon["a"].is_renewed
+    for store in context.store_by_daemon.values():
+        store.unavailable = False
 
 
-@behave.when("the store turns a away")
-def step_turn_away(context):
-    context.door["a"].shut = True
+@behave.when("the store refuses requests from a")
+def step_store_refuses(context):
+    context.store_by_daemon["a"].unavailable = True
 
 
-@behave.when("b hears a twice a second for {seconds:d} s")
+@behave.when("b hears from a twice a second for {seconds:d} s")
 def step_hear(context, seconds):
-    before = context.door["b"].reads
-    held = context.lease["a"].held
+    before = context.store_by_daemon["b"].scans
+    held = context.lease_by_daemon["a"].held
     _run(
         context,
         seconds * 1_000,
-        each=lambda: context.lease["b"].observe_leader("a", held),
+        after_round=lambda: context.lease_by_daemon["b"].observe_leader(
+            "a", held
+        ),
     )
-    context.reads = context.door["b"].reads - before
+    context.scans = context.store_by_daemon["b"].scans - before
 
 
-@behave.then("within {seconds:d} s another leads, by a higher lease")
+@behave.then("within {seconds:d} s another daemon leads with a higher lease")
 def step_another(context, seconds):
     others = [name for name in context.alive if name != "a"]
     for _ in range(seconds * 2):
         _run(context, 500)
-        led = [n for n in others if context.lease[n].held]
-        if led:
-            assert len(led) == 1, led
-            context.leader = led[0]
-            assert context.lease[led[0]].held > context.first
+        leaders = [n for n in others if context.lease_by_daemon[n].held]
+        if leaders:
+            assert len(leaders) == 1, leaders
+            context.leader = leaders[0]
+            assert (
+                context.lease_by_daemon[leaders[0]].held > context.first_lease
+            )
             return
     raise AssertionError(f"nobody leads after {seconds} s")
 
@@ -137,46 +143,48 @@
 @behave.then("a still leads after {seconds:d} s")
 def step_still(context, seconds):
     _run(context, seconds * 1_000)
-    assert context.lease["a"].held == context.first
-    assert context.lease["a"].is_renewed
+    assert context.lease_by_daemon["a"].held == context.first_lease
+    assert context.lease_by_daemon["a"].is_renewed
 
 
 @behave.then(
-    "a holds the lease all the while, but does not speak as the leader"
+    "a holds the lease all the time, but does not announce itself as the "
+    "leader"
 )
 def step_holds(context):
-    assert set(context.held) == {context.first}
-    assert not context.spoke
-    # The others are in sight, so repairs go on.
-    context.lease["a"].has_majority = lambda: True
+    assert set(context.held) == {context.first_lease}
+    assert not context.was_renewed
+    # The other daemons are reachable, so repairs go on.
+    context.lease_by_daemon["a"].has_majority = lambda: True
 
 
 @behave.then(
-    "a speaks as the leader within {seconds:d} s of the store's return"
+    "a announces itself as the leader within {seconds:d} s of the store's "
+    "return"
 )
-def step_speaks(context, seconds):
+def step_announces(context, seconds):
     _run(context, seconds * 1_000)
-    assert context.lease["a"].is_renewed
+    assert context.lease_by_daemon["a"].is_renewed
 
 
-@behave.then("when a hears of it, it leads no more")
-def step_hears(context):
-    newer = context.lease[context.leader].held
-    assert context.lease["a"].observe_leader(context.leader, newer)
-    assert not context.lease["a"].held
+@behave.then("when a hears of it, a no longer leads")
+def step_hears_of_leader(context):
+    newer = context.lease_by_daemon[context.leader].held
+    assert context.lease_by_daemon["a"].observe_leader(context.leader, newer)
+    assert not context.lease_by_daemon["a"].held
 
 
-@behave.then("b has read the store once at most")
-def step_reads(context):
-    assert context.reads <= 1, context.reads
+@behave.then("b has read the store at most once")
+def step_reads_at_most(context):
+    assert context.scans <= 1, context.reads
 
 
-@behave.when("a is killed and starts again after {seconds:d} s")
+@behave.when("a is killed and restarts after {seconds:d} s")
 def step_restart(context, seconds):
     context.alive.remove("a")
     _run(context, seconds * 1_000)
-    context.lease["a"] = lease.Lease(
-        context.door["a"],
+    context.lease_by_daemon["a"] = lease.Lease(
+        context.store_by_daemon["a"],
         "a",
         lease.Peer("addr-a", "hakodate"),
         context.clock,
@@ -185,56 +193,58 @@
     context.alive.insert(0, "a")
 
 
-@behave.then("a leads within {seconds:d} s, by a higher lease")
+@behave.then("a leads within {seconds:d} s with a higher lease")
 def step_leads_again(context, seconds):
     _run(context, seconds * 1_000)
-    assert context.lease["a"].held > context.first
+    assert context.lease_by_daemon["a"].held > context.first_lease
 
 
 @behave.when(
     "a is cut off from the store and from the others for {seconds:d} s"
 )
 def step_cut_off(context, seconds):
-    context.lease["a"].has_majority = lambda: False
-    context.door["a"].shut = True
+    context.lease_by_daemon["a"].has_majority = lambda: False
+    context.store_by_daemon["a"].unavailable = True
     _run(context, 3_000)
-    context.acts = []
+    context.may_act = []
     _run(
         context,
         (seconds - 3) * 1_000,
-        each=lambda: context.acts.append(context.lease["a"].may_act()),
+        after_round=lambda: context.may_act.append(
+            context.lease_by_daemon["a"].may_act()
+        ),
     )
 
 
-@behave.then("a gives no order from 3 s after the cut on")
+@behave.then("a gives no orders from 3 s after the partition began")
 def step_no_act(context):
-    assert context.acts and not any(context.acts)
+    assert context.may_act and not any(context.may_act)
 
 
 @behave.then(
-    "once the store can be reached again a gives none before it has renewed"
+    "once the store is reachable again, a gives no orders before a renewal"
 )
 def step_none_before(context):
-    context.lease["a"].has_majority = lambda: True
-    assert not context.lease["a"].may_act()
-    context.door["a"].shut = False
+    context.lease_by_daemon["a"].has_majority = lambda: True
+    assert not context.lease_by_daemon["a"].may_act()
+    context.store_by_daemon["a"].unavailable = False
     _run(context, 1_000)
-    assert not context.lease["a"].may_act()
-    led = [n for n in "bc" if context.lease[n].may_act()]
-    assert len(led) == 1, led
+    assert not context.lease_by_daemon["a"].may_act()
+    leaders = [n for n in "bc" if context.lease_by_daemon[n].may_act()]
+    assert len(leaders) == 1, leaders
 
 
-@behave.when("b hears a say that it knows {count:d} daemons, three times")
+@behave.when("b hears from a three times that it knows {count:d} daemons")
 def step_knows(context, count):
     _run(context, 1_000)
-    before = context.door["b"].reads
-    held = context.lease["a"].held
+    before = context.store_by_daemon["b"].scans
+    held = context.lease_by_daemon["a"].held
     for _ in range(3):
-        context.lease["b"].observe_leader("a", held, count)
+        context.lease_by_daemon["b"].observe_leader("a", held, count)
         _run(context, 1_000, names=["b"])
-    context.reads = context.door["b"].reads - before
+    context.scans = context.store_by_daemon["b"].scans - before
 
 
-@behave.then("b has read the store once at least")
-def step_read(context):
-    assert context.reads >= 1, context.reads
+@behave.then("b has read the store at least once")
+def step_reads_at_least(context):
+    assert context.scans >= 1, context.reads
--- a/tests/replicas/steps/leaving_steps.py
+++ b/tests/replicas/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about runners that leave while their head still works."""
+"""Steps about runners that leave while their head runs requests."""
 
 import behave
 
@@ -12,52 +12,52 @@
     return next(m for m in world.members(context.head) if m != context.head)
 
 
-def _listens_no_more(world, name):
+def _stop_listening(world, name):
     world.unlisted.add(name)
-    world.dark.add(name)
+    world.unreachable.add(name)
 
 
 @behave.when(
     'the entry of a member of a "large" replica lapses, and 4 s later it '
-    "listens no more"
+    "stops listening"
 )
 def step_lapses(context):
     world = context.world
     name = _member(context)
     world.unlisted.add(name)
     world.run(4_000)
-    _listens_no_more(world, name)
-    context.began = len(world.given)
+    _stop_listening(world, name)
+    context.sent_before = len(world.sent)
     world.run(3_000)
 
 
 @behave.when(
-    'the head of a "large" replica leaves while it works, and 2 s later '
-    "listens no more"
+    'the head of a "large" replica leaves while requests run, and 2 s later '
+    "stops listening"
 )
 def step_head_leaves(context):
     world = context.world
     head = world.open_heads("large")[0]
-    context.mates = set(world.members(head.id)) - {head.id}
-    world.working.add(head.id)
+    context.members = set(world.members(head.id)) - {head.id}
+    world.busy.add(head.id)
     world.runner_by_id[head.id] = head._replace(
         leaving=True, list_version=head.list_version + 1
     )
     world.run(2_000)
-    _listens_no_more(world, head.id)
-    context.began = len(world.given)
+    _stop_listening(world, head.id)
+    context.sent_before = len(world.sent)
 
 
-@behave.when('a "large" replica\'s head works without an end')
-def step_works(context):
-    context.world.working.add(context.world.open_heads("large")[0].id)
+@behave.when('the head of a "large" replica runs requests that do not end')
+def step_endless_requests(context):
+    context.world.busy.add(context.world.open_heads("large")[0].id)
 
 
 @behave.when(
-    'a member of a "large" replica departs just as another daemon takes the '
-    "lead"
+    'a member of a "large" replica has left when another daemon becomes the '
+    "leader"
 )
-def step_lead_lost(context):
+def step_left_at_leader_change(context):
     world = context.world
     name = _member(context)
     held = world.runner_by_id[name]
@@ -65,14 +65,14 @@
         leaving=True, list_version=held.list_version + 1
     )
     world.run(4_000)
-    _listens_no_more(world, name)
-    world.lead(2)
-    context.began = len(world.given)
+    _stop_listening(world, name)
+    world.start_leader(2)
+    context.sent_before = len(world.sent)
     world.run(3_000)
 
 
-@behave.when("that member starts again")
-def step_again(context):
+@behave.when("that member restarts")
+def step_member_restarts(context):
     world = context.world
     name = next(iter(world.unlisted))
     world.unlisted.discard(name)
@@ -81,30 +81,32 @@
     world.runner_by_id[name] = held._replace(leaving=False)
 
 
-def _given(context, kind):
-    given = context.world.given[getattr(context, "began", 0) :]
-    return {act.runner for _, act in given if act.kind is kind}
+def _runners_ordered(context, kind):
+    sent = context.world.sent[getattr(context, "sent_before", 0) :]
+    return {act.runner for _, act in sent if act.kind is kind}
 
 
-@behave.then("for {seconds:g} s nobody of its group is told to leave")
+@behave.then("for {seconds:g} s no member of its group is ordered to leave")
 def step_none_leaves(context, seconds):
     context.world.run(round(seconds * 1_000))
-    told = _given(context, orders.OrderKind.LEAVE)
-    assert not told & context.mates, told
+    ordered = _runners_ordered(context, orders.OrderKind.LEAVE)
+    assert not ordered & context.members, ordered
 
 
-@behave.then("within {seconds:d} s all of its group are told to leave")
+@behave.then(
+    "within {seconds:d} s all members of its group are ordered to leave"
+)
 def step_all_leave(context, seconds):
     context.world.run(seconds * 1_000)
-    told = _given(context, orders.OrderKind.LEAVE)
-    assert told >= context.mates, told
+    ordered = _runners_ordered(context, orders.OrderKind.LEAVE)
+    assert ordered >= context.members, ordered
 
 
-@behave.then("within {seconds:d} s it is told to cut")
+@behave.then("within {seconds:d} s it is ordered to cut")
 def step_cut(context, seconds):
     world = context.world
     for _ in range(seconds * 1_000 // worlds.STEP):
-        if context.head in _given(context, orders.OrderKind.CUT):
+        if context.head in _runners_ordered(context, orders.OrderKind.CUT):
             return
         world.step()
-    raise AssertionError(_given(context, orders.OrderKind.CUT))
+    raise AssertionError(_runners_ordered(context, orders.OrderKind.CUT))
--- a/tests/replicas/steps/planning_steps.py
+++ b/tests/replicas/steps/planning_steps.py
@@ -53,7 +53,7 @@
     "{domains:d} domains of {size:d} runners without weights after the first "
     "request"
 )
-def step_bare(context, domains, size):
+def step_without_weights(context, domains, size):
     context.world = worlds.World(domains, size, staged=False)
     context.world.run(8_000)
 
@@ -66,102 +66,102 @@
     return found.id, others[0]
 
 
-@behave.when('a member of a "{model}" replica dies without a word')
-def step_member_dies(context, model):
+@behave.when('a member of a "{model}" replica crashes without notice')
+def step_member_crashes(context, model):
     context.head, name = _victim(context.world, model, head=False)
     context.world.crash(name)
 
 
-@behave.when('the head of a "{model}" replica dies without a word')
-def step_head_dies(context, model):
+@behave.when('the head of a "{model}" replica crashes without notice')
+def step_head_crashes(context, model):
     context.head, name = _victim(context.world, model, head=True)
-    context.mates = context.world.members(name)
+    context.members = context.world.members(name)
     context.world.crash(name)
 
 
 @behave.when('the head of a "{model}" replica refuses connections')
 def step_head_refuses(context, model):
     context.head, name = _victim(context.world, model, head=True)
-    context.mates = context.world.members(name)
-    context.world.crash(name, dark=False)
+    context.members = context.world.members(name)
+    context.world.crash(name, silent=False)
 
 
 @behave.when(
-    'only the members of a "{model}" replica but its head are listed for '
+    'the head of a "{model}" replica is missing from the list for '
     "{seconds:d} s"
 )
-def step_no_head(context, model, seconds):
+def step_head_unlisted(context, model, seconds):
     world = context.world
     head, _ = _victim(world, model, head=True)
-    context.there = [world.runner_by_id[m] for m in world.members(head)]
+    context.affected = [world.runner_by_id[m] for m in world.members(head)]
     world.unlisted.add(head)
-    context.began = world.now
+    context.began_at = world.now
     world.run(seconds * 1_000)
     world.unlisted.clear()
     world.run(1_000)
 
 
-@behave.then("no order was given to its group")
-def step_no_order_given(context):
-    there = {r.id for r in context.there}
-    given = [
+@behave.then("no order was sent to its group")
+def step_no_order_sent(context):
+    affected = {r.id for r in context.affected}
+    sent = [
         act
-        for at, act in context.world.given
-        if at >= context.began and act.runner in there
+        for at, act in context.world.sent
+        if at >= context.began_at and act.runner in affected
     ]
-    assert not given, given
+    assert not sent, sent
 
 
-@behave.when("the head is accused of standing still")
-def step_accuse(context):
+@behave.when("the head is reported as stalled")
+def step_head_stalled(context):
     context.world.planner.suspect_group(context.head)
 
 
-@behave.when('every runner of "{zone}" goes silent to the leader')
-def step_cut(context, zone):
-    context.there = context.world.cut_off(zone)
+@behave.when('every runner of "{zone}" becomes unreachable for the leader')
+def step_partition(context, zone):
+    context.affected = context.world.partition(zone)
 
 
-@behave.when("every runner of domain {number:d} dies without a word")
-def step_domain(context, number):
+@behave.when("every runner of domain {number:d} crashes without notice")
+def step_domain_crashes(context, number):
     world = context.world
-    context.there = [
+    context.affected = [
         r
         for r in world.runner_by_id.values()
         if r.domain.endswith(f"/d{number}")
     ]
     context.number = number
-    world.dead = {r.id for r in context.there}
-    world.dark.update(world.dead)
+    world.dead = {r.id for r in context.affected}
+    world.unreachable.update(world.dead)
 
 
-@behave.when("all its heads there are accused")
-def step_accuse_all(context):
-    for runner in context.there:
+@behave.when("all heads there are reported as stalled")
+def step_heads_stalled(context):
+    for runner in context.affected:
         if runner.is_open_head:
             context.world.planner.suspect_group(runner.id)
 
 
-@behave.when("for {seconds:g} s nothing else happens")
+@behave.when("{seconds:g} s pass")
 def step_wait(context, seconds):
     context.world.run(round(seconds * 1_000))
 
 
-@behave.when("the runners of domain {number:d} start again")
+@behave.when("the runners of domain {number:d} restart")
 def step_restart_domain(context, number):
-    for runner in context.there:
+    for runner in context.affected:
         context.world.restart(runner.id)
     context.world.dead = set()
 
 
-@behave.when('a member of a "{model}" replica starts again under its id')
+@behave.when('a member of a "{model}" replica restarts under its id')
 def step_restart(context, model):
     _, name = _victim(context.world, model, head=False)
     context.world.restart(name)
 
 
-@behave.when("the spare that should replace it does not carry out its orders")
-def step_deaf(context):
+@behave.when("orders to the spare that should replace it are delayed")
+def step_spare_delayed(context):
     world = context.world
     domain = world.runner_by_id[context.head].domain
     spares = [
@@ -169,24 +169,25 @@
         for r in world.runner_by_id.values()
         if r.domain == domain and r.membership is None
     ]
-    context.deaf = sorted(
+    context.delayed = sorted(
         spares, key=lambda s: "large" not in world.runner_by_id[s].staged
     )[0]
-    world.deaf.add(context.deaf)
+    world.delayed.add(context.delayed)
 
 
-@behave.when("another daemon takes the lead")
-def step_lead(context):
-    context.world.lead(2)
+@behave.when("another daemon becomes the leader")
+def step_new_leader(context):
+    context.world.start_leader(2)
 
 
 @behave.when(
-    'the entry of a member of a "{model}" replica lapses though it lives'
+    'the entry of a member of a "{model}" replica lapses while the member '
+    "is alive"
 )
 def step_lapse(context, model):
     context.head, name = _victim(context.world, model, head=False)
     context.world.unlisted.add(name)
-    context.there = [
+    context.affected = [
         context.world.runner_by_id[m]
         for m in context.world.members(context.head)
     ]
@@ -205,57 +206,61 @@
     raise AssertionError(f"{_counts(world)} after {seconds} s")
 
 
-@behave.then("no runner was ever in two groups, and none opened incomplete")
+@behave.then(
+    "no runner was ever in two groups, and no group opened incomplete"
+)
 def step_no_problem(context):
-    assert not context.world.problems, context.world.problems
+    assert not context.world.violations, context.world.violations
 
 
-@behave.then("nobody of its group joins another for {seconds:d} s")
-def step_bound(context, seconds):
+@behave.then("no member of its group joins another group for {seconds:d} s")
+def step_no_join(context, seconds):
     world = context.world
     began = world.now
     world.run(seconds * 1_000)
     joins = [
         act
-        for at, act in world.given
+        for at, act in world.sent
         if at >= began
         and act.kind is orders.OrderKind.JOIN
-        and act.runner in context.mates
+        and act.runner in context.members
     ]
     assert not joins, joins
     world.dead = {context.head}
 
 
-@behave.then('for {seconds:d} s no order is given to a runner of "{zone}"')
+@behave.then('for {seconds:d} s no order is sent to a runner of "{zone}"')
 def step_no_order(context, seconds, zone):
     world = context.world
     began = world.now
     world.run(seconds * 1_000)
-    there = {r.id for r in context.there}
-    given = [a for at, a in world.given if at >= began and a.runner in there]
-    assert not given, given
+    affected = {r.id for r in context.affected}
+    sent = [a for at, a in world.sent if at >= began and a.runner in affected]
+    assert not sent, sent
 
 
-@behave.then("for {seconds:d} s no order is given to its group")
-def step_group_left_alone(context, seconds):
+@behave.then("for {seconds:d} s no order is sent to its group")
+def step_no_order_to_group(context, seconds):
     step_no_order(context, seconds, "")
 
 
-@behave.then("after its late orders there are still 6 and 6")
-def step_late(context):
+@behave.then(
+    "after the delayed orders are carried out there are still 6 and 6"
+)
+def step_delayed_carried_out(context):
     world = context.world
-    world.deaf.clear()
-    for act in world.late:
+    world.delayed.clear()
+    for act in world.delayed_orders:
         world.carry_out(act)
     world.run(3_000)
     assert _counts(world) == (6, 6), _counts(world)
 
 
-@behave.then("in no second more than {most:d} loads are started")
+@behave.then("no more than {most:d} loads are started in any second")
 def step_rate(context, most):
     world = context.world
-    moments = [at for at, a in world.given if a.kind is orders.OrderKind.STAGE]
+    moments = [at for at, a in world.sent if a.kind is orders.OrderKind.STAGE]
     assert moments, "nothing was staged"
     for at in moments:
-        held = sum(at <= other < at + 1_000 for other in moments)
-        assert held <= most, f"{held} within a second of {at}"
+        started = sum(at <= other < at + 1_000 for other in moments)
+        assert started <= most, f"{started} within a second of {at}"
--- a/tests/replicas/steps/reshaping_steps.py
+++ b/tests/replicas/steps/reshaping_steps.py
@@ -1,4 +1,4 @@
-"""Steps about models in more and in less need of replicas."""
+"""Steps about models with different demand for replicas."""
 
 import behave
 
@@ -10,7 +10,7 @@
     "{small:d}"
 )
 def step_load(context, large, small):
-    context.each = {"large": large, "small": small}
+    context.requests_by_model = {"large": large, "small": small}
 
 
 def _run(context, span):
@@ -18,16 +18,16 @@
     for _ in range(span // worlds.STEP):
         load = {
             model: each * len(world.open_heads(model))
-            for model, each in context.each.items()
+            for model, each in context.requests_by_model.items()
         }
         world.planner.demand.observe(load, world.now)
         world.run(worlds.STEP)
 
 
 @behave.when(
-    'a member of the first "large" replica dies three times, 6 s apart'
+    'a member of the first "large" replica crashes three times, 6 s apart'
 )
-def step_three(context):
+def step_three_crashes(context):
     world = context.world
     _run(context, 5_000)
     domain = world.open_heads("large")[0].domain
@@ -54,7 +54,7 @@
     raise AssertionError(_counts(context.world))
 
 
-@behave.then("for {seconds:d} s nothing is formed or closed any more")
+@behave.then("for {seconds:d} s no replica is formed or closed")
 def step_still(context, seconds):
     before = {h.membership.key for h in context.world.open_heads()}
     _run(context, seconds * 1_000)
@@ -63,7 +63,7 @@
 
 
 @behave.when(
-    'a member of a "large" replica leaves, and 4 s later listens no more'
+    'a member of a "large" replica leaves, and 4 s later stops listening'
 )
 def step_leaves(context):
     world = context.world
@@ -75,16 +75,16 @@
     )
     world.run(4_000)
     world.unlisted.add(name)
-    world.dark.add(name)
-    context.began = len(world.given)
+    world.unreachable.add(name)
+    context.sent_before = len(world.sent)
     world.run(3_000)
 
 
-@behave.then("its head is told to let what runs end, before anything is cut")
-def step_let_end(context):
+@behave.then("its head is ordered to close before it is ordered to cut")
+def step_closes_first(context):
     kinds = [
         act.kind.value
-        for _, act in context.world.given[context.began :]
+        for _, act in context.world.sent[context.sent_before :]
         if act.runner == context.head
     ]
     assert kinds and kinds[0] == "close", kinds
--- a/tests/replicas/world.py
+++ b/tests/replicas/world.py
@@ -1,7 +1,7 @@
-"""Runners in memory that keep the platform's word on groups.
+"""In-memory runners that follow the platform's rules for groups.
 
-Orders take effect at once or late, as a scenario says; what a runner tells
-reaches the list one step later.
+Orders take effect at once or late, as a scenario requires.  A change of a
+runner shows in the list one step later.
 """
 
 from citronvalve.replicas import lease as leases
@@ -23,7 +23,7 @@
 
 
 def spec(models=None):
-    """Return an engine's declared figures."""
+    """Return the declared figures of an engine."""
     return enginespec.EngineSpec(
         slots=13,
         kv_cache_tokens=1_235_000,
@@ -47,38 +47,38 @@
 
 
 class World:
-    """A planner, and the runners that it gives orders to."""
+    """A planner and the runners that it sends orders to."""
 
     def __init__(self, domains, size, staged=True, models=None):
         self.now = 1_000_000
         self.models = models or MODELS
         self.runner_by_id = {}
-        self.dark = set()
+        self.unreachable = set()
         self.refusing = set()
-        self.deaf = set()
+        self.delayed = set()
         self.unlisted = set()
-        self.late = []
-        self.given = []
-        self.problems = []
-        self._seen = 0
-        self._done_at = {}
+        self.delayed_orders = []
+        self.sent = []
+        self.violations = []
+        self._list_version = 0
+        self._ready_at_by_id = {}
         self.dead = set()
-        self.working = set()
-        self.lag = 0
-        self.delay_opens = 0
+        self.busy = set()
+        self.list_lag = 0
+        self.opens_to_delay = 0
         self.history = []
-        self.frozen = None
-        self._left = {}
-        self._last = {}
-        self._broken_at = {}
+        self.frozen_list = None
+        self._left_membership_by_id = {}
+        self._last_model_by_start = {}
+        self._breaks_at_by_key = {}
         for d in range(domains):
             zone = f"zone-{d % 3}"
             for n in range(size):
                 self.add(f"r{d}-{n}", zone, f"d{d}", staged, n)
-        self.lead(1)
+        self.start_leader(1)
 
     def add(self, name, zone, domain, staged=True, turn=0):
-        """Let a runner register."""
+        """Register a runner."""
         names = sorted(self.models)
         model = names[0] if turn % 9 < 6 else names[-1]
         self.runner_by_id[name] = runners.Runner(
@@ -92,75 +92,77 @@
             list_version=1,
         )
 
-    def lead(self, lease):
-        """Let a daemon without any memory take the lead."""
+    def start_leader(self, lease):
+        """Replace the planner by that of a new leader without any state."""
         self.planner = planners.Planner(
             spec(self.models), STALL, leases.epochs(lease)
         )
 
     def run(self, span):
-        """Plan and carry out for some ms."""
-        until = self.now + span
-        while self.now < until:
+        """Run steps for a time in ms."""
+        end = self.now + span
+        while self.now < end:
             self.step()
 
     def step(self):
-        """Make one plan and carry it out."""
+        """Make a plan and carry it out."""
         self.history.append(dict(self.runner_by_id))
         shown = (
-            self.frozen
-            or self.history[-1 - min(self.lag, len(self.history) - 1)]
+            self.frozen_list
+            or self.history[-1 - min(self.list_lag, len(self.history) - 1)]
         )
         listed = {k: r for k, r in shown.items() if k not in self.unlisted}
-        for act in self.planner.step(listed, self.now):
-            if isinstance(act, orders.Probe):
-                self._look(act.runner)
-            elif act.runner in self.deaf or self._is_delayed(act):
-                self.late.append(act)
+        for action in self.planner.step(listed, self.now):
+            if isinstance(action, orders.Probe):
+                self._probe(action.runner)
+            elif action.runner in self.delayed or self._is_delayed(action):
+                self.delayed_orders.append(action)
                 self.planner.record_result(
-                    act, orders.OrderResult.SILENT, self.now
+                    action, orders.OrderResult.SILENT, self.now
                 )
             else:
-                self.carry_out(act)
-                gone = act.runner in self.dark | self.refusing
-                told = (
+                self.carry_out(action)
+                unanswered = action.runner in self.unreachable | self.refusing
+                result = (
                     orders.OrderResult.SILENT
-                    if gone
+                    if unanswered
                     else orders.OrderResult.ACCEPTED
                 )
-                self.planner.record_result(act, told, self.now)
+                self.planner.record_result(action, result, self.now)
         self.now += STEP
         self._progress()
-        self._check()
+        self._check_groups()
 
-    def _is_delayed(self, act):
-        if self.delay_opens and act.kind is orders.OrderKind.OPEN:
-            self.delay_opens -= 1
+    def _is_delayed(self, order):
+        if self.opens_to_delay and order.kind is orders.OrderKind.OPEN:
+            self.opens_to_delay -= 1
             return True
         return False
 
-    def carry_out(self, act):
-        """Let a runner carry out an order, if it can."""
-        self.given.append((self.now, act))
-        runner = self.runner_by_id.get(act.runner)
-        if runner is None or act.runner in self.dark:
+    def carry_out(self, order):
+        """Carry out an order at its runner, if that is reachable."""
+        self.sent.append((self.now, order))
+        runner = self.runner_by_id.get(order.runner)
+        if runner is None or order.runner in self.unreachable:
             return
-        handler = getattr(self, f"_on_{act.kind.value}")
-        handler(runner, act)
+        handler = getattr(self, f"_on_{order.kind.value}")
+        handler(runner, order)
 
-    def cut_off(self, zone):
-        """Let a data centre's runners go silent to the leader; return them."""
-        there = [r for r in self.runner_by_id.values() if r.datacentre == zone]
-        self.dark.update(r.id for r in there)
-        return there
+    def partition(self, zone):
+        """Make a data centre's runners unreachable; return them."""
+        affected = [
+            r for r in self.runner_by_id.values() if r.datacentre == zone
+        ]
+        self.unreachable.update(r.id for r in affected)
+        return affected
 
-    def crash(self, name, dark=True):
-        """Let a runner die; a dark one says nothing, else its port refuses."""
-        (self.dark if dark else self.refusing).add(name)
+    def crash(self, name, silent=True):
+        """Crash a runner; if not silent, its port refuses connections."""
+        (self.unreachable if silent else self.refusing).add(name)
 
     def restart(self, name):
-        """Let a runner start again under its id, without a group."""
-        self.dark.discard(name)
+        """Restart a runner under its id, without a group."""
+        self.unreachable.discard(name)
         self.refusing.discard(name)
         held = self.runner_by_id[name]
         self._put(held._replace(membership=None, start_id=held.start_id + 1))
@@ -171,23 +173,23 @@
             r
             for r in self.runner_by_id.values()
             if r.is_open_head
-            and r.id not in self.dark
+            and r.id not in self.unreachable
             and r.id not in self.refusing
             and (model is None or r.membership.key.model == model)
         ]
 
     def is_ready_head(self, name):
-        """Tell whether a runner heads a group whose members are all ready."""
+        """Return whether a runner is the head of a group that is ready."""
         held = self.runner_by_id[name].membership
         if held is None or held.rank:
             return False
         members = [self.runner_by_id[m] for m in self.members(name)]
         ready = all(m.membership.phase is phase.Phase.READY for m in members)
-        ready = ready and not any(m.id in self.dark for m in members)
+        ready = ready and not any(m.id in self.unreachable for m in members)
         return ready and len(members) == self.models[held.key.model].size
 
     def members(self, head):
-        """Return the ids of a head's group."""
+        """Return the ids of the members of a head's group."""
         key = self.runner_by_id[head].membership.key
         return [
             r.id
@@ -196,9 +198,9 @@
         ]
 
     def _put(self, runner):
-        self._seen += 1
+        self._list_version += 1
         self.runner_by_id[runner.id] = runner._replace(
-            list_version=self._seen + 1
+            list_version=self._list_version + 1
         )
 
     def _set(self, runner, key, rank, at):
@@ -206,112 +208,117 @@
             runner._replace(membership=membership.Membership(key, rank, at))
         )
 
-    def _on_join(self, runner, act):
+    def _on_join(self, runner, order):
         held = runner.membership
-        if held and held.key.epoch > act.key.epoch:
+        if held and held.key.epoch > order.key.epoch:
             return
-        if held and held.key == act.key:
+        if held and held.key == order.key:
             return
-        self._note_two(runner)
-        rank = act.members.index(runner.id)
-        self._set(runner, act.key, rank, phase.Phase.JOINING)
-        model = self.models[act.model]
+        self._check_join(runner)
+        rank = order.members.index(runner.id)
+        self._set(runner, order.key, rank, phase.Phase.JOINING)
+        model = self.models[order.model]
         load = (
             model.load_time // 10
             if self.planner.before_traffic
             else model.load_time
         )
-        span = model.staged_load_time if act.model in runner.staged else load
-        if self._last.get((runner.id, runner.start_id)) == act.model:
+        span = model.staged_load_time if order.model in runner.staged else load
+        if (
+            self._last_model_by_start.get((runner.id, runner.start_id))
+            == order.model
+        ):
             span = 200
-        self._done_at[runner.id] = self.now + span
+        self._ready_at_by_id[runner.id] = self.now + span
 
-    def _note_two(self, runner):
-        # The rule: no join of another group while the old head is open,
-        # closing, or stands still and has not broken yet.
-        held = runner.membership or self._left.get(runner.id)
+    def _check_join(self, runner):
+        # A runner must not join another group while its old head is open,
+        # closing, or stalled and not yet broken.
+        held = runner.membership or self._left_membership_by_id.get(runner.id)
         if held is None:
             return
         for head in self.runner_by_id.values():
             own = head.membership
             if own and own.key == held.key and not own.rank:
-                lives = head.id not in self.dead
-                if lives and own.phase in phase.SERVING:
-                    self.problems.append(
+                is_alive = head.id not in self.dead
+                if is_alive and own.phase in phase.SERVING:
+                    self.violations.append(
                         f"{runner.id} joins, {head.id} serves"
                     )
 
-    def _on_open(self, runner, act):
+    def _on_open(self, runner, order):
         held = runner.membership
-        if held and held.key == act.key and held.phase is phase.Phase.READY:
-            whole = {
+        if held and held.key == order.key and held.phase is phase.Phase.READY:
+            ranks = {
                 r.membership.rank
                 for r in self.runner_by_id.values()
-                if r.membership and r.membership.key == act.key
+                if r.membership and r.membership.key == order.key
             }
-            if len(whole) != self.models[act.key.model].size:
-                self.problems.append(f"{act.key} opened with {whole}")
-            self._set(runner, act.key, held.rank, phase.Phase.OPEN)
+            if len(ranks) != self.models[order.key.model].size:
+                self.violations.append(f"{order.key} opened with {ranks}")
+            self._set(runner, order.key, held.rank, phase.Phase.OPEN)
 
-    def _on_close(self, runner, act):
+    def _on_close(self, runner, order):
         after = phase.Phase.READY
-        if runner.id in self.working:
+        if runner.id in self.busy:
             after = phase.Phase.CLOSING
-        self._end(runner, act, after)
+        self._end_serving(runner, order, after)
 
-    def _on_cut(self, runner, act):
-        self._end(runner, act, phase.Phase.READY)
+    def _on_cut(self, runner, order):
+        self._end_serving(runner, order, phase.Phase.READY)
 
-    def _end(self, runner, act, after):
+    def _end_serving(self, runner, order, after):
         held = runner.membership
-        if held and held.key == act.key and held.phase in phase.SERVING:
-            self._set(runner, act.key, held.rank, after)
+        if held and held.key == order.key and held.phase in phase.SERVING:
+            self._set(runner, order.key, held.rank, after)
 
-    def _on_leave(self, runner, act):
+    def _on_leave(self, runner, order):
         held = runner.membership
-        if held and held.key == act.key:
-            self._left[runner.id] = held
+        if held and held.key == order.key:
+            self._left_membership_by_id[runner.id] = held
             self._put(runner._replace(membership=None))
-            self._broken_at.setdefault(act.key, self.now + STALL)
+            self._breaks_at_by_key.setdefault(order.key, self.now + STALL)
 
-    def _on_stage(self, runner, act):
-        self._put(runner._replace(staged=(act.model,)))
+    def _on_stage(self, runner, order):
+        self._put(runner._replace(staged=(order.model,)))
 
     def _progress(self):
-        for name, at in list(self._done_at.items()):
+        for name, at in list(self._ready_at_by_id.items()):
             runner = self.runner_by_id[name]
             held = runner.membership
-            if name in self.dark or held is None:
-                del self._done_at[name]
+            if name in self.unreachable or held is None:
+                del self._ready_at_by_id[name]
             elif self.now >= at and held.phase is phase.Phase.JOINING:
-                del self._done_at[name]
-                last = self._last.get((name, runner.start_id))
-                self._last[name, runner.start_id] = held.key.model
+                del self._ready_at_by_id[name]
+                last = self._last_model_by_start.get((name, runner.start_id))
+                self._last_model_by_start[name, runner.start_id] = (
+                    held.key.model
+                )
                 if last != held.key.model:
                     # A join that had to load leaves the weights staged.
                     self._put(runner._replace(staged=(held.key.model,)))
                 runner = self.runner_by_id[name]
                 self._set(runner, held.key, held.rank, phase.Phase.READY)
-        for key, at in list(self._broken_at.items()):
+        for key, at in list(self._breaks_at_by_key.items()):
             if self.now < at:
                 continue
-            del self._broken_at[key]
+            del self._breaks_at_by_key[key]
             for runner in list(self.runner_by_id.values()):
                 held = runner.membership
                 if held and held.key == key and held.phase in phase.SERVING:
                     self._set(runner, key, held.rank, phase.Phase.BROKEN)
 
-    def _look(self, name):
-        lives = self.planner.liveness
-        if name in self.dark or name in self.refusing:
-            lives.record_no_answer(name, self.now)
+    def _probe(self, name):
+        liveness = self.planner.liveness
+        if name in self.unreachable or name in self.refusing:
+            liveness.record_no_answer(name, self.now)
         else:
-            lives.record_answer(name, self.now)
+            liveness.record_answer(name, self.now)
 
-    def _check(self):
-        seen = {}
+    def _check_groups(self):
+        head_by_member = {}
         for head in self.open_heads():
             for member in self.members(head.id):
-                if member in seen:
-                    self.problems.append(f"{member} in two open groups")
-                seen[member] = head.id
+                if member in head_by_member:
+                    self.violations.append(f"{member} in two open groups")
+                head_by_member[member] = head.id
