--- /dev/null
+++ b/src/citronvalve/replicas/liveness.py
@@ -0,0 +1,293 @@
+"""Which runners are alive, according to the list and to probes."""
+
+import collections
+
+from citronvalve.model import clock
+from citronvalve.replicas import runner as runners
+from citronvalve.replicas import suspicion as suspicions
+
+#: Time between two probes of a suspected runner.
+_SUSPECT_PROBE_INTERVAL: clock.Ms = 400
+
+#: Time between two probes of other runners in a data centre after a loss
+#: there, until one of them answers.
+_DATACENTRE_PROBE_INTERVAL: clock.Ms = 300
+
+#: Time between two probes of a lost runner, and of one that left the list
+#: and answers.
+_SLOW_PROBE_INTERVAL: clock.Ms = 2_000
+
+#: A data centre without any answer for this long is partitioned.  After the
+#: loss of a single runner another one there answers within a third of it.
+_MIN_PARTITION_TIME: clock.Ms = 1_000
+
+#: Time after a partition has healed for which the state of the data centre is
+#: stale: its entries come back within 2 s, and delayed orders arrive.
+_SETTLING_TIME: clock.Ms = 2_500
+
+#: A runner that left the list is remembered for this long.
+_UNLISTED_RETENTION: clock.Ms = 30_000
+
+
+class Liveness:
+    """Tracks which runners are alive.
+
+    The list shows a crash only seconds later, and drops live runners that
+    can't reach it.  So a runner that is suspected or has left the list is
+    probed before it counts as lost.
+    """
+
+    def __init__(self) -> None:
+        self._suspicion_by_id: dict[str, suspicions.Suspicion] = {}
+        self._unlisted_by_id: dict[str, tuple[runners.Runner, clock.Ms]] = {}
+        self._listed_by_id: dict[str, runners.Runner] = {}
+        self._answered_at_by_id: dict[str, clock.Ms] = {}
+        self._datacentre_probed_at: clock.Ms = -_DATACENTRE_PROBE_INTERVAL
+        self._unreachable_since: dict[str, clock.Ms] = {}
+        self._healed_at_by_datacentre: dict[str, clock.Ms] = {}
+
+    def apply_list(
+        self, runner_by_id: dict[str, runners.Runner], now: clock.Ms
+    ) -> None:
+        """Apply the current list.
+
+        :param runner_by_id: all entries.
+        :param now: monotonic ms.
+        """
+        for gone in self._listed_by_id.keys() - runner_by_id.keys():
+            self._unlisted_by_id[gone] = self._listed_by_id[gone], now
+            self.suspect(gone)
+        for runner_id, runner in runner_by_id.items():
+            held = self._listed_by_id.get(runner_id)
+            if held is None or held.start_id != runner.start_id:
+                # Probe results of an earlier start don't apply to this one.
+                self._suspicion_by_id.pop(runner_id, None)
+                self._unlisted_by_id.pop(runner_id, None)
+        self._listed_by_id = dict(runner_by_id)
+        self._answered_at_by_id = {
+            r: at
+            for r, at in self._answered_at_by_id.items()
+            if r in self._listed_by_id
+        }
+        for gone, (_, since) in list(self._unlisted_by_id.items()):
+            if now - since > _UNLISTED_RETENTION:
+                del self._unlisted_by_id[gone]
+                self._suspicion_by_id.pop(gone, None)
+
+    def suspect(self, runner_id: str) -> None:
+        """Suspect a runner, so that it is probed.
+
+        :param runner_id: its id.
+        """
+        self._suspicion_by_id.setdefault(runner_id, suspicions.Suspicion())
+
+    def alive(self) -> list[runners.Runner]:
+        """Return all runners that are not lost, listed or not."""
+        unlisted = [held for held, _ in self._unlisted_by_id.values()]
+        return [
+            runner
+            for runner in (*self._listed_by_id.values(), *unlisted)
+            if not self.is_lost(runner.id)
+        ]
+
+    def is_departed(self, runner_id: str) -> bool:
+        """Return whether a lost runner left in an orderly way.
+
+        A leaving runner stops listening but stays until the requests of its
+        head have ended.  If it counted as dead, its group would be cut, and
+        callers would lose streams that end within a second or two.  It
+        announced that it leaves or answered after it had left the list; a
+        runner that crashes does neither.
+
+        :param runner_id: its id.
+        """
+        held = self.find(runner_id)
+        if held is None or not self.is_lost(runner_id):
+            return False
+        return (
+            held.leaving or self._suspicion_by_id[runner_id].answered_unlisted
+        )
+
+    def departed(self) -> list[runners.Runner]:
+        """Return the runners that left in an orderly way, as last known."""
+        return [
+            self.find(runner)
+            for runner in self._suspicion_by_id
+            if self.is_departed(runner)
+        ]
+
+    def find(self, runner_id: str) -> runners.Runner | None:
+        """Return a runner as last known.
+
+        :param runner_id: its id.
+        """
+        held = self._listed_by_id.get(runner_id)
+        if held is not None:
+            return held
+        unlisted = self._unlisted_by_id.get(runner_id)
+        return unlisted[0] if unlisted else None
+
+    def largest_domain_size(self) -> int:
+        """Return the number of listed runners in the largest domain."""
+        counts = collections.Counter(
+            r.domain for r in self._listed_by_id.values()
+        )
+        return max(counts.values(), default=0)
+
+    def is_listed(self, runner_id: str) -> bool:
+        """Return whether a runner is in the list.
+
+        :param runner_id: its id.
+        """
+        return runner_id in self._listed_by_id
+
+    def is_lost(self, runner_id: str) -> bool:
+        """Return whether a runner counts as lost.
+
+        :param runner_id: its id.
+        """
+        suspicion = self._suspicion_by_id.get(runner_id)
+        return suspicion is not None and suspicion.is_lost
+
+    def is_suspected(self, runner_id: str) -> bool:
+        """Return whether a runner is suspected to be lost.
+
+        :param runner_id: its id.
+        """
+        return runner_id in self._suspicion_by_id
+
+    def is_reachable(self, datacentre: str) -> bool:
+        """Return whether a data centre can be reached from here.
+
+        In a network partition no runner behind it answers although all are
+        alive.  So another runner must have answered since the last loss; an
+        earlier answer may be from before the partition.
+
+        :param datacentre: its name.
+        """
+        lost = self._lost_at_by_datacentre().get(datacentre)
+        if lost is None:
+            return True
+        return any(
+            at >= lost
+            for runner, at in self._answered_at_by_id.items()
+            if self._is_in(runner, datacentre)
+        )
+
+    def due_probes(self, now: clock.Ms) -> list[str]:
+        """Return the ids of the runners to be probed now.
+
+        :param now: monotonic ms.
+        """
+        due = self._due_datacentre_probes(now)
+        for runner_id, suspicion in self._suspicion_by_id.items():
+            interval = (
+                _SUSPECT_PROBE_INTERVAL
+                if runner_id in self._listed_by_id
+                else _SLOW_PROBE_INTERVAL
+            )
+            if suspicion.last_probe_failed:
+                interval = _SUSPECT_PROBE_INTERVAL
+            if suspicion.is_lost:
+                interval = _SLOW_PROBE_INTERVAL
+            if (
+                suspicion.probed_at is None
+                or now - suspicion.probed_at >= interval
+            ):
+                suspicion.probed_at = now
+                due.append(runner_id)
+        return due
+
+    def is_settled(self, datacentre: str, now: clock.Ms) -> bool:
+        """Return whether a data centre is reachable and its state is current.
+
+        :param datacentre: its name.
+        :param now: monotonic ms.
+        """
+        if not self.is_reachable(datacentre):
+            return False
+        healed = self._healed_at_by_datacentre.get(datacentre)
+        return healed is None or now - healed >= _SETTLING_TIME
+
+    def track_partitions(self, now: clock.Ms) -> None:
+        """Record which data centres are partitioned and which have healed.
+
+        When a partition heals, the runners behind it are probed afresh.  If
+        they stayed lost, groups that served all the while would be closed.
+
+        :param now: monotonic ms.
+        """
+        for datacentre in self._lost_at_by_datacentre():
+            if not self.is_reachable(datacentre):
+                self._unreachable_since.setdefault(datacentre, now)
+                continue
+            since = self._unreachable_since.pop(datacentre, None)
+            if since is not None and now - since >= _MIN_PARTITION_TIME:
+                self._healed_at_by_datacentre[datacentre] = now
+                self._renew_suspicions(datacentre)
+
+    def _renew_suspicions(self, datacentre: str) -> None:
+        for runner_id in self._suspicion_by_id:
+            held = self.find(runner_id)
+            if held is not None and held.datacentre == datacentre:
+                self._suspicion_by_id[runner_id] = suspicions.Suspicion()
+
+    def _is_in(self, runner_id: str, datacentre: str) -> bool:
+        held = self._listed_by_id.get(runner_id)
+        return held is not None and held.datacentre == datacentre
+
+    def _lost_at_by_datacentre(self) -> dict[str, clock.Ms]:
+        newest: dict[str, clock.Ms] = {}
+        for runner_id, suspicion in self._suspicion_by_id.items():
+            held = self.find(runner_id)
+            if suspicion.lost_at is None or held is None:
+                continue
+            before = newest.get(held.datacentre, suspicion.lost_at)
+            newest[held.datacentre] = max(before, suspicion.lost_at)
+        return newest
+
+    def _due_datacentre_probes(self, now: clock.Ms) -> list[str]:
+        # After a loss one runner of each domain there is probed until one of
+        # them has answered.
+        if now - self._datacentre_probed_at < _DATACENTRE_PROBE_INTERVAL:
+            return []
+        unreachable = {
+            datacentre
+            for datacentre in self._lost_at_by_datacentre()
+            if not self.is_reachable(datacentre)
+        }
+        due: dict[str, str] = {}
+        for runner in self._listed_by_id.values():
+            usable = not runner.leaving and not self.is_lost(runner.id)
+            if runner.datacentre in unreachable and usable:
+                due.setdefault(runner.domain, runner.id)
+        if due:
+            self._datacentre_probed_at = now
+        return list(due.values())
+
+    def record_answer(self, runner_id: str, now: clock.Ms) -> None:
+        """Record that a runner answered a probe.
+
+        :param runner_id: its id.
+        :param now: monotonic ms.
+        """
+        self._answered_at_by_id[runner_id] = now
+        if runner_id in self._listed_by_id:
+            self._suspicion_by_id.pop(runner_id, None)
+            return
+        suspicion = self._suspicion_by_id.get(runner_id)
+        if suspicion is not None:
+            suspicion.record_unlisted_answer()
+
+    def record_no_answer(self, runner_id: str, now: clock.Ms) -> None:
+        """Record that a probe had no answer.
+
+        A refused connection counts the same: during a partition the network
+        may refuse it on behalf of a runner that is alive.
+
+        :param runner_id: its id.
+        :param now: monotonic ms.
+        """
+        suspicion = self._suspicion_by_id.get(runner_id)
+        if suspicion is not None:
+            suspicion.record_failure(now)
--- a/src/citronvalve/replicas/pending.py
+++ b/src/citronvalve/replicas/pending.py
@@ -4,22 +4,22 @@
 from citronvalve.replicas import membership
 
 
-class Pending:
-    """Ordered, and not yet seen open.
+class PendingReplica:
+    """A replica that was ordered and is not yet open.
 
     :param key: the formation.
     :param members: ids, the head first.
-    :param until: monotonic ms at which it is given up.
-    :ivar opened: whether the head was told to open.
+    :param deadline: monotonic ms at which it is abandoned.
+    :ivar open_ordered: whether the head was ordered to open.
     """
 
     def __init__(
         self,
         key: membership.GroupKey,
         members: tuple[str, ...],
-        until: clock.Ms,
+        deadline: clock.Ms,
     ) -> None:
         self.key = key
         self.members = members
-        self.until = until
-        self.opened = False
+        self.deadline = deadline
+        self.open_ordered = False
