--- a/tests/peers/faultyfleet.py
+++ b/tests/peers/faultyfleet.py
@@ -46,8 +46,8 @@
 class Fleet(stateful.RuleBasedStateMachine):
     """A fleet under faults; subclasses add rules for what it does.
 
-    Hypothesis orders rules by the names of their methods, so a new name
-    changes the sequences that a derandomized run explores.
+    Hypothesis orders rules by name and derives the seed of a derandomized run
+    from the subclass's source, so changes of either give other sequences.
     """
 
     CHECKS = invariant.Invariants()
