--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -28,7 +28,7 @@
         self._start_by_ticket: dict[int, decision.Start] = {}
         self._last = 0
 
-    def declare(self, table: declared.Declared, now: clock.Ms) -> None:
+    def apply_table(self, table: declared.Declared, now: clock.Ms) -> None:
         out = {
             name
             for name, row in table.datacentre_by_name.items()
@@ -54,21 +54,21 @@
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
         pass
 
-    def divide(self, share: limits.Share, now: clock.Ms) -> None:
+    def set_share(self, share: limits.Share, now: clock.Ms) -> None:
         pass
 
-    def lend(
+    def accept_loan(
         self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
     ) -> None:
         pass
 
-    def wants(self, now: clock.Ms) -> tuple[fleet.Want, ...]:
+    def needed_loans(self, now: clock.Ms) -> tuple[fleet.LoanRequest, ...]:
         return ()
 
-    def tell(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
+    def recent_losses(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
         return ()
 
-    def learn(self, loss: crashfence.Loss, now: clock.Ms) -> None:
+    def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
         pass
 
     def _start(self, item: work.Work, attempt: int) -> decision.Start:
--- a/benchmarks/fullscan.py
+++ b/benchmarks/fullscan.py
@@ -13,21 +13,21 @@
 
     def pick(
         self,
-        index: room.RoomIndex,
+        index: room.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: placement.Wish,
+        wish: placement.PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         found = [
             item
             for tier in range(room.TIERS)
             for item in index.all(tier)
-            if item.has_room() and wish.allows(item)
+            if item.has_free_slot() and wish.allows(item)
         ]
         return min(
             found,
-            key=lambda item: placement.price(
-                item, wish, placement.DISTANCES[item.tier]
+            key=lambda item: placement.placement_cost(
+                item, wish, placement.ROUND_TRIP_BY_TIER[item.tier]
             ),
             default=None,
         )
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -113,7 +113,7 @@
     made = dispatcher.Dispatcher(
         "a", random.Random(1), invariant.Invariants(), chooser
     )
-    made.declare(scenario.table()._replace(upstream_by_name=rows), 0)
+    made.apply_table(scenario.table()._replace(upstream_by_name=rows), 0)
     for name in rows:
         made.observe(load.LoadReport(name, "1", 0, 0, 8, 0), 0)
     return made
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -95,8 +95,8 @@
             for n, home in enumerate(self._homes)
         ]
         for rank, one in enumerate(self._daemons):
-            one.declare(table, self.now)
-            one.divide(limits.Share(rank, daemons), self.now)
+            one.apply_table(table, self.now)
+            one.set_share(limits.Share(rank, daemons), self.now)
         self._every(_REPORT, self._reports)
         self._every(_TICK, self._ticks)
         self._every(_LOAN // 4, self._loans)
@@ -124,7 +124,7 @@
             delay = 2_000 * (n + 1) // len(self._daemons)
             self._push(
                 self.now + delay,
-                lambda one=one: one.declare(table, self.now),
+                lambda one=one: one.apply_table(table, self.now),
             )
 
     def arrive(self, call: Call) -> None:
@@ -267,7 +267,7 @@
     def _loans(self) -> None:
         wants: dict[str, dict[int, int]] = {}
         for n, one in enumerate(self._daemons):
-            for want in one.wants(self.now):
+            for want in one.needed_loans(self.now):
                 wants.setdefault(want.upstream, {})[n] = want.bound
         for name, bound_by_daemon in wants.items():
             bound = min(bound_by_daemon.values())
@@ -275,10 +275,10 @@
             lent = self._keeper.lend(name, bound, daemons, self.now)
             for n, slots in lent.items():
                 until = self.now + _LOAN
-                self._daemons[n].lend(name, slots, until, self.now)
+                self._daemons[n].accept_loan(name, slots, until, self.now)
 
     def _gossip(self) -> None:
         for one in self._daemons:
-            for loss in one.tell(self.now):
+            for loss in one.recent_losses(self.now):
                 for other in self._daemons:
-                    other.learn(loss, self.now)
+                    other.record_remote_loss(loss, self.now)
--- a/src/citronvalve/daemon/conductor.py
+++ b/src/citronvalve/daemon/conductor.py
@@ -38,7 +38,7 @@
         self,
         env: environments.Environment,
         directory: directories.Directory,
-        book: upstreamchoice.LoadBook,
+        book: upstreamchoice.LoadTable,
         giver: givers.Orders,
         stall: clock.Ms,
         lease: Callable[[], int],
--- a/src/citronvalve/daemon/decisiontask.py
+++ b/src/citronvalve/daemon/decisiontask.py
@@ -75,7 +75,7 @@
         if known == self._known:
             return
         self._known = known
-        self._dispatcher.declare(table, now, known[1])
+        self._dispatcher.apply_table(table, now, known[1])
         # A new upstream may have reported before it was declared.
         for report in list(self._view.load_by_upstream.values()):
             self._dispatcher.observe(report, now)
--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -77,7 +77,7 @@
             ports.dialect,
         )
         self.directory = directories.Directory(settings.datacentre)
-        self._book = upstreamchoice.LoadBook()
+        self._book = upstreamchoice.LoadTable()
         self._stop = eventlet.event.Event()
         self._make_forwarding()
         self._make_leading()
--- a/src/citronvalve/daemon/entrysettings.py
+++ b/src/citronvalve/daemon/entrysettings.py
@@ -20,7 +20,7 @@
     callers: str
     operators: str
     peers: str
-    repeats: repeatbudget.RepeatTerms
+    repeats: repeatbudget.RetryLimits
     cold: placing.ColdTerms
     grace: clock.Ms
     stall: clock.Ms
--- a/src/citronvalve/daemon/loadnews.py
+++ b/src/citronvalve/daemon/loadnews.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         env: environments.Environment,
-        book: upstreamchoice.LoadBook,
+        book: upstreamchoice.LoadTable,
         spreading: distributors.Distributor,
         send: Callable[[Iterable[distributors.Outgoing]], None],
     ) -> None:
@@ -62,9 +62,9 @@
             eventlet.sleep(self._pause() / clock.SECOND)
             now = self._env.clock.now()
             own = {
-                upstream: (held.mine, held.late)
+                upstream: (held.own, held.late)
                 for upstream, held in self._book.load_by_upstream.items()
-                if held.mine
+                if held.own
             }
             if own != last or now - told_at >= _LOADS_SAME:
                 last, told_at = own, now
--- a/src/citronvalve/daemon/newstask.py
+++ b/src/citronvalve/daemon/newstask.py
@@ -62,7 +62,7 @@
         env: environments.Environment,
         address: str,
         lease: leases.Lease,
-        book: upstreamchoice.LoadBook,
+        book: upstreamchoice.LoadTable,
     ) -> None:
         self._env = env
         self._lease = lease
--- a/src/citronvalve/daemon/runnerlist.py
+++ b/src/citronvalve/daemon/runnerlist.py
@@ -36,7 +36,7 @@
         self,
         env: environments.Environment,
         directory: directories.Directory,
-        book: upstreamchoice.LoadBook,
+        book: upstreamchoice.LoadTable,
         decode: Decode,
     ) -> None:
         self._env = env
@@ -110,7 +110,7 @@
             # Another start or group owes nothing to what was seen before.
             load = self._book.of(runner.id)
             if runner.is_open_head or held is None:
-                load.renew()
+                load.reset_failures()
             self._env.log.change(
                 "runner changed",
                 runner=runner.id,
--- a/src/citronvalve/daemon/sharing.py
+++ b/src/citronvalve/daemon/sharing.py
@@ -49,11 +49,11 @@
         place = limits.Share(*self._peer.member_rank())
         if place != self._place:
             self._place = place
-            self._dispatcher.divide(place, now)
+            self._dispatcher.set_share(place, now)
 
     def _borrow(self, now: clock.Ms) -> None:
         wanted = set()
-        for want in self._dispatcher.wants(now):
+        for want in self._dispatcher.needed_loans(now):
             # Each data centre has a keeper of its own, so that two would
             # lend the same slots; only the upstream's own one does.
             if want.datacentre != self._home:
@@ -67,7 +67,7 @@
                 self._peer.set_limit(key, want.bound)
             slots = self._peer.usable_slots(key)
             until = now + _HOLDS
-            self._dispatcher.lend(want.upstream, slots, until, now)
+            self._dispatcher.accept_loan(want.upstream, slots, until, now)
         for key in self._wanted - wanted:
             self._peer.request_slots(key, 0)
             self._peer.set_limit(key, 0)
@@ -88,8 +88,10 @@
             known = (fact.fingerprint, fact.upstream)
             if known not in self._lost:
                 self._lost.add(known)
-                self._dispatcher.learn(crashfence.Loss(*known, fact.age), now)
-        for loss in self._dispatcher.tell(now):
+                self._dispatcher.record_remote_loss(
+                    crashfence.Loss(*known, fact.age), now
+                )
+        for loss in self._dispatcher.recent_losses(now):
             known = (loss.fingerprint, loss.upstream)
             if known not in self._lost:
                 self._lost.add(known)
--- a/src/citronvalve/forward/crashes.py
+++ b/src/citronvalve/forward/crashes.py
@@ -45,7 +45,7 @@
 
         :param demand: the request.
         """
-        lost = self._fence.losses(
+        lost = self._fence.loss_count(
             fingerprint(demand.request, self._env.dialect.key),
             self._env.clock.now(),
             _SPAN,
@@ -96,7 +96,7 @@
         :param mark: the request's fingerprint.
         :param upstream: who was lost.
         """
-        self._fence.lose(mark, upstream, self._env.clock.now())
+        self._fence.record_loss(mark, upstream, self._env.clock.now())
 
 
 def fingerprint(
--- a/src/citronvalve/forward/means.py
+++ b/src/citronvalve/forward/means.py
@@ -17,7 +17,7 @@
 
     env: environments.Environment
     directory: directories.Directory
-    book: upstreamchoice.LoadBook
+    book: upstreamchoice.LoadTable
     links: links_.Links
     placing: placings.Placing
     repeats: repeats_.Repeats
--- a/src/citronvalve/forward/placing.py
+++ b/src/citronvalve/forward/placing.py
@@ -77,7 +77,7 @@
         self,
         env: environments.Environment,
         directory: directories.Directory,
-        book: upstreamchoice.LoadBook,
+        book: upstreamchoice.LoadTable,
         cold: ColdTerms,
     ) -> None:
         self._env = env
@@ -106,7 +106,7 @@
             return self._refuse(
                 demand,
                 f"all {found.candidates} replicas are full",
-                max(_SOONEST, found.back_in),
+                max(_SOONEST, found.retry_in),
             )
         return self._refuse(demand, _why_none(demand), _REPAIR)
 
@@ -207,7 +207,7 @@
     def _bears(self, upstream: str, rate: float, now: clock.Ms) -> bool:
         if not rate or not self._is_cold(upstream, now):
             return True
-        return self._rates.bears(upstream, rate, self._env.daemons, now)
+        return self._rates.allows(upstream, rate, self._env.daemons, now)
 
     def _is_cold(self, upstream: str, now: clock.Ms) -> bool:
         runner = self._directory.runner_by_id.get(upstream)
@@ -225,7 +225,7 @@
         if self._rate(demand):
             # Counted while warm too: an upstream falls back into a cold
             # start without warning, and the last second counts then.
-            self._rates.sent(upstream, now)
+            self._rates.record_sent(upstream, now)
 
     def _refuse(
         self, demand: demands.Demand, why: str, back_in: clock.Ms
--- a/src/citronvalve/forward/repeats.py
+++ b/src/citronvalve/forward/repeats.py
@@ -15,11 +15,11 @@
     def __init__(
         self,
         env: environments.Environment,
-        terms: repeatbudget.RepeatTerms,
+        terms: repeatbudget.RetryLimits,
     ) -> None:
         self._env = env
         self.terms = terms
-        self._budget_by_service: dict[str, repeatbudget.RepeatBudget] = {}
+        self._budget_by_service: dict[str, repeatbudget.RetryBudget] = {}
 
     def requested(self, service: str) -> None:
         """Count a request of a caller.
@@ -44,10 +44,10 @@
         now = self._env.clock.now()
         return self._budget(service).spend(self._env.daemons, now)
 
-    def _budget(self, service: str) -> repeatbudget.RepeatBudget:
+    def _budget(self, service: str) -> repeatbudget.RetryBudget:
         held = self._budget_by_service.get(service)
         if held is None:
-            held = repeatbudget.RepeatBudget(self.terms)
+            held = repeatbudget.RetryBudget(self.terms)
             self._budget_by_service[service] = held
         held.terms = self.terms
         return held
--- a/src/citronvalve/forward/stalls.py
+++ b/src/citronvalve/forward/stalls.py
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, env: environments.Environment, book: upstreamchoice.LoadBook
+        self, env: environments.Environment, book: upstreamchoice.LoadTable
     ) -> None:
         self._env = env
         self._book = book
@@ -42,7 +42,7 @@
         :param upstream: its id.
         """
         held = self._book.of(upstream)
-        held.heard_at = self._env.clock.now()
+        held.last_heard_at = self._env.clock.now()
         if upstream in self._standing:
             # It was only slow.
             self._standing.discard(upstream)
@@ -67,7 +67,7 @@
         """
         now = self._env.clock.now()
         held = self._book.of(upstream)
-        if now - held.heard_at < _LIVELY:
+        if now - held.last_heard_at < _LIVELY:
             return False
         if upstream not in self._standing:
             self._mark(upstream, now)
@@ -80,7 +80,7 @@
         :param upstream: its id; ignored if it was heard here just now.
         """
         now = self._env.clock.now()
-        lively = now - self._book.of(upstream).heard_at < _LIVELY
+        lively = now - self._book.of(upstream).last_heard_at < _LIVELY
         if not lively and upstream not in self._standing:
             self._mark(upstream, now)
 
@@ -91,8 +91,8 @@
         self._env.log.change(
             "upstream stands still",
             upstream=upstream,
-            silent_ms=now - held.heard_at if held.heard_at else None,
-            own_requests=held.mine,
+            silent_ms=now - held.last_heard_at if held.last_heard_at else None,
+            own_requests=held.own,
         )
 
     def stood_still(self, span: clock.Ms) -> None:
--- a/src/citronvalve/forward/trial.py
+++ b/src/citronvalve/forward/trial.py
@@ -77,10 +77,12 @@
         try:
             link = self._means.links.take(runner.address, repeatable)
         except linkerror.LinkError as error:
-            self._load.circuit.failed(self._env.clock.now(), fatal=True)
+            self._load.circuit.record_failure(
+                self._env.clock.now(), fatal=True
+            )
             self._means.stalls.silent(self._placed.upstream)
             return attempts.Ended(_Ending.NOT_RUN, str(error))
-        self._load.mine += 1
+        self._load.own += 1
         self._load.late += self._placed.late
         whole = False
         try:
@@ -91,7 +93,7 @@
         except linkerror.LinkError as error:
             return self._failed(error, runner.address)
         finally:
-            self._load.mine -= 1
+            self._load.own -= 1
             self._begun()
             if whole and self._got is not None:
                 kept = self._got.kept()
@@ -111,7 +113,9 @@
             return self._turned_away(link, got)
         if not got.is_success():
             body = self._body(link)
-            self._load.circuit.failed(self._env.clock.now(), fatal=False)
+            self._load.circuit.record_failure(
+                self._env.clock.now(), fatal=False
+            )
             return attempts.Ended(_Ending.FAILED, str(got.status), got, body)
         if not got.is_proper(dialect):
             raise linkerror.LinkError(_Trouble.GARBLED, "not sealed")
@@ -122,7 +126,7 @@
             self._reply.whole(got.status, headers.crossing(got.headers), body)
             took = self._env.clock.now() - self._demand.request.arrived
             self._env.metrics.first_event(took, 0.0)
-        self._load.circuit.succeeded()
+        self._load.circuit.record_success()
         return attempts.Ended(_Ending.DELIVERED, "", got)
 
     def _head(self) -> list[headers.Header]:
@@ -176,7 +180,7 @@
         load = got.load(self._env.dialect)
         if load is not None:
             now = self._env.clock.now()
-            self._load.reported(load.running, load.waiting, now)
+            self._load.record_report(load.running, load.waiting, now)
 
     def _turned_away(
         self, link: links_.Link, got: answers.Answer
@@ -274,7 +278,7 @@
     ) -> attempts.Ended:
         now = self._env.clock.now()
         if now < self._demand.until:
-            self._load.circuit.failed(now, fatal=False)
+            self._load.circuit.record_failure(now, fatal=False)
         if error.trouble is _Trouble.SILENT:
             # What went silent may be all connections, while new ones work.
             self._means.links.drop(address)
--- a/src/citronvalve/peers/distributor.py
+++ b/src/citronvalve/peers/distributor.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, name: str, datacentre: str, loads: upstreamchoice.LoadBook
+        self, name: str, datacentre: str, loads: upstreamchoice.LoadTable
     ) -> None:
         self._name = name
         self._datacentre = datacentre
@@ -219,8 +219,8 @@
         upstreams = self._loads.load_by_upstream.keys()
         for upstream in upstreams | counts.keys():
             count, late = counts.get(upstream, (0, 0))
-            shares = self._loads.of(upstream).share_by_daemon
-            shares[name] = upstreamload.Share(count, late, now)
+            shares = self._loads.of(upstream).remote_load_by_daemon
+            shares[name] = upstreamload.RemoteLoad(count, late, now)
 
     def _forward(
         self,
--- a/src/citronvalve/policy/admission.py
+++ b/src/citronvalve/policy/admission.py
@@ -32,9 +32,9 @@
     """
 
     slots: float
-    rate: float
-    typical: clock.Ms
-    started: clock.Ms
+    team_slots: float
+    mean_arriving: clock.Ms
+    mean_started: clock.Ms
     margin: clock.Ms = 0
 
 
@@ -47,7 +47,7 @@
 
 def forecast(
     queue: fairshare.FairQueue,
-    item: fairshare.Waiting,
+    item: fairshare.QueuedRequest,
     supply: Supply,
     now: clock.Ms,
 ) -> Forecast:
@@ -63,11 +63,11 @@
     :param supply: what is there to serve it.
     :param now: monotonic ms.
     """
-    if supply.slots <= 0 or supply.rate <= 0:
+    if supply.slots <= 0 or supply.team_slots <= 0:
         return Forecast(0, False)
-    line = queue.line(item.team)
-    rate = supply.rate * _CAUTION
-    first = supply.started / supply.slots
+    line = queue.items_of(item.team)
+    rate = supply.team_slots * _CAUTION
+    first = supply.mean_started / supply.slots
     ahead = 0
     at = 0
     for at, other in enumerate(line, 1):
@@ -80,7 +80,9 @@
     slack = item.deadline - now - item.bound
     # A team with nothing waiting has the next slot, and nobody after it can
     # take that; only its own queue makes a wait uncertain.
-    most = min(slack * _HOLD, supply.typical * _DEEPEST) if line else slack
+    most = (
+        min(slack * _HOLD, supply.mean_arriving * _DEEPEST) if line else slack
+    )
     if wait + supply.margin > most:
         return Forecast(wait, False)
     ahead += item.cost
--- a/src/citronvalve/policy/affinity.py
+++ b/src/citronvalve/policy/affinity.py
@@ -52,7 +52,7 @@
         """
         self._seen_by_prefix.get(prefix, {}).pop(upstream, None)
 
-    def forget(self, upstream: str) -> None:
+    def drop_upstream(self, upstream: str) -> None:
         """Note that an upstream started afresh, with an empty cache.
 
         :param upstream: its name.
--- a/src/citronvalve/policy/attempt.py
+++ b/src/citronvalve/policy/attempt.py
@@ -22,15 +22,15 @@
     __slots__ = (
         "attempt_by_ticket",
         "attempts",
+        "excluded_upstreams",
         "expected",
-        "forecast",
+        "failed_upstreams",
         "is_long",
-        "never",
+        "predicted_wait",
+        "queue_item",
         "queued_at",
         "ran",
         "suspect",
-        "tried",
-        "waiting",
         "work",
     )
 
@@ -43,18 +43,18 @@
         #: As it was when it last started.
         self.is_long = False
         #: The wait that was predicted when it was queued, and when it was.
-        self.forecast: clock.Ms | None = None
+        self.predicted_wait: clock.Ms | None = None
         self.queued_at: clock.Ms = 0
         self.attempts = 0
         self.ran = ran.Ran.NO
         #: Upstreams that failed it; another attempt goes elsewhere if it
         #: can, and to those that answered wrongly it never goes again.
-        self.tried: set[str] = set()
-        self.never: set[str] = set()
-        self.waiting: fairshare.Waiting | None = None
+        self.failed_upstreams: set[str] = set()
+        self.excluded_upstreams: set[str] = set()
+        self.queue_item: fairshare.QueuedRequest | None = None
         self.attempt_by_ticket: dict[decision.Ticket, Attempt] = {}
 
-    def is_hopeless(self, now: clock.Ms) -> bool:
+    def would_be_late(self, now: clock.Ms) -> bool:
         """Tell whether it would be late if it started now.
 
         :param now: monotonic ms.
--- a/src/citronvalve/policy/backlog.py
+++ b/src/citronvalve/policy/backlog.py
@@ -34,12 +34,12 @@
         self._weight_of = weight_of
         self._typical = 0.0
         self._started = 0.0
-        self._surprise_by_flow: dict[tuple[str, bool], surprise.Surprise]
-        self._surprise_by_flow = collections.defaultdict(surprise.Surprise)
+        self._surprise_by_flow: dict[tuple[str, bool], surprise.WaitError]
+        self._surprise_by_flow = collections.defaultdict(surprise.WaitError)
         self._long_running = 0
         self._order = 0
 
-    def arrived(self, entry: attempt.Entry) -> None:
+    def record_arrival(self, entry: attempt.Entry) -> None:
         """Count a request that arrives, whatever becomes of it.
 
         :param entry: the request.
@@ -65,8 +65,10 @@
         is_long = self._is_long(entry)
         if is_long:
             slots *= _LONG_SHARE
-        waiting = self.queue.teams()
-        rate = self._usage.rate(team, slots, self._weight_of, waiting, now)
+        waiting = self.queue.teams_by_turn()
+        rate = self._usage.available_slots(
+            team, slots, self._weight_of, waiting, now
+        )
         typical = round(self._typical) or entry.expected.mean
         margin = self._surprise_by_flow[team, is_long].margin(now)
         started = round(self._started) or typical
@@ -75,7 +77,7 @@
         )
         item = self._waiting(entry)
         seen = admission.forecast(self.queue, item, supply, now)
-        entry.forecast = seen.wait
+        entry.predicted_wait = seen.wait
         return seen
 
     def may_start(self, entry: attempt.Entry, slots: float) -> bool:
@@ -100,8 +102,8 @@
         """
         entry.queued_at = now
         self._order += 1
-        entry.waiting = self._waiting(entry)
-        self.queue.push(entry.waiting)
+        entry.queue_item = self._waiting(entry)
+        self.queue.push(entry.queue_item)
 
     def remove(self, entry: attempt.Entry, now: clock.Ms) -> None:
         """Take a request out, if it waits.
@@ -109,15 +111,15 @@
         :param entry: the request.
         :param now: monotonic ms.
         """
-        if entry.waiting is not None:
-            if entry.forecast is not None:
-                error = now - entry.queued_at - entry.forecast
+        if entry.queue_item is not None:
+            if entry.predicted_wait is not None:
+                error = now - entry.queued_at - entry.predicted_wait
                 flow = entry.work.team, self._is_long(entry)
                 self._surprise_by_flow[flow].add(error, now)
-            self.queue.remove(entry.waiting)
-            entry.waiting = None
+            self.queue.remove(entry.queue_item)
+            entry.queue_item = None
 
-    def started(self, entry: attempt.Entry, now: clock.Ms) -> None:
+    def record_start(self, entry: attempt.Entry, now: clock.Ms) -> None:
         """Count a request that starts.
 
         :param entry: the request.
@@ -126,25 +128,25 @@
         team, cost = entry.work.team, entry.expected.mean
         entry.is_long = self._is_long(entry)
         self._long_running += entry.is_long
-        self.queue.start(team, cost, self._weight_of(team))
+        self.queue.record_start(team, cost, self._weight_of(team))
         self._usage.add(team, cost, now)
         gain = _GAIN if self._started else 1.0
         self._started += gain * (cost - self._started)
 
-    def ended(self, entry: attempt.Entry) -> None:
+    def record_end(self, entry: attempt.Entry) -> None:
         """Count an attempt that ended.
 
         :param entry: the request.
         """
-        self.queue.end(entry.work.team)
+        self.queue.record_end(entry.work.team)
         self._long_running -= entry.is_long
 
     def _is_long(self, entry: attempt.Entry) -> bool:
         return 0 < self._typical * _LONG < entry.expected.mean
 
-    def _waiting(self, entry: attempt.Entry) -> fairshare.Waiting:
+    def _waiting(self, entry: attempt.Entry) -> fairshare.QueuedRequest:
         item = entry.work
-        return fairshare.Waiting(
+        return fairshare.QueuedRequest(
             item.deadline,
             self._order,
             item.request,
--- a/src/citronvalve/policy/candidate.py
+++ b/src/citronvalve/policy/candidate.py
@@ -19,14 +19,14 @@
 #: cold: its daemons would go on with their warm parts until they heard.  No
 #: engine starts within this time, and reports come every second and up to
 #: three late.
-FRESH: clock.Ms = 5_000
+MAX_REPORT_AGE: clock.Ms = 5_000
 
 #: Moments of the past at which this daemon's own work is remembered, so
 #: that a late report can be compared with what was there at its time.
 _MOST_HISTORY = 256
 
 
-class Bar(enum.Enum):
+class BlockReason(enum.Enum):
     """Why an upstream gets nothing new."""
 
     UNSEEN = "it has not reported yet"
@@ -42,7 +42,7 @@
     """Slots of a cold upstream lent to this daemon up to a moment."""
 
     slots: int = 0
-    until: clock.Ms = 0
+    expires_at: clock.Ms = 0
 
 
 class Candidate:
@@ -56,15 +56,15 @@
     def __init__(
         self,
         upstream: declared.Upstream,
-        place: shift.Shift,
+        place: shift.DatacentreState,
         tier: int,
     ) -> None:
         self.upstream = upstream
-        self.place = place
+        self.datacentre = place
         self.tier = tier
         self.ramp = ramp.Ramp(upstream)
         self.circuit = circuit.Circuit()
-        self.pace = outlier.Pace()
+        self.latency_ratio = outlier.LatencyRatio()
         self.loan = Loan()
         self.report: load.LoadReport | None = None
         #: Requests that this daemon has there, and that it may have there.
@@ -73,9 +73,9 @@
         #: Requests there that have already cost another upstream.
         self.suspects = 0
         #: Whether a report with a new start id has yet to be acted on.
-        self.started_afresh = False
+        self.restart_pending = False
         #: When a connection to it last broke.
-        self.doubted_at: clock.Ms = 0
+        self.connection_broke_at: clock.Ms = 0
         #: When it last died, as far as this daemon knows.
         self.lost_at: clock.Ms = 0
         self._others = 0
@@ -93,7 +93,7 @@
         """Return the estimated requests there, of all daemons."""
         return self._others + self.own
 
-    def declare(self, upstream: declared.Upstream) -> None:
+    def update_upstream(self, upstream: declared.Upstream) -> None:
         """Apply a changed row.
 
         :param upstream: the row.
@@ -113,35 +113,35 @@
             return
         old, self.report = self.report, report
         if old is not None and old.start_id != report.start_id:
-            self.started_afresh = True
-        self.ramp.see(report)
+            self.restart_pending = True
+        self.ramp.observe(report)
         mine = self._own_at(report.measured_at)
         self._others = max(0, report.running + report.queued - mine)
         self._most = report.capacity
 
-    def start(self, now: clock.Ms) -> None:
+    def record_start(self, now: clock.Ms) -> None:
         """Count a request sent there.
 
         :param now: monotonic ms.
         """
         self._count(1, now)
 
-    def end(self, now: clock.Ms) -> None:
+    def record_end(self, now: clock.Ms) -> None:
         """Count a request that ended.
 
         :param now: monotonic ms.
         """
         self._count(-1, now)
 
-    def lost(self, moment: clock.Ms) -> None:
+    def record_loss(self, moment: clock.Ms) -> None:
         """Note that it died; a report from before says nothing of it now.
 
         :param moment: when, in monotonic ms.
         """
         self.lost_at = moment
-        self.ramp.restart(moment)
+        self.ramp.mark_cold(moment)
 
-    def filled(self) -> None:
+    def record_busy(self) -> None:
         """Note that it refused work: hardly more until a report.
 
         One is left, since it may have refused for another reason, and with
@@ -149,21 +149,22 @@
         """
         self._most = min(self._most, max(1, self.own))
 
-    def bar(self, now: clock.Ms) -> Bar | None:
+    def block_reason(self, now: clock.Ms) -> BlockReason | None:
         """Return why it gets nothing new, or None.
 
         :param now: monotonic ms.
         """
         report = self.report
         if report is None:
-            return Bar.UNSEEN
+            return BlockReason.UNSEEN
         reasons = {
-            Bar.OUT: self.upstream.state is declared.ServiceState.OUT,
-            Bar.DATACENTRE_OUT: self.place.phase is shift.Phase.OUT,
-            Bar.VMS_MISSING: bool(report.vms_missing),
-            Bar.STALE: now - report.measured_at > FRESH,
-            Bar.EJECTED: now < self.pace.until,
-            Bar.CIRCUIT: self.circuit.state is circuit.State.OPEN,
+            BlockReason.OUT: self.upstream.state is declared.ServiceState.OUT,
+            BlockReason.DATACENTRE_OUT: self.datacentre.phase
+            is shift.Phase.OUT,
+            BlockReason.VMS_MISSING: bool(report.vms_missing),
+            BlockReason.STALE: now - report.measured_at > MAX_REPORT_AGE,
+            BlockReason.EJECTED: now < self.latency_ratio.until,
+            BlockReason.CIRCUIT: self.circuit.state is circuit.State.OPEN,
         }
         return next((bar for bar, holds in reasons.items() if holds), None)
 
@@ -176,18 +177,18 @@
         old, self.allowance = self.allowance, self._allowed(now, share)
         return self.allowance - old
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether one more request may go there."""
-        return self.own < self.allowance and self.place.has_room()
+        return self.own < self.allowance and self.datacentre.has_room()
 
-    def lent(self, now: clock.Ms) -> int:
+    def loan_slots(self, now: clock.Ms) -> int:
         """Return the slots that a loan allows now.
 
         :param now: monotonic ms.
         """
-        return self.loan.slots if now < self.loan.until else 0
+        return self.loan.slots if now < self.loan.expires_at else 0
 
-    def part(self, share: limits.Share) -> int:
+    def fixed_part(self, share: limits.Share) -> int:
         """Return this daemon's fixed part of a warm upstream.
 
         Made for reports that are seconds old when many daemons read them:
@@ -202,12 +203,12 @@
         return min(part, self._most)
 
     def _allowed(self, now: clock.Ms, share: limits.Share) -> int:
-        if self.upstream.weight <= 0 or self.bar(now) is not None:
+        if self.upstream.weight <= 0 or self.block_reason(now) is not None:
             return 0
         if self.ramp.is_cold(now):
-            most = min(self.lent(now), self.ramp.bound(now))
+            most = min(self.loan_slots(now), self.ramp.bound(now))
         else:
-            most = self.part(share)
+            most = self.fixed_part(share)
         half_open = self.circuit.state is circuit.State.HALF_OPEN
         return min(1, most) if half_open else most
 
--- a/src/citronvalve/policy/circuit.py
+++ b/src/citronvalve/policy/circuit.py
@@ -53,20 +53,20 @@
     :ivar until: when an open circuit may be probed, in monotonic ms.
     """
 
-    __slots__ = ("_failures", "_wait", "state", "until")
+    __slots__ = ("_failures", "_wait", "probe_at", "state")
 
     def __init__(self) -> None:
         self.state = State.CLOSED
-        self.until: clock.Ms = 0
+        self.probe_at: clock.Ms = 0
         self._failures = 0
         self._wait = _WAIT
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Take in an answer."""
         self._failures = 0
         self._move(Event.SUCCEEDED, 0)
 
-    def failed(self, now: clock.Ms, fatal: bool) -> None:
+    def record_failure(self, now: clock.Ms, fatal: bool) -> None:
         """Take in a failure.
 
         :param now: monotonic ms.
@@ -82,13 +82,13 @@
 
         :param now: monotonic ms.
         """
-        if self.state is State.OPEN and now >= self.until:
+        if self.state is State.OPEN and now >= self.probe_at:
             self._move(Event.WAITED, now)
 
     def _move(self, event: Event, now: clock.Ms) -> None:
         old, self.state = self.state, _NEXT[self.state, event]
         if old is not State.OPEN and self.state is State.OPEN:
-            self.until = now + self._wait
+            self.probe_at = now + self._wait
             self._wait = min(self._wait * 2, _LONGEST_WAIT)
         if old is State.HALF_OPEN and self.state is State.CLOSED:
             self._wait = _WAIT
--- a/src/citronvalve/policy/coldrate.py
+++ b/src/citronvalve/policy/coldrate.py
@@ -29,7 +29,7 @@
         self._sent_by_upstream: dict[str, slidingcount.SlidingCount] = {}
         self._last_by_upstream: dict[str, clock.Ms] = {}
 
-    def bears(
+    def allows(
         self, upstream: str, rate: float, daemons: int, now: clock.Ms
     ) -> bool:
         """Tell whether a cold upstream bears one more request now.
@@ -55,7 +55,7 @@
             self._last_by_upstream[upstream] = last
         return now - last >= between
 
-    def sent(self, upstream: str, now: clock.Ms) -> None:
+    def record_sent(self, upstream: str, now: clock.Ms) -> None:
         """Count a request that is about to be sent.
 
         :param upstream: its id.
@@ -68,7 +68,7 @@
         counted.add(now)
         self._last_by_upstream[upstream] = now
 
-    def forget(self, upstreams: set[str]) -> None:
+    def retain(self, upstreams: set[str]) -> None:
         """Drop what is known of upstreams that are gone.
 
         :param upstreams: the ids that are still there.
--- a/src/citronvalve/policy/comeback.py
+++ b/src/citronvalve/policy/comeback.py
@@ -12,7 +12,7 @@
 _LONGEST: clock.Ms = 30_000
 
 
-def after(excess: clock.Ms, rng: random.Random) -> clock.Ms:
+def retry_after(excess: clock.Ms, rng: random.Random) -> clock.Ms:
     """Return a spread-out ``Retry-After`` in ms.
 
     Made for bursts: callers refused together and told the same time come
--- a/src/citronvalve/policy/crashfence.py
+++ b/src/citronvalve/policy/crashfence.py
@@ -39,7 +39,9 @@
         self._lost_by_print: dict[str, dict[str, clock.Ms]] = {}
         self._doubts: dict[str, dict[str, clock.Ms]] = {}
 
-    def lose(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
+    def record_loss(
+        self, fingerprint: str, upstream: str, now: clock.Ms
+    ) -> None:
         """Note that an upstream died with a request on it.
 
         :param fingerprint: the request's; an empty one is never refused,
@@ -53,7 +55,7 @@
         if len(self._lost_by_print) > _MOST_FINGERPRINTS:
             del self._lost_by_print[next(iter(self._lost_by_print))]
 
-    def doubt(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
+    def suspect(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
         """Note that a connection broke, which a death would explain.
 
         :param fingerprint: the request's.
@@ -62,7 +64,7 @@
         """
         self._doubts.setdefault(upstream, {})[fingerprint] = now
 
-    def confirm(self, upstream: str, now: clock.Ms) -> bool:
+    def confirm_loss(self, upstream: str, now: clock.Ms) -> bool:
         """Turn doubts into losses: it is gone, or started afresh.
 
         :param upstream: who died.
@@ -71,7 +73,7 @@
         """
         doubts = self._doubts.pop(upstream, {})
         for fingerprint in doubts:
-            self.lose(fingerprint, upstream, now)
+            self.record_loss(fingerprint, upstream, now)
         return bool(doubts)
 
     def overdue(self, now: clock.Ms) -> list[str]:
@@ -85,7 +87,7 @@
             if any(now - at >= _DOUBT for at in doubts.values())
         ]
 
-    def trust(self, upstream: str) -> None:
+    def clear_suspicions(self, upstream: str) -> None:
         """Drop doubts: it reported after them, and is the same as before.
 
         :param upstream: who reported.
@@ -105,7 +107,9 @@
             for doubts in self._doubts.values():
                 doubts.pop(fingerprint, None)
 
-    def losses(self, fingerprint: str, now: clock.Ms, span: clock.Ms) -> int:
+    def loss_count(
+        self, fingerprint: str, now: clock.Ms, span: clock.Ms
+    ) -> int:
         """Return how many different upstreams were lost.
 
         :param fingerprint: the request's.
@@ -117,7 +121,7 @@
         lost = self._lost_by_print.get(fingerprint, {})
         return sum(now - at < span for at in lost.values())
 
-    def doubts(self, fingerprint: str) -> int:
+    def suspicion_count(self, fingerprint: str) -> int:
         """Return how many upstreams may have been lost, and may not.
 
         :param fingerprint: the request's.
@@ -126,15 +130,15 @@
             return 0
         return sum(fingerprint in seen for seen in self._doubts.values())
 
-    def learn(self, loss: Loss, now: clock.Ms) -> None:
+    def record_remote_loss(self, loss: Loss, now: clock.Ms) -> None:
         """Take in a loss that a peer saw.
 
         :param loss: what the peer told.
         :param now: monotonic ms.
         """
-        self.lose(loss.fingerprint, loss.upstream, now - loss.age)
+        self.record_loss(loss.fingerprint, loss.upstream, now - loss.age)
 
-    def tell(self, now: clock.Ms, span: clock.Ms) -> tuple[Loss, ...]:
+    def recent_losses(self, now: clock.Ms, span: clock.Ms) -> tuple[Loss, ...]:
         """Return the losses that peers should know, and drop old ones.
 
         :param now: monotonic ms.
--- a/src/citronvalve/policy/dispatcher.py
+++ b/src/citronvalve/policy/dispatcher.py
@@ -46,25 +46,25 @@
     ) -> None:
         self.fleet = fleet.Fleet(home)
         self.limits = limits.Limits()
-        self.judge = judge.Judge(self.fleet)
+        self.monitor = judge.HealthMonitor(self.fleet)
         self._starter = starter.Starter(
             self.fleet,
             self.limits,
-            self.judge,
-            chooser or placement.TwoChoices(placement.DISTANCES),
+            self.monitor,
+            chooser or placement.TwoChoices(placement.ROUND_TRIP_BY_TIER),
             rng,
             invariants,
         )
         self._requests = requests.Requests(
             self.fleet,
             self.limits,
-            self.judge,
+            self.monitor,
             self._starter,
             refusals.Refusals(rng),
             invariants,
         )
 
-    def declare(
+    def apply_table(
         self,
         table: declared.Declared,
         now: clock.Ms,
@@ -76,21 +76,21 @@
         :param now: monotonic ms.
         :param grouped: upstreams that replica groups made.
         """
-        self.judge.switches = table.switches
+        self.monitor.switches = table.switches
         self._requests.weight_by_team = {
             name: team.weight for name, team in table.team_by_name.items()
         }
-        self.limits.declare(table.limit_by_key)
-        self.fleet.declare(table, grouped, now)
+        self.limits.set_limits(table.limit_by_key)
+        self.fleet.apply_table(table, grouped, now)
 
-    def divide(self, share: limits.Share, now: clock.Ms) -> None:
+    def set_share(self, share: limits.Share, now: clock.Ms) -> None:
         """Set this daemon's place among those that use the same upstreams.
 
         :param share: its rank and their number.
         :param now: monotonic ms.
         """
-        self.limits.divide(share)
-        self.fleet.divide(share, now)
+        self.limits.set_share(share)
+        self.fleet.set_share(share, now)
 
     def submit(self, item: work.Work, now: clock.Ms) -> decision.Verdict:
         """Decide on a request that has just arrived.
@@ -111,12 +111,12 @@
         """
         ended = self._starter.end(ticket, now)
         if ended is not None:
-            self.judge.ended(ended, how, now)
-            self._starter.freed(ended, now)
-            self._requests.conclude(ended, how, now)
+            self.monitor.ended(ended, how, now)
+            self._starter.refresh_upstream(ended, now)
+            self._requests.handle_end(ended, how, now)
             for model in ended.candidate.upstream.serves:
-                self._requests.pump(model, now)
-        return self._requests.drain()
+                self._requests.start_queued(model, now)
+        return self._requests.take_decisions()
 
     def cancel(self, request: str, now: clock.Ms) -> _Decisions:
         """Drop a request whose caller has left.
@@ -124,21 +124,21 @@
         :param request: its id; one that has ended is ignored.
         :param now: monotonic ms.
         """
-        self._requests.drop(request, now)
-        return self._requests.drain()
+        self._requests.cancel(request, now)
+        return self._requests.take_decisions()
 
     def tick(self, now: clock.Ms) -> _Decisions:
         """Let time pass.
 
         :param now: monotonic ms.
         """
-        self.judge.tick(now)
+        self.monitor.tick(now)
         self.fleet.tick(now)
         for late in self._starter.overdue(now):
-            self.judge.overdue(late, now)
+            self.monitor.overdue(late, now)
             self._requests.hedge(late, now)
         self._requests.tick(now)
-        return self._requests.drain()
+        return self._requests.take_decisions()
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
         """Take in a load report.
@@ -147,9 +147,9 @@
         :param now: monotonic ms.
         """
         self.fleet.observe(report, now)
-        self.judge.observed(report.upstream, now)
+        self.monitor.observed(report.upstream, now)
 
-    def lend(
+    def accept_loan(
         self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
     ) -> None:
         """Take a loan of a cold upstream's slots.
@@ -159,14 +159,14 @@
         :param until: monotonic ms at which it ends.
         :param now: monotonic ms.
         """
-        self.fleet.lend(upstream, slots, until, now)
+        self.fleet.accept_loan(upstream, slots, until, now)
 
-    def wants(self, now: clock.Ms) -> tuple[fleet.Want, ...]:
+    def needed_loans(self, now: clock.Ms) -> tuple[fleet.LoanRequest, ...]:
         """Return the cold upstreams that this daemon needs loans of.
 
         :param now: monotonic ms.
         """
-        return self.fleet.wants(now)
+        return self.fleet.needed_loans(now)
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
         """Return the slots of an upstream that is warm, as seen here; else 0.
@@ -177,21 +177,23 @@
         """
         return self.fleet.warm_slots(upstream, start_id, now)
 
-    def open_requests(self) -> int:
+    def open_request_count(self) -> int:
         """Return how many accepted requests have not ended."""
         return len(self._requests)
 
-    def tell(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
+    def recent_losses(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
         """Return what peers should know of lost upstreams.
 
         :param now: monotonic ms.
         """
-        return self.judge.fence.tell(now, self.judge.switches.fence_for)
+        return self.monitor.fence.recent_losses(
+            now, self.monitor.switches.fence_for
+        )
 
-    def learn(self, loss: crashfence.Loss, now: clock.Ms) -> None:
+    def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
         """Take in a loss that a peer saw.
 
         :param loss: what it told.
         :param now: monotonic ms.
         """
-        self.judge.learn(loss, now)
+        self.monitor.learn(loss, now)
--- a/src/citronvalve/policy/estimate.py
+++ b/src/citronvalve/policy/estimate.py
@@ -36,7 +36,7 @@
     bound: clock.Ms
 
 
-class _Size:
+class _SizeStats:
     """Mean and mean deviation of one size of work, in ms."""
 
     __slots__ = ("at", "deviation", "mean", "samples")
@@ -64,7 +64,7 @@
     return 1 + item.output_tokens + item.prompt_tokens / 16
 
 
-class Estimate:
+class Estimator:
     """Predicts how long work takes once it has a slot.
 
     Made for traffic whose sizes differ a hundredfold: one mean over all
@@ -72,8 +72,8 @@
     """
 
     def __init__(self) -> None:
-        self._size_by_key: dict[tuple[str, int, int], _Size] = {}
-        self._unit_by_model: dict[str, _Size] = {}
+        self._size_by_key: dict[tuple[str, int, int], _SizeStats] = {}
+        self._unit_by_model: dict[str, _SizeStats] = {}
 
     def expect(self, item: work.Work, now: clock.Ms) -> Expected:
         """Return how long the work takes.
@@ -106,7 +106,7 @@
     def _add(by_key: dict, key: object, took: float, now: clock.Ms) -> None:
         size = by_key.get(key)
         if size is None:
-            by_key[key] = _Size(took, now)
+            by_key[key] = _SizeStats(took, now)
         else:
             size.add(took, now)
 
--- a/src/citronvalve/policy/fairshare.py
+++ b/src/citronvalve/policy/fairshare.py
@@ -7,7 +7,7 @@
 from citronvalve.model import clock
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """One request in the queue; sorts by deadline, then by arrival.
 
     ``cost`` is its expected and ``bound`` its cautious service time in ms.
@@ -21,13 +21,13 @@
     bound: clock.Ms
 
 
-class _Line:
+class _TeamQueue:
     """One team's work, and how much service it has had."""
 
     __slots__ = ("by_deadline", "cost", "running", "virtual", "weight")
 
     def __init__(self) -> None:
-        self.by_deadline: list[Waiting] = []
+        self.by_deadline: list[QueuedRequest] = []
         self.cost = 0
         self.virtual = 0.0
         self.running = 0
@@ -47,7 +47,7 @@
     """
 
     def __init__(self) -> None:
-        self._line_by_team: dict[str, _Line] = {}
+        self._line_by_team: dict[str, _TeamQueue] = {}
         self._virtual = 0.0
         self._size = 0
         self._cost = 0
@@ -60,7 +60,7 @@
         """Return the service time in ms of all that waits."""
         return self._cost
 
-    def line(self, team: str) -> collections.abc.Sequence[Waiting]:
+    def items_of(self, team: str) -> collections.abc.Sequence[QueuedRequest]:
         """Return a team's work, the most urgent first.
 
         :param team: its name.
@@ -68,12 +68,12 @@
         line = self._line_by_team.get(team)
         return line.by_deadline if line else ()
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add work.
 
         :param item: the work.
         """
-        line = self._line_by_team.setdefault(item.team, _Line())
+        line = self._line_by_team.setdefault(item.team, _TeamQueue())
         if not line.by_deadline:
             # A team that was idle has no claim to the service it left to
             # others; with one it could take every slot for a while.
@@ -83,7 +83,7 @@
         self._size += 1
         self._cost += item.cost
 
-    def remove(self, item: Waiting) -> None:
+    def remove(self, item: QueuedRequest) -> None:
         """Take work out, wherever it stands.
 
         :param item: the work as it was pushed.
@@ -95,38 +95,38 @@
         self._size -= 1
         self._cost -= item.cost
 
-    def teams(self) -> list[str]:
+    def teams_by_turn(self) -> list[str]:
         """Return the teams that wait, whose turn it is first."""
         line_by_team = self._line_by_team
         waiting = [t for t, n in line_by_team.items() if n.by_deadline]
         return sorted(waiting, key=lambda t: _turn(line_by_team[t]))
 
-    def start(self, team: str, cost: clock.Ms, weight: float) -> None:
+    def record_start(self, team: str, cost: clock.Ms, weight: float) -> None:
         """Count an attempt that starts.
 
         :param team: whose it is.
         :param cost: its expected service time in ms.
         :param weight: the team's weight, above 0.
         """
-        line = self._line_by_team.setdefault(team, _Line())
+        line = self._line_by_team.setdefault(team, _TeamQueue())
         begin = max(line.virtual, self._virtual if not line.cost else 0.0)
         line.virtual = begin + cost / weight
         line.weight = weight
         line.running += 1
         self._virtual = max(self._virtual, begin)
 
-    def end(self, team: str) -> None:
+    def record_end(self, team: str) -> None:
         """Count an attempt that ended.
 
         :param team: whose it was.
         """
         self._line_by_team[team].running -= 1
 
-    def waiting(self) -> collections.abc.Iterator[Waiting]:
+    def items(self) -> collections.abc.Iterator[QueuedRequest]:
         """Yield all that waits, in no order that means anything."""
         for line in self._line_by_team.values():
             yield from line.by_deadline
 
 
-def _turn(line: _Line) -> tuple[float, float]:
+def _turn(line: _TeamQueue) -> tuple[float, float]:
     return (line.running + 1) / line.weight, line.virtual
--- a/src/citronvalve/policy/fleet.py
+++ b/src/citronvalve/policy/fleet.py
@@ -18,7 +18,7 @@
 _NO_SLOTS: collections.Counter = collections.Counter()
 
 
-class Want(NamedTuple):
+class LoanRequest(NamedTuple):
     """A cold upstream that this daemon wants slots of.
 
     ``bound`` is what all daemons together may have there now, as this one
@@ -42,14 +42,14 @@
 
     def __init__(self, home: str) -> None:
         self.candidate_by_name: dict[str, candidate.Candidate] = {}
-        self.index_by_model: dict[str, room.RoomIndex] = {}
-        self.shift_by_datacentre: dict[str, shift.Shift] = {}
+        self.index_by_model: dict[str, room.FreeSlotIndex] = {}
+        self.state_by_datacentre: dict[str, shift.DatacentreState] = {}
         self._home = home
         self._share = limits.Share(0, 1)
         self._looked_at = 0
         self._slots_by_model: dict[str, collections.Counter] = {}
 
-    def divide(self, share: limits.Share, now: clock.Ms) -> None:
+    def set_share(self, share: limits.Share, now: clock.Ms) -> None:
         """Set the number of daemons that use the same upstreams.
 
         :param share: this daemon's place among them.
@@ -58,7 +58,7 @@
         self._share = share
         self._refresh(self.candidate_by_name.values(), now)
 
-    def declare(
+    def apply_table(
         self,
         table: declared.Declared,
         grouped: collections.abc.Iterable[declared.Upstream],
@@ -80,7 +80,7 @@
         for item in self.candidate_by_name.values():
             if item.upstream.datacentre in back:
                 # What its engines had cached is old or gone.
-                item.ramp.restart(now)
+                item.ramp.mark_cold(now)
         self._refresh(self.candidate_by_name.values(), now)
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
@@ -92,9 +92,9 @@
         item = self.candidate_by_name.get(report.upstream)
         if item is not None:
             item.observe(report)
-            self.changed(item, now)
+            self.refresh(item, now)
 
-    def lend(
+    def accept_loan(
         self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
     ) -> None:
         """Take a loan of a cold upstream's slots.
@@ -107,7 +107,7 @@
         item = self.candidate_by_name.get(upstream)
         if item is not None:
             item.loan = candidate.Loan(slots, until)
-            self.changed(item, now)
+            self.refresh(item, now)
 
     def tick(self, now: clock.Ms) -> None:
         """Let time change what it changes: loans, circuits, ramps, age.
@@ -123,10 +123,10 @@
         for at in range(self._looked_at, self._looked_at + part):
             if names:
                 name = names[at % len(names)]
-                self.changed(self.candidate_by_name[name], now)
+                self.refresh(self.candidate_by_name[name], now)
         self._looked_at = (self._looked_at + part) % max(1, len(names))
 
-    def changed(self, item: candidate.Candidate, now: clock.Ms) -> None:
+    def refresh(self, item: candidate.Candidate, now: clock.Ms) -> None:
         """Work out what an upstream may get, after any change of it.
 
         :param item: the upstream.
@@ -137,7 +137,7 @@
         for model in item.upstream.serves if delta else ():
             slots = self._slots_by_model[model]
             slots[item.upstream.datacentre] += delta
-        if item.has_room():
+        if item.has_free_slot():
             for model in item.upstream.serves:
                 self.index_by_model[model].add(item)
 
@@ -148,7 +148,7 @@
         """
         slots = self._slots_by_model.get(model, _NO_SLOTS)
         return sum(
-            min(number, self.shift_by_datacentre[name].bound)
+            min(number, self.state_by_datacentre[name].bound)
             for name, number in slots.items()
         )
 
@@ -163,7 +163,7 @@
             if model in item.upstream.serves
         ]
 
-    def why_none(self, model: str, now: clock.Ms) -> str:
+    def no_slots_reason(self, model: str, now: clock.Ms) -> str:
         """Tell in words why a model has no slots.
 
         :param model: the model or plain service.
@@ -171,7 +171,7 @@
         """
         counts: collections.Counter = collections.Counter()
         for item in self.serving(model):
-            bar = item.bar(now)
+            bar = item.block_reason(now)
             cold = "it is cold, and no slots of it are lent to this daemon"
             full = "it bears no more"
             open_ = cold if item.ramp.is_cold(now) else full
@@ -187,21 +187,21 @@
         item = self.candidate_by_name.get(upstream)
         return item.report.start_id if item and item.report else ""
 
-    def wants(self, now: clock.Ms) -> tuple[Want, ...]:
+    def needed_loans(self, now: clock.Ms) -> tuple[LoanRequest, ...]:
         """Return the cold upstreams that need a loan.
 
         :param now: monotonic ms.
         """
         return tuple(
-            Want(
+            LoanRequest(
                 item.name,
                 item.ramp.bound(now),
-                min(item.ramp.bound(now), item.part(self._share)),
+                min(item.ramp.bound(now), item.fixed_part(self._share)),
                 item.upstream.datacentre,
                 item.report.start_id,
             )
             for item in self.candidate_by_name.values()
-            if item.bar(now) is None and item.ramp.is_cold(now)
+            if item.block_reason(now) is None and item.ramp.is_cold(now)
         )
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
@@ -212,7 +212,7 @@
         :param now: monotonic ms.
         """
         item = self.candidate_by_name.get(upstream)
-        if item is None or item.bar(now) is not None:
+        if item is None or item.block_reason(now) is not None:
             return 0
         if item.report.start_id != start_id or item.ramp.is_cold(now):
             return 0
@@ -224,7 +224,7 @@
         now: clock.Ms,
     ) -> None:
         for item in items:
-            self.changed(item, now)
+            self.refresh(item, now)
 
     def _declare_places(
         self,
@@ -236,10 +236,10 @@
             most[upstream.datacentre] += upstream.slots
         back = set()
         for name, row in table.datacentre_by_name.items():
-            place = self.shift_by_datacentre.get(name)
+            place = self.state_by_datacentre.get(name)
             if place is None:
-                place = shift.Shift(row.state)
-                self.shift_by_datacentre[name] = place
+                place = shift.DatacentreState(row.state)
+                self.state_by_datacentre[name] = place
             if place.declare(row.state, most[name] // self._share.members):
                 back.add(name)
         return back
@@ -251,18 +251,19 @@
     ) -> None:
         old = self.candidate_by_name.get(upstream.name)
         if old is not None and _is_same_place(old, upstream):
-            old.declare(upstream)
+            old.update_upstream(upstream)
             return
         if old is not None:
             self._remove(old)
-        place = self.shift_by_datacentre.setdefault(
-            upstream.datacentre, shift.Shift(declared.ServiceState.OUT)
+        place = self.state_by_datacentre.setdefault(
+            upstream.datacentre,
+            shift.DatacentreState(declared.ServiceState.OUT),
         )
         tier = self._tier(table, upstream.datacentre)
         item = candidate.Candidate(upstream, place, tier)
         self.candidate_by_name[upstream.name] = item
         for model in upstream.serves:
-            self.index_by_model.setdefault(model, room.RoomIndex())
+            self.index_by_model.setdefault(model, room.FreeSlotIndex())
             self._slots_by_model.setdefault(model, collections.Counter())
 
     def _remove(self, item: candidate.Candidate) -> None:
--- a/src/citronvalve/policy/judge.py
+++ b/src/citronvalve/policy/judge.py
@@ -21,14 +21,14 @@
 _SAME_LOSS: clock.Ms = 2_000
 
 
-class Judge:
+class HealthMonitor:
     """Learns from attempts, and takes bad upstreams out of service.
 
     :param upstreams: the fleet.
     """
 
     def __init__(self, upstreams: fleet.Fleet) -> None:
-        self.estimate = estimate.Estimate()
+        self.estimate = estimate.Estimator()
         self.affinity = affinity.Affinity()
         self.fence = crashfence.CrashFence()
         self.switches = declared.Switches()
@@ -48,8 +48,8 @@
         elif how is outcome.Outcome.CANCELLED:
             self._stopped(ended, now)
         elif how is outcome.Outcome.BUSY:
-            ended.candidate.filled()
-        elif outcome.MEANING_BY_OUTCOME[how].fails:
+            ended.candidate.record_busy()
+        elif outcome.TRAITS_BY_OUTCOME[how].fails:
             self._failed(ended, how, now)
 
     def overdue(self, late: attempt.Attempt, now: clock.Ms) -> None:
@@ -72,12 +72,12 @@
         target = self._fleet.candidate_by_name.get(upstream)
         if target is None:
             return
-        if target.started_afresh:
-            target.started_afresh = False
-            self.fence.confirm(upstream, now)
-            self.affinity.forget(upstream)
-        elif target.report.measured_at > target.doubted_at:
-            self.fence.trust(upstream)
+        if target.restart_pending:
+            target.restart_pending = False
+            self.fence.confirm_loss(upstream, now)
+            self.affinity.drop_upstream(upstream)
+        elif target.report.measured_at > target.connection_broke_at:
+            self.fence.clear_suspicions(upstream)
 
     def learn(self, loss: crashfence.Loss, now: clock.Ms) -> None:
         """Take in a loss that a peer saw.
@@ -89,20 +89,20 @@
         :param loss: what the peer told.
         :param now: monotonic ms.
         """
-        self.fence.learn(loss, now)
+        self.fence.record_remote_loss(loss, now)
         target = self._fleet.candidate_by_name.get(loss.upstream)
         lost_at = now - loss.age
         if target is not None and target.lost_at + _SAME_LOSS < lost_at:
-            target.lost(lost_at)
-            self._fleet.changed(target, now)
+            target.record_loss(lost_at)
+            self._fleet.refresh(target, now)
 
     def _answered(self, ended: attempt.Attempt, now: clock.Ms) -> None:
         item, target = ended.entry.work, ended.candidate
         took = now - ended.started
-        target.circuit.succeeded()
+        target.circuit.record_success()
         self.fence.clear(item.fingerprint)
         if took <= _IN_TIME * ended.entry.expected.mean:
-            target.place.showed()
+            target.datacentre.showed()
         self._pace(ended, now)
         self.estimate.learn(item, took, now)
         for prefix in item.prefixes:
@@ -121,19 +121,19 @@
         target = ended.candidate
         print_ = ended.entry.work.fingerprint
         if how is outcome.Outcome.CRASHED:
-            self.fence.lose(print_, target.name, now)
+            self.fence.record_loss(print_, target.name, now)
             self._lost(target, now)
         elif how is outcome.Outcome.BROKEN:
-            target.doubted_at = now
-            self.fence.doubt(print_, target.name, now)
+            target.connection_broke_at = now
+            self.fence.suspect(print_, target.name, now)
         elif how is outcome.Outcome.NOT_RUN:
             self._confirm(target, now)
-        meaning = outcome.MEANING_BY_OUTCOME[how]
+        meaning = outcome.TRAITS_BY_OUTCOME[how]
         unreachable = how is outcome.Outcome.NOT_RUN
         # The floor is for upstreams that still answer something.  One that
         # can't be reached bears nothing, however many others are gone.
         if meaning.fatal or unreachable or self._may_lose(target, now):
-            target.circuit.failed(now, meaning.fatal)
+            target.circuit.record_failure(now, meaning.fatal)
 
     def tick(self, now: clock.Ms) -> None:
         """Take upstreams for dead that have been silent for too long.
@@ -142,7 +142,7 @@
         """
         for name in self.fence.overdue(now):
             target = self._fleet.candidate_by_name.get(name)
-            self.fence.confirm(name, now)
+            self.fence.confirm_loss(name, now)
             if target is not None:
                 self._lost(target, now)
 
@@ -152,7 +152,7 @@
         :param fingerprint: the request's.
         :param now: monotonic ms.
         """
-        lost = self.fence.losses(fingerprint, now, self.switches.fence_for)
+        lost = self.fence.loss_count(fingerprint, now, self.switches.fence_for)
         return lost >= self.switches.crashes_to_fence
 
     def is_suspect(self, fingerprint: str, now: clock.Ms) -> bool:
@@ -162,8 +162,8 @@
         :param now: monotonic ms.
         """
         span = self.switches.fence_for
-        lost = self.fence.losses(fingerprint, now, span)
-        return lost + self.fence.doubts(fingerprint) > 0
+        lost = self.fence.loss_count(fingerprint, now, span)
+        return lost + self.fence.suspicion_count(fingerprint) > 0
 
     def must_wait(self, fingerprint: str, now: clock.Ms) -> bool:
         """Tell whether one more try could cost one upstream too many.
@@ -171,39 +171,39 @@
         :param fingerprint: the request's.
         :param now: monotonic ms.
         """
-        doubts = self.fence.doubts(fingerprint)
+        doubts = self.fence.suspicion_count(fingerprint)
         if not doubts:
             return False
-        lost = self.fence.losses(fingerprint, now, self.switches.fence_for)
+        lost = self.fence.loss_count(fingerprint, now, self.switches.fence_for)
         return lost + doubts >= self.switches.crashes_to_fence
 
     def _confirm(self, target: candidate.Candidate, now: clock.Ms) -> None:
-        if self.fence.confirm(target.name, now):
+        if self.fence.confirm_loss(target.name, now):
             self._lost(target, now)
 
     def _lost(self, target: candidate.Candidate, now: clock.Ms) -> None:
-        self.affinity.forget(target.name)
+        self.affinity.drop_upstream(target.name)
         # It comes back cold, and may do so before its next report: from
         # here on it gets only what its keeper lends.
-        target.lost(now)
+        target.record_loss(now)
 
     def _pace(self, seen: attempt.Attempt, now: clock.Ms) -> None:
-        pace = seen.candidate.pace
+        pace = seen.candidate.latency_ratio
         pace.add((now - seen.started) / seen.entry.expected.mean)
         if not pace.is_slow():
             return
-        paces = [item.pace for item in self._peers(seen.candidate)]
+        paces = [item.latency_ratio for item in self._peers(seen.candidate)]
         share = self.switches.eject_share
         if outlier.may_eject(pace, paces, share, now):
             pace.eject(now)
             # A jump may also be a cold start that nobody told of.
-            seen.candidate.ramp.restart(now)
+            seen.candidate.ramp.mark_cold(now)
 
     def _may_lose(self, target: candidate.Candidate, now: clock.Ms) -> bool:
         peers = self._peers(target)
         closed = circuit.State.CLOSED
         out = sum(
-            item.circuit.state is not closed or now < item.pace.until
+            item.circuit.state is not closed or now < item.latency_ratio.until
             for item in peers
             if item is not target
         )
--- a/src/citronvalve/policy/limits.py
+++ b/src/citronvalve/policy/limits.py
@@ -49,7 +49,7 @@
         self._loan_by_key: dict[Key, _Loan] = {}
         self._share = Share(0, 1)
 
-    def declare(
+    def set_limits(
         self, limit_by_key: dict[tuple[str, str, str], declared.Limit]
     ) -> None:
         """Apply the rows of the table.
@@ -58,14 +58,14 @@
         """
         self._limit_by_key = limit_by_key
 
-    def divide(self, share: Share) -> None:
+    def set_share(self, share: Share) -> None:
         """Set this daemon's place among the members.
 
         :param share: its rank and their number.
         """
         self._share = share
 
-    def lend(self, key: Key, slots: int, until: clock.Ms) -> None:
+    def accept_loan(self, key: Key, slots: int, until: clock.Ms) -> None:
         """Take a loan, in place of the fixed part.
 
         :param key: which limit.
@@ -88,7 +88,7 @@
             return min(loan.slots, limit.slots)
         return self._share.of(limit.slots)
 
-    def has_room(self, key: Key, now: clock.Ms) -> bool:
+    def has_free_slot(self, key: Key, now: clock.Ms) -> bool:
         """Tell whether one more may start.
 
         :param key: which limit.
@@ -98,7 +98,7 @@
             return True
         return self._running_by_key.get(key, 0) < self.allowed(key, now)
 
-    def most(
+    def total_allowed(
         self,
         team: str,
         model: str,
@@ -116,14 +116,14 @@
             self.allowed(Key(team, model, name), now) for name in datacentres
         )
 
-    def start(self, key: Key) -> None:
+    def acquire(self, key: Key) -> None:
         """Count a start.
 
         :param key: which limit.
         """
         self._running_by_key[key] = self._running_by_key.get(key, 0) + 1
 
-    def end(self, key: Key) -> None:
+    def release(self, key: Key) -> None:
         """Count an end.
 
         :param key: which limit.
--- a/src/citronvalve/policy/outcome.py
+++ b/src/citronvalve/policy/outcome.py
@@ -29,7 +29,7 @@
     CANCELLED = "cancelled"
 
 
-class Meaning(NamedTuple):
+class Traits(NamedTuple):
     """What an outcome says of the work and of the upstream.
 
     ``fails`` counts against the upstream; ``fatal`` means that it is gone,
@@ -41,16 +41,16 @@
     fatal: bool = False
 
 
-MEANING_BY_OUTCOME: dict[Outcome, Meaning] = {
-    Outcome.DONE: Meaning(ran.Ran.YES, fails=False),
-    Outcome.NOT_RUN: Meaning(ran.Ran.NO, fails=True),
-    Outcome.BUSY: Meaning(ran.Ran.NO, fails=False),
-    Outcome.BROKEN: Meaning(ran.Ran.UNKNOWN, fails=True),
-    Outcome.SILENT: Meaning(ran.Ran.UNKNOWN, fails=True),
-    Outcome.WRONG: Meaning(ran.Ran.UNKNOWN, fails=True),
-    Outcome.DIVERGED: Meaning(ran.Ran.UNKNOWN, fails=True),
-    Outcome.CRASHED: Meaning(ran.Ran.UNKNOWN, fails=True, fatal=True),
-    Outcome.CANCELLED: Meaning(ran.Ran.UNKNOWN, fails=False),
+TRAITS_BY_OUTCOME: dict[Outcome, Traits] = {
+    Outcome.DONE: Traits(ran.Ran.YES, fails=False),
+    Outcome.NOT_RUN: Traits(ran.Ran.NO, fails=True),
+    Outcome.BUSY: Traits(ran.Ran.NO, fails=False),
+    Outcome.BROKEN: Traits(ran.Ran.UNKNOWN, fails=True),
+    Outcome.SILENT: Traits(ran.Ran.UNKNOWN, fails=True),
+    Outcome.WRONG: Traits(ran.Ran.UNKNOWN, fails=True),
+    Outcome.DIVERGED: Traits(ran.Ran.UNKNOWN, fails=True),
+    Outcome.CRASHED: Traits(ran.Ran.UNKNOWN, fails=True, fatal=True),
+    Outcome.CANCELLED: Traits(ran.Ran.UNKNOWN, fails=False),
 }
 
 #: Outcomes after which the caller still waits for an answer.
--- a/src/citronvalve/policy/outlier.py
+++ b/src/citronvalve/policy/outlier.py
@@ -22,7 +22,7 @@
 _LONGEST: clock.Ms = 120_000
 
 
-class Pace:
+class LatencyRatio:
     """How one upstream's answers compare with what was expected.
 
     :ivar ratio: decayed mean of measured over expected time.
@@ -64,8 +64,8 @@
 
 
 def may_eject(
-    pace: Pace,
-    others: collections.abc.Sequence[Pace],
+    pace: LatencyRatio,
+    others: collections.abc.Sequence[LatencyRatio],
     share: float,
     now: clock.Ms,
 ) -> bool:
--- a/src/citronvalve/policy/placement.py
+++ b/src/citronvalve/policy/placement.py
@@ -23,10 +23,10 @@
 
 #: Times in ms there and back, by tier, until they are measured: the data
 #: centres of one region are about a millisecond apart one way.
-DISTANCES: tuple[clock.Ms, ...] = (0, 2, 60)
+ROUND_TRIP_BY_TIER: tuple[clock.Ms, ...] = (0, 2, 60)
 
 
-class Wish(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What placement needs to know of a request.
 
     ``allows`` tells whether limits, earlier attempts and suspects let it
@@ -46,9 +46,9 @@
     @abc.abstractmethod
     def pick(
         self,
-        index: room.RoomIndex,
+        index: room.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: Wish,
+        wish: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         """Return an upstream with room, or None.
@@ -60,7 +60,9 @@
         """
 
 
-def price(item: candidate.Candidate, wish: Wish, distance: clock.Ms) -> float:
+def placement_cost(
+    item: candidate.Candidate, wish: PlacementRequest, distance: clock.Ms
+) -> float:
     """Return what an upstream would cost the caller, as ms.
 
     The load counts as a part of the service time, since an engine that
@@ -93,9 +95,9 @@
 
     def pick(
         self,
-        index: room.RoomIndex,
+        index: room.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: Wish,
+        wish: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         """Return the cheapest of a few, or None when nobody has room."""
@@ -105,21 +107,25 @@
             if drawn:
                 break
         likely = [
-            item for item in holders if item.has_room() and wish.allows(item)
+            item
+            for item in holders
+            if item.has_free_slot() and wish.allows(item)
         ]
         drawn += likely[:_HOLDERS]
         if not drawn:
             return None
         return min(drawn, key=lambda item: self._price(item, wish))
 
-    def _price(self, item: candidate.Candidate, wish: Wish) -> float:
-        return price(item, wish, self._distance_by_tier[item.tier])
+    def _price(
+        self, item: candidate.Candidate, wish: PlacementRequest
+    ) -> float:
+        return placement_cost(item, wish, self._distance_by_tier[item.tier])
 
     def _draw(
         self,
-        index: room.RoomIndex,
+        index: room.FreeSlotIndex,
         tier: int,
-        wish: Wish,
+        wish: PlacementRequest,
         rng: random.Random,
     ) -> list[candidate.Candidate]:
         found: list[candidate.Candidate] = []
@@ -138,5 +144,5 @@
         return [
             item
             for item in index.all(tier)
-            if item.has_room() and wish.allows(item)
+            if item.has_free_slot() and wish.allows(item)
         ]
--- a/src/citronvalve/policy/ramp.py
+++ b/src/citronvalve/policy/ramp.py
@@ -22,7 +22,7 @@
         self._bears = 0
         self._since: clock.Ms | None = None
 
-    def see(self, report: load.LoadReport) -> None:
+    def observe(self, report: load.LoadReport) -> None:
         """Take in a report and notice a new start.
 
         :param report: the newest report of this upstream.
@@ -32,7 +32,7 @@
         self._start_id = report.start_id
         self._bears = report.capacity
 
-    def restart(self, now: clock.Ms) -> None:
+    def mark_cold(self, now: clock.Ms) -> None:
         """Take the upstream for cold, though it did not say so.
 
         For an upstream whose service times jumped and for one whose data
--- a/src/citronvalve/policy/refusals.py
+++ b/src/citronvalve/policy/refusals.py
@@ -36,7 +36,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def give(
+    def build(
         self,
         kind: refusal.RefusalKind,
         detail: str,
@@ -55,7 +55,7 @@
             detail,
             _REMEDY_BY_KIND[kind],
             has_run,
-            comeback.after(excess, self._rng),
+            comeback.retry_after(excess, self._rng),
         )
 
     def late(
@@ -77,7 +77,7 @@
         if deadline <= now:
             kind = refusal.RefusalKind.DEADLINE_PASSED
         detail = f"it would be done {late} ms after its deadline"
-        return self.give(kind, detail, late, entry.ran)
+        return self.build(kind, detail, late, entry.ran)
 
     def failed(
         self,
@@ -93,7 +93,7 @@
         :param fenced: whether it has cost too many upstreams.
         :param now: monotonic ms.
         """
-        if not fenced and entry.is_hopeless(now):
+        if not fenced and entry.would_be_late(now):
             # Another try would end after the deadline, so that this is
             # already known to be the end.
             passed = refusal.RefusalKind.DEADLINE_PASSED
@@ -102,14 +102,14 @@
         if fenced:
             kind = refusal.RefusalKind.FENCED_OFF
         detail = f"attempt {entry.attempts} ended: {how.value}"
-        return self.give(kind, detail, has_run=entry.ran)
+        return self.build(kind, detail, has_run=entry.ran)
 
     def fenced(self) -> refusal.Refusal:
         """Return the refusal of a request that crashes upstreams."""
         detail = "upstreams were lost while running it"
-        return self.give(refusal.RefusalKind.FENCED_OFF, detail)
+        return self.build(refusal.RefusalKind.FENCED_OFF, detail)
 
-    def nowhere(self, entry: attempt.Entry, why: str) -> refusal.Refusal:
+    def no_upstream(self, entry: attempt.Entry, why: str) -> refusal.Refusal:
         """Return the refusal of work that no upstream can take.
 
         :param entry: the request.
@@ -118,4 +118,4 @@
         model = entry.work.model
         detail = f"no upstream of {model} is in service: {why}"
         kind = refusal.RefusalKind.NO_UPSTREAM
-        return self.give(kind, detail, has_run=entry.ran)
+        return self.build(kind, detail, has_run=entry.ran)
--- a/src/citronvalve/policy/repeatbudget.py
+++ b/src/citronvalve/policy/repeatbudget.py
@@ -11,7 +11,7 @@
 _USED = 0.8
 
 
-class RepeatTerms(NamedTuple):
+class RetryLimits(NamedTuple):
     """The bound on repeats of a service, over all daemons together.
 
     In any ``window`` ms it may get ``share`` a request, and ``slack`` more.
@@ -22,7 +22,7 @@
     window: clock.Ms
 
 
-class RepeatBudget:
+class RetryBudget:
     """One daemon's part of a service's repeats.
 
     Made for upstreams that fail because they are overloaded: repeats without
@@ -35,7 +35,7 @@
     :ivar terms: the same; share and slack may be replaced.
     """
 
-    def __init__(self, terms: RepeatTerms) -> None:
+    def __init__(self, terms: RetryLimits) -> None:
         self.terms = terms
         self._requests = slidingcount.SlidingCount(terms.window)
         self._repeats = slidingcount.SlidingCount(terms.window)
--- a/src/citronvalve/policy/requests.py
+++ b/src/citronvalve/policy/requests.py
@@ -38,7 +38,7 @@
         self,
         upstreams: fleet.Fleet,
         caps: limits.Limits,
-        wise: judge.Judge,
+        wise: judge.HealthMonitor,
         starts: starter.Starter,
         answers: refusals.Refusals,
         invariants: invariant.Invariants,
@@ -50,8 +50,8 @@
         self._starter = starts
         self._refusals = answers
         self._invariants = invariants
-        self._retries = retries.Budget("retries", invariants)
-        self._hedges = retries.Budget("hedges", invariants)
+        self._retries = retries.AttemptBudget("retries", invariants)
+        self._hedges = retries.AttemptBudget("hedges", invariants)
         self._backlog_by_model: dict[str, backlog.Backlog] = {}
         self._entry_by_request: dict[str, attempt.Entry] = {}
         self._out: list[decision.Decision] = []
@@ -71,15 +71,15 @@
         suspect = self._judge.is_suspect(item.fingerprint, now)
         entry = attempt.Entry(item, expected, suspect)
         line = self._backlog(item.model)
-        line.arrived(entry)
-        if not line.queue and not entry.is_hopeless(now):
+        line.record_arrival(entry)
+        if not line.queue and not entry.would_be_late(now):
             begun = self._start(entry, now)
             if begun is not None:
                 self._accept(entry)
                 return begun
         return self._queue(entry, line, now)
 
-    def conclude(
+    def handle_end(
         self, ended: attempt.Attempt, how: outcome.Outcome, now: clock.Ms
     ) -> None:
         """Decide what an attempt's end means for its request.
@@ -89,17 +89,17 @@
         :param now: monotonic ms.
         """
         entry = ended.entry
-        self._backlog(entry.work.model).ended(entry)
+        self._backlog(entry.work.model).record_end(entry)
         request = entry.work.request
         if self._entry_by_request.get(request) is not entry:
             return
         if how is outcome.Outcome.DONE:
             self._end(entry, now)
             return
-        entry.tried.add(ended.candidate.name)
+        entry.failed_upstreams.add(ended.candidate.name)
         if how is outcome.Outcome.DIVERGED:
-            entry.never.add(ended.candidate.name)
-        if outcome.MEANING_BY_OUTCOME[how].ran is not ran.Ran.NO:
+            entry.excluded_upstreams.add(ended.candidate.name)
+        if outcome.TRAITS_BY_OUTCOME[how].ran is not ran.Ran.NO:
             entry.ran = ran.Ran.UNKNOWN
         if entry.attempt_by_ticket:
             return
@@ -108,7 +108,7 @@
         elif not self._again(entry, how, now):
             self._give_up(entry, how, now)
 
-    def drop(self, request: str, now: clock.Ms) -> None:
+    def cancel(self, request: str, now: clock.Ms) -> None:
         """Forget a request whose caller has left.
 
         :param request: its id; one that has ended is ignored.
@@ -117,9 +117,9 @@
         entry = self._entry_by_request.get(request)
         if entry is not None:
             self._end(entry, now)
-            self.pump(entry.work.model, now)
+            self.start_queued(entry.work.model, now)
 
-    def pump(self, model: str, now: clock.Ms) -> None:
+    def start_queued(self, model: str, now: clock.Ms) -> None:
         """Start what waits, as far as there is room.
 
         :param model: whose queue.
@@ -137,13 +137,13 @@
         for model, line in self._backlog_by_model.items():
             # Without any slot nothing tells how long the wait would be.
             nowhere = line.queue and self._fleet.slots(model) <= 0
-            for item in list(line.queue.waiting()):
+            for item in list(line.queue.items()):
                 entry = self._entry_by_request[item.request]
-                if entry.is_hopeless(now):
+                if entry.would_be_late(now):
                     self._refuse(entry, self._refusals.late(entry, now), now)
                 elif nowhere:
                     self._refuse(entry, self._nowhere(entry, now), now)
-            self.pump(model, now)
+            self.start_queued(model, now)
 
     def hedge(self, late: attempt.Attempt, now: clock.Ms) -> None:
         """Run a second copy of an overdue request, within the budget.
@@ -157,19 +157,19 @@
         """
         entry = late.entry
         alone = len(entry.attempt_by_ticket) == 1
-        if not (alone and entry.work.repeatable) or entry.is_hopeless(now):
+        if not (alone and entry.work.repeatable) or entry.would_be_late(now):
             return
         if self._judge.switches.hedge_share <= 0 or entry.suspect:
             return
         idle = not self._backlog(entry.work.model).queue
         if not (idle and self._hedges.spend(now)):
             return
-        entry.tried.add(late.candidate.name)
+        entry.failed_upstreams.add(late.candidate.name)
         begun = self._start(entry, now, hedge=True)
         if begun is not None:
             self._out.append(begun)
 
-    def drain(self) -> tuple[decision.Decision, ...]:
+    def take_decisions(self) -> tuple[decision.Decision, ...]:
         """Return what was decided since the last call."""
         out, self._out = tuple(self._out), []
         return out
@@ -190,21 +190,21 @@
         slots = self._fleet.slots(item.model)
         if slots <= 0:
             return self._nowhere(entry, now)
-        places = self._fleet.shift_by_datacentre
-        most = self._limits.most(item.team, item.model, places, now)
+        places = self._fleet.state_by_datacentre
+        most = self._limits.total_allowed(item.team, item.model, places, now)
         seen = line.forecast(entry, slots, most, now)
         if not seen.fits:
-            limited = most < slots and not entry.is_hopeless(now)
+            limited = most < slots and not entry.would_be_late(now)
             kind = _Kind.OVER_LIMIT if limited else _Kind.NO_TIME
             return self._refusals.late(entry, now, seen.wait, kind)
         self._accept(entry)
         line.push(entry, now)
-        self.pump(item.model, now)
+        self.start_queued(item.model, now)
         return self._own_start(entry, seen.wait)
 
     def _nowhere(self, entry: attempt.Entry, now: clock.Ms) -> refusal.Refusal:
-        why = self._fleet.why_none(entry.work.model, now)
-        return self._refusals.nowhere(entry, why)
+        why = self._fleet.no_slots_reason(entry.work.model, now)
+        return self._refusals.no_upstream(entry, why)
 
     def _own_start(
         self, entry: attempt.Entry, wait: clock.Ms
@@ -229,12 +229,12 @@
             return None
         begun = self._starter.start(entry, now, hedge)
         if begun is not None:
-            line.started(entry, now)
+            line.record_start(entry, now)
         return begun
 
     def _start_next(self, line: backlog.Backlog, now: clock.Ms) -> bool:
-        for team in line.queue.teams():
-            for item in line.queue.line(team)[:_LOOK]:
+        for team in line.queue.teams_by_turn():
+            for item in line.queue.items_of(team)[:_LOOK]:
                 entry = self._entry_by_request[item.request]
                 if self._settle(entry, line, now):
                     return True
@@ -243,7 +243,7 @@
     def _settle(
         self, entry: attempt.Entry, line: backlog.Backlog, now: clock.Ms
     ) -> bool:
-        if entry.is_hopeless(now):
+        if entry.would_be_late(now):
             self._refuse(entry, self._refusals.late(entry, now), now)
             return True
         if self._judge.is_fenced(entry.work.fingerprint, now):
@@ -259,7 +259,7 @@
     def _again(
         self, entry: attempt.Entry, how: outcome.Outcome, now: clock.Ms
     ) -> bool:
-        if not retries.may_repeat(how, entry.work.repeatable):
+        if not retries.may_retry(how, entry.work.repeatable):
             return False
         print_ = entry.work.fingerprint
         entry.suspect = self._judge.is_suspect(print_, now)
@@ -268,9 +268,9 @@
         if self._fleet.slots(entry.work.model) <= 0:
             # Nobody is left to ask, and nothing tells for how long.
             return False
-        if entry.is_hopeless(now) or not self._retries.spend(now):
+        if entry.would_be_late(now) or not self._retries.spend(now):
             return False
-        entry.forecast = None
+        entry.predicted_wait = None
         self._backlog(entry.work.model).push(entry, now)
         return True
 
--- a/src/citronvalve/policy/retries.py
+++ b/src/citronvalve/policy/retries.py
@@ -18,7 +18,7 @@
 _MOST_SAVED = 20.0
 
 
-class Budget:
+class AttemptBudget:
     """Second attempts as a share of first tries.
 
     Made for the moment when upstreams fail because they are overloaded:
@@ -70,7 +70,7 @@
             self._earned += due
 
 
-def may_repeat(ended: outcome.Outcome, repeatable: bool) -> bool:
+def may_retry(ended: outcome.Outcome, repeatable: bool) -> bool:
     """Tell whether another attempt can do no harm.
 
     Work that may have run and may not be repeated is never retried: a
@@ -81,5 +81,5 @@
     """
     if ended not in outcome.UNANSWERED:
         return False
-    never_ran = outcome.MEANING_BY_OUTCOME[ended].ran is ran.Ran.NO
+    never_ran = outcome.TRAITS_BY_OUTCOME[ended].ran is ran.Ran.NO
     return never_ran or repeatable
--- a/src/citronvalve/policy/room.py
+++ b/src/citronvalve/policy/room.py
@@ -8,7 +8,7 @@
 TIERS = 3
 
 
-class RoomIndex:
+class FreeSlotIndex:
     """Lists by tier, out of which full upstreams fall when they are met.
 
     Made for a fleet of thousands at saturation: looking through all of
@@ -57,7 +57,7 @@
         while items:
             # Faster than choice(), and as even for so few.
             item = items[int(rng.random() * len(items))]
-            if item.has_room():
+            if item.has_free_slot():
                 return item
             self.drop(item)
         return None
--- a/src/citronvalve/policy/shift.py
+++ b/src/citronvalve/policy/shift.py
@@ -27,7 +27,7 @@
 _FIRST = 2
 
 
-class Shift:
+class DatacentreState:
     """One data centre as this daemon uses it.
 
     Made for a data centre that returns under load: its caches are cold and
--- a/src/citronvalve/policy/starter.py
+++ b/src/citronvalve/policy/starter.py
@@ -35,7 +35,7 @@
         self,
         upstreams: fleet.Fleet,
         caps: limits.Limits,
-        wise: judge.Judge,
+        wise: judge.HealthMonitor,
         chooser: placement.Placement,
         rng: random.Random,
         invariants: invariant.Invariants,
@@ -95,16 +95,16 @@
             return None
         entry, target = ended.entry, ended.candidate
         del entry.attempt_by_ticket[ticket]
-        target.end(now)
-        target.place.running -= 1
+        target.record_end(now)
+        target.datacentre.running -= 1
         target.suspects -= ended.suspect
-        self._limits.end(_key(entry, target))
+        self._limits.release(_key(entry, target))
         self._running_by_print[entry.work.fingerprint] -= 1
         if not self._running_by_print[entry.work.fingerprint]:
             del self._running_by_print[entry.work.fingerprint]
         return ended
 
-    def freed(self, ended: attempt.Attempt, now: clock.Ms) -> None:
+    def refresh_upstream(self, ended: attempt.Attempt, now: clock.Ms) -> None:
         """Offer the room of an attempt that ended and was judged.
 
         :param ended: the attempt.
@@ -112,7 +112,7 @@
         """
         name = ended.candidate.name
         if self._fleet.candidate_by_name.get(name) is ended.candidate:
-            self._fleet.changed(ended.candidate, now)
+            self._fleet.refresh(ended.candidate, now)
 
     def overdue(self, now: clock.Ms) -> list[attempt.Attempt]:
         """Return the attempts that should have ended long ago.
@@ -129,7 +129,7 @@
                 late.append(seen)
         return late
 
-    def may_run_beside(self, fingerprint: str) -> bool:
+    def is_only_copy(self, fingerprint: str) -> bool:
         """Tell whether no other copy of a suspect is in progress.
 
         :param fingerprint: the request's.
@@ -148,28 +148,32 @@
         # Two copies at once could cost two more upstreams before the first
         # is known to have cost one.  The second waits: most suspects turn
         # out to be harmless, and then all copies run.
-        if entry.suspect and not self.may_run_beside(print_):
+        if entry.suspect and not self.is_only_copy(print_):
             return None
         if self._judge.must_wait(print_, now):
             return None
-        chosen = self._pick(entry, index, entry.tried, now)
-        if chosen is None and entry.tried and not self._elsewhere(entry, now):
+        chosen = self._pick(entry, index, entry.failed_upstreams, now)
+        if (
+            chosen is None
+            and entry.failed_upstreams
+            and not self._elsewhere(entry, now)
+        ):
             # The only one left may be better by now, and a broken
             # connection to it need not mean that the next one breaks.
-            chosen = self._pick(entry, index, entry.never, now)
+            chosen = self._pick(entry, index, entry.excluded_upstreams, now)
         return chosen
 
     def _pick(
         self,
         entry: attempt.Entry,
-        index: room.RoomIndex,
+        index: room.FreeSlotIndex,
         barred: set[str],
         now: clock.Ms,
     ) -> candidate.Candidate | None:
         belief = self._judge.affinity.holders(entry.work.prefixes, now)
         by_name = self._fleet.candidate_by_name
         holders = sorted(belief, key=belief.__getitem__, reverse=True)
-        wish = placement.Wish(
+        wish = placement.PlacementRequest(
             lambda target: self._allows(entry, target, barred, now),
             belief,
             entry.work.prompt_tokens,
@@ -180,7 +184,8 @@
 
     def _elsewhere(self, entry: attempt.Entry, now: clock.Ms) -> bool:
         return any(
-            item.name not in entry.tried and item.bar(now) is None
+            item.name not in entry.failed_upstreams
+            and item.block_reason(now) is None
             for item in self._fleet.serving(entry.work.model)
         )
 
@@ -193,8 +198,8 @@
     ) -> bool:
         # Time may have closed it since the last look: a loan or a group's
         # state ran out.
-        self._fleet.changed(target, now)
-        if not target.has_room() or target.name in barred:
+        self._fleet.refresh(target, now)
+        if not target.has_free_slot() or target.name in barred:
             return False
         if entry.work.model not in target.upstream.serves:
             return False
@@ -202,12 +207,12 @@
         # the harmless one would be refused with the other.
         if entry.suspect and target.suspects:
             return False
-        return self._limits.has_room(_key(entry, target), now)
+        return self._limits.has_free_slot(_key(entry, target), now)
 
     def _assert_may_start(
         self, target: candidate.Candidate, now: clock.Ms
     ) -> None:
-        bar = target.bar(now)
+        bar = target.block_reason(now)
         self._invariants.check(
             "work goes only to upstreams that are in service and whole",
             bar is None,
@@ -216,7 +221,8 @@
         if target.ramp.is_cold(now):
             self._invariants.check(
                 "a cold upstream holds no more than was lent",
-                target.own < min(target.lent(now), target.ramp.bound(now)),
+                target.own
+                < min(target.loan_slots(now), target.ramp.bound(now)),
                 f"{target.name}: {target.own} there, {target.loan}",
             )
 
@@ -225,10 +231,10 @@
     ) -> None:
         self._last += 1
         entry.attempts += 1
-        target.start(now)
-        target.place.running += 1
+        target.record_start(now)
+        target.datacentre.running += 1
         target.suspects += entry.suspect
-        self._limits.start(_key(entry, target))
+        self._limits.acquire(_key(entry, target))
         self._running_by_print[entry.work.fingerprint] += 1
 
 
--- a/src/citronvalve/policy/surprise.py
+++ b/src/citronvalve/policy/surprise.py
@@ -13,7 +13,7 @@
 _DEVIATIONS = 2.0
 
 
-class Surprise:
+class WaitError:
     """The error of predicted waits, which prediction then adds.
 
     Made for loads that no formula foresees: long work on every slot, teams
--- a/src/citronvalve/policy/upstreamchoice.py
+++ b/src/citronvalve/policy/upstreamchoice.py
@@ -23,8 +23,8 @@
 
     upstream: str
     slots: int
-    far: float
-    near: bool
+    latency: float
+    is_local: bool
 
 
 class Chosen(NamedTuple):
@@ -42,7 +42,7 @@
 class Full(NamedTuple):
     """No upstream takes it in time; there may be room in ``back_in`` ms."""
 
-    back_in: clock.Ms
+    retry_in: clock.Ms
     candidates: int
 
 
@@ -59,7 +59,7 @@
     patience: float
 
 
-class LoadBook:
+class LoadTable:
     """The loads of all upstreams, by id.
 
     :ivar load_by_upstream: made at the first use.
@@ -85,7 +85,7 @@
         :param upstreams: the ids that are still there.
         """
         for upstream, held in list(self.load_by_upstream.items()):
-            if upstream not in upstreams and not held.mine:
+            if upstream not in upstreams and not held.own:
                 del self.load_by_upstream[upstream]
 
 
@@ -101,7 +101,7 @@
     :param chance: breaks ties.
     """
 
-    def __init__(self, book: LoadBook, chance: random.Random) -> None:
+    def __init__(self, book: LoadTable, chance: random.Random) -> None:
         self._book = book
         self._chance = chance
 
@@ -128,18 +128,20 @@
             if held.avoid_until > now or _is_shut(held):
                 continue
             count += 1
-            seen = pace.forecast(held.urgent(now), job.prompt, job.answer)
-            first = seen.first + 2 * candidate.far
+            seen = pace.forecast(
+                held.total_on_time(now), job.prompt, job.answer
+            )
+            first = seen.first + 2 * candidate.latency
             late = first > job.objective
             if late:
                 # Behind all that is there, those who are late too.
                 seen = pace.forecast(held.total(now), job.prompt, job.answer)
-                first = seen.first + 2 * candidate.far
+                first = seen.first + 2 * candidate.latency
             earliest = min(earliest, first) if earliest else first
             if first > job.patience:
                 continue
             rank = first + self._chance.uniform(0, _JITTER)
-            rank += 0 if candidate.near else _FAR
+            rank += 0 if candidate.is_local else _FAR
             if best is None or (late, rank) < best[0]:
                 best = (late, rank), Chosen(candidate.upstream, seen, late)
         if best is not None:
@@ -165,7 +167,7 @@
             rank += self._chance.uniform(0, 0.05)
             # A free place here is better than a freer one far away, but
             # not than waiting for one.
-            rank += 0.0 if candidate.near else 0.25
+            rank += 0.0 if candidate.is_local else 0.25
             if best is None or rank < best[0]:
                 best = rank, candidate.upstream
         return best[1] if best else None
@@ -175,4 +177,4 @@
     if held.circuit.state is circuit.State.OPEN:
         return True
     # One probe at a time goes to an upstream that failed.
-    return held.circuit.state is circuit.State.HALF_OPEN and held.mine > 0
+    return held.circuit.state is circuit.State.HALF_OPEN and held.own > 0
--- a/src/citronvalve/policy/upstreamload.py
+++ b/src/citronvalve/policy/upstreamload.py
@@ -14,7 +14,7 @@
 _TOLD: clock.Ms = 700
 
 
-class Share(NamedTuple):
+class RemoteLoad(NamedTuple):
     """One daemon's requests at an upstream.
 
     ``late`` of the ``count`` wait for places that nobody else wants.
@@ -44,35 +44,35 @@
         "_reported_at",
         "avoid_until",
         "circuit",
-        "heard_at",
+        "last_heard_at",
         "late",
-        "mine",
-        "share_by_daemon",
+        "own",
+        "remote_load_by_daemon",
     )
 
     def __init__(self) -> None:
-        self.mine = 0
+        self.own = 0
         self.late = 0
-        self.share_by_daemon: dict[str, Share] = {}
+        self.remote_load_by_daemon: dict[str, RemoteLoad] = {}
         self.circuit = circuit.Circuit()
-        self.heard_at: clock.Ms = 0
+        self.last_heard_at: clock.Ms = 0
         self.avoid_until: clock.Ms = 0
         self._others = 0.0
         self._reported_at: clock.Ms = 0
 
-    def renew(self) -> None:
+    def reset_failures(self) -> None:
         """Forget failures and silences of an earlier start or group."""
         self.circuit = circuit.Circuit()
         self.avoid_until = 0
 
-    def reported(self, running: int, waiting: int, now: clock.Ms) -> None:
+    def record_report(self, running: int, waiting: int, now: clock.Ms) -> None:
         """Take in what the upstream said with an answer.
 
         :param running: requests of all callers that run.
         :param waiting: requests of all callers that wait.
         :param now: monotonic ms.
         """
-        self._others = max(0.0, float(running + waiting - self.mine))
+        self._others = max(0.0, float(running + waiting - self.own))
         self._reported_at = now
 
     def total(self, now: clock.Ms) -> float:
@@ -82,15 +82,15 @@
         """
         told = self._told(now)
         if told:
-            return self.mine + float(sum(share.count for share in told))
+            return self.own + float(sum(share.count for share in told))
         if not self._reported_at:
-            return 2.0 * self.mine
+            return 2.0 * self.own
         weight = 0.5 ** ((now - self._reported_at) / _HALF_LIFE)
         # The other daemons of the data centre choose as this one does, so
         # without news they are taken to have as much there.
-        return self.mine + weight * self._others + (1 - weight) * self.mine
+        return self.own + weight * self._others + (1 - weight) * self.own
 
-    def urgent(self, now: clock.Ms) -> float:
+    def total_on_time(self, now: clock.Ms) -> float:
         """Return the requests that are not behind one that is in time.
 
         :param now: monotonic ms.
@@ -98,9 +98,9 @@
         late = self.late + sum(share.late for share in self._told(now))
         return max(0.0, self.total(now) - late)
 
-    def _told(self, now: clock.Ms) -> list[Share]:
+    def _told(self, now: clock.Ms) -> list[RemoteLoad]:
         return [
             share
-            for share in self.share_by_daemon.values()
+            for share in self.remote_load_by_daemon.values()
             if now - share.at <= _TOLD
         ]
--- a/src/citronvalve/policy/usage.py
+++ b/src/citronvalve/policy/usage.py
@@ -32,7 +32,7 @@
         self._decay(now)
         self._sum_by_team[team] = self._sum_by_team.get(team, 0.0) + cost
 
-    def rate(
+    def available_slots(
         self,
         team: str,
         slots: float,
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -18,14 +18,14 @@
 from citronvalve.storage import rows
 from tests import quietlog
 
-_TERMS = repeatbudget.RepeatTerms(0.2, 130, 10_000)
+_TERMS = repeatbudget.RetryLimits(0.2, 130, 10_000)
 _RATE = 59
 _TICK = 5
 
 
 @behave.given("{count:d} daemons with 0.2 repeats a request and 130 in 10 s")
 def step_budgets(context, count):
-    context.budgets = [repeatbudget.RepeatBudget(_TERMS) for _ in range(count)]
+    context.budgets = [repeatbudget.RetryBudget(_TERMS) for _ in range(count)]
 
 
 @behave.when(
@@ -74,8 +74,8 @@
     for now in range(0, seconds * 1_000, _TICK):
         for one in context.rates:
             wants = chance.random() < rate * _TICK / 1_000
-            if wants and one.bears("u", _RATE, daemons, now):
-                one.sent("u", now)
+            if wants and one.allows("u", _RATE, daemons, now):
+                one.record_sent("u", now)
                 context.sent.append(now)
 
 
@@ -151,7 +151,7 @@
     context.list = runnerlist.RunnerList(
         env,
         context.directory,
-        upstreamchoice.LoadBook(),
+        upstreamchoice.LoadTable(),
         lambda row: _head(row.key, "z-1", row.version),
     )
     context.list.replace_all((rows.Row("t", "h-1", {}, 5),))
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -43,7 +43,7 @@
         _ANY_PORT,
         _ANY_PORT,
         _ANY_PORT,
-        repeatbudget.RepeatTerms(0.2, 100, 10_000),
+        repeatbudget.RetryLimits(0.2, 100, 10_000),
         placing.ColdTerms(),
         grace=5_000,
         stall=world.STALL,
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -67,8 +67,8 @@
         self.directory.adopt(_catalogue(timeout, attempts))
         self.directory.known = True
         self.directory.confirmed_at = self.env.clock.now()
-        book = upstreamchoice.LoadBook()
-        terms = repeatbudget.RepeatTerms(0.2, 100, 10_000)
+        book = upstreamchoice.LoadTable()
+        terms = repeatbudget.RetryLimits(0.2, 100, 10_000)
         self.stalls = stalls.Stalls(self.env, book)
         kept = links.Links(self.env.clock)
         self.repeats = repeats.Repeats(self.env, terms)
--- a/tests/forward/steps/forward_steps.py
+++ b/tests/forward/steps/forward_steps.py
@@ -65,7 +65,7 @@
 
 @behave.given("no repeat is left")
 def step_no_repeat(context):
-    none = repeatbudget.RepeatTerms(0.0, 0, 10_000)
+    none = repeatbudget.RetryLimits(0.0, 0, 10_000)
     context.rig.repeats.terms = none
 
 
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -78,7 +78,7 @@
             rigs.Lines(),
             dialect.Dialect(),
         )
-        self.book = upstreamchoice.LoadBook()
+        self.book = upstreamchoice.LoadTable()
         self.stalls = stalls.Stalls(self.env, self.book)
 
 
--- a/tests/news/simulation.py
+++ b/tests/news/simulation.py
@@ -19,7 +19,7 @@
     def __init__(self, name, datacentre):
         self.name = name
         self.datacentre = datacentre
-        self.loads = upstreamchoice.LoadBook()
+        self.loads = upstreamchoice.LoadTable()
         self.distributor = distributor.Distributor(
             name, datacentre, self.loads
         )
@@ -94,7 +94,7 @@
     def request_total(self, daemon, upstream):
         """Return how many requests a daemon counts at an upstream."""
         load = daemon.loads.of(upstream)
-        load.mine = daemon.request_counts.get(upstream, (0, 0))[0]
+        load.own = daemon.request_counts.get(upstream, (0, 0))[0]
         return load.total(self.now)
 
     def _send(self, daemon, out):
--- a/tests/placing/world.py
+++ b/tests/placing/world.py
@@ -66,14 +66,14 @@
         self.waiting.sort(key=lambda one: (one.late, one.at))
         while self.waiting and len(self.running) < slots:
             one = self.waiting.pop(0)
-            reading = self.pace.reading(one.prompt) * self.slow
-            gap = self.pace.gap(len(self.running) + 1) * self.slow
+            reading = self.pace.prefill_time(one.prompt) * self.slow
+            gap = self.pace.event_gap(len(self.running) + 1) * self.slow
             self.running.append([one, now + reading + 1.5 * gap])
         for entry in list(self.running):
             one, due = entry
             if now < due:
                 continue
-            gap = self.pace.gap(len(self.running)) * self.slow
+            gap = self.pace.event_gap(len(self.running)) * self.slow
             if one.first is None:
                 one.first = now
                 told(one, self)
@@ -116,7 +116,7 @@
         self.replicas = {
             f"r{n}": Replica(f"r{n}", self.pace) for n in range(replicas)
         }
-        self.books = [upstreamchoice.LoadBook() for _ in range(DAEMONS)]
+        self.books = [upstreamchoice.LoadTable() for _ in range(DAEMONS)]
         self.choices = [
             upstreamchoice.UpstreamChoice(book, self.chance)
             for book in self.books
@@ -190,7 +190,7 @@
                 one.refused += 1
                 if one.refused == 1:
                     spread = self.chance.uniform(1.0, 1.5)
-                    stay = max(SOONEST, chosen.back_in) * spread
+                    stay = max(SOONEST, chosen.retry_in) * spread
                     self.back.append((self.now + stay, one))
                 return
             name = chosen.upstream
@@ -198,7 +198,7 @@
         self.books[daemon].of(name).late += one.late
         self.placed[one] = daemon
         one.placed_at = self.now
-        self.books[daemon].of(name).mine += 1
+        self.books[daemon].of(name).own += 1
         self.replicas[name].waiting.append(one)
 
     def _tell(self):
@@ -208,8 +208,8 @@
                     continue
                 for name in self.replicas:
                     held = book.of(name)
-                    other.of(name).share_by_daemon[str(sender)] = (
-                        upstreamload.Share(held.mine, held.late, self.now)
+                    other.of(name).remote_load_by_daemon[str(sender)] = (
+                        upstreamload.RemoteLoad(held.own, held.late, self.now)
                     )
 
     def _leave(self, replica):
@@ -219,7 +219,7 @@
                 replica.waiting.remove(one)
                 one.gone = True
                 held = self.books[self.placed[one]].of(replica.name)
-                held.mine -= 1
+                held.own -= 1
                 held.late -= one.late
 
     def _step(self):
@@ -236,11 +236,11 @@
             for one in before - after:
                 if one.end is not None:
                     book = self.books[self.placed[one]]
-                    book.of(replica.name).mine -= 1
+                    book.of(replica.name).own -= 1
         self.now += TICK
 
     def _told(self, one, replica):
         book = self.books[self.placed[one]]
         book.of(replica.name).late -= one.late
         running, waiting = replica.load()
-        book.of(replica.name).reported(running, waiting, self.now)
+        book.of(replica.name).record_report(running, waiting, self.now)
--- a/tests/policy/machines.py
+++ b/tests/policy/machines.py
@@ -75,7 +75,7 @@
     @stateful.rule(name=_UPSTREAM, slots=strategies.integers(0, 3))
     def lend(self, name, slots):
         until = self.small.now + 1_000
-        self.small.dispatcher.lend(name, slots, until, self.small.now)
+        self.small.dispatcher.accept_loan(name, slots, until, self.small.now)
 
     @stateful.rule(
         place=strategies.sampled_from(small.PLACES),
@@ -87,7 +87,7 @@
     @stateful.rule(name=_UPSTREAM, age=strategies.integers(0, 3_000))
     def learn(self, name, age):
         loss = crashfence.Loss("p", name, age)
-        self.small.dispatcher.learn(loss, self.small.now)
+        self.small.dispatcher.record_remote_loss(loss, self.small.now)
 
     @stateful.precondition(lambda self: self.open)
     @stateful.rule(data=strategies.data())
@@ -116,7 +116,7 @@
             for ticket in list(self.small.starts):
                 self.small.end(ticket, "done")
             self.small.tick(60_000)
-        assert not self.small.dispatcher.open_requests()
+        assert not self.small.dispatcher.open_request_count()
 
 
 MACHINES = (Deciding,)
--- a/tests/policy/small.py
+++ b/tests/policy/small.py
@@ -46,13 +46,13 @@
         self.starts = {}
         self.refused = {}
         self.count = 0
-        self.dispatcher.declare(self.table, self.now)
+        self.dispatcher.apply_table(self.table, self.now)
 
     def state(self, place, service):
         rows = dict(self.table.datacentre_by_name)
         rows[place] = rows[place]._replace(state=service)
         self.table = self.table._replace(datacentre_by_name=rows)
-        self.dispatcher.declare(self.table, self.now)
+        self.dispatcher.apply_table(self.table, self.now)
 
     def report(self, name, start_id="1", bears=4, held=0, missing=()):
         self.dispatcher.observe(
--- a/tests/policy/steps/sharing_steps.py
+++ b/tests/policy/steps/sharing_steps.py
@@ -92,7 +92,7 @@
     key = loankey.LoanKey(loankey.LoanKind.COLD, "a0", "1").lender_key
     keeper = daemons["daemon-0"].peer.coordinator_of(key)
     context.cold = next(d for n, d in daemons.items() if n != keeper)
-    context.cold.upstream.ramp.restart(context.fleet.clock.now())
+    context.cold.upstream.ramp.mark_cold(context.fleet.clock.now())
 
 
 @behave.then("within {seconds:d} s that one may use the upstream")
--- a/tests/policy/steps/small_steps.py
+++ b/tests/policy/steps/small_steps.py
@@ -53,13 +53,13 @@
         row = made.table.upstream_by_name["a0"]
         row = row._replace(state=declared.ServiceState.OUT)
         rows = made.table._replace(upstream_by_name={"a0": row})
-        made.dispatcher.declare(rows, made.now)
+        made.dispatcher.apply_table(rows, made.now)
     if reason == "is in a data centre out":
         made.state("a", declared.ServiceState.OUT)
     if reason == "died, as a peer told":
         made.now += 5_000
         loss = crashfence.Loss("k", "a0", 100)
-        made.dispatcher.learn(loss, made.now)
+        made.dispatcher.record_remote_loss(loss, made.now)
     if reason == "started afresh, without loan":
         made.now += 100
         made.report("a0", start_id="2", bears=1)
--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -48,7 +48,7 @@
         super().__init__(
             _environment(time_source),
             self.directory,
-            upstreamchoice.LoadBook(),
+            upstreamchoice.LoadTable(),
             _runner,
         )
 
