--- a/benchmarks/fullscan.py
+++ b/benchmarks/fullscan.py
@@ -4,8 +4,8 @@
 import random
 
 from citronvalve.policy import candidate
+from citronvalve.policy import freeslots
 from citronvalve.policy import placement
-from citronvalve.policy import room
 
 
 class FullScan(placement.Placement):
@@ -13,15 +13,15 @@
 
     def pick(
         self,
-        index: room.FreeSlotIndex,
+        index: freeslots.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
         wish: placement.PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         found = [
             item
-            for tier in range(room.TIERS)
-            for item in index.all(tier)
+            for tier in range(freeslots.TIERS)
+            for item in index.in_tier(tier)
             if item.has_free_slot() and wish.allows(item)
         ]
         return min(
--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -215,7 +215,7 @@
     def _tidy(self) -> None:
         while True:
             here = set(self.directory.runner_by_id)
-            self._book.forget(here)
+            self._book.retain(here)
             self._show()
             eventlet.sleep(_TIDY / clock.SECOND)
 
--- a/src/citronvalve/daemon/entrysettings.py
+++ b/src/citronvalve/daemon/entrysettings.py
@@ -4,7 +4,7 @@
 
 from citronvalve.forward import placing
 from citronvalve.model import clock
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 
 
 class EntrySettings(NamedTuple):
@@ -20,7 +20,7 @@
     callers: str
     operators: str
     peers: str
-    repeats: repeatbudget.RetryLimits
+    repeats: retrybudget.RetryLimits
     cold: placing.ColdTerms
     grace: clock.Ms
     stall: clock.Ms
--- a/src/citronvalve/forward/repeats.py
+++ b/src/citronvalve/forward/repeats.py
@@ -1,7 +1,7 @@
 """The repeat budgets of all services."""
 
 from citronvalve.forward import environment as environments
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 
 
 class Repeats:
@@ -15,18 +15,18 @@
     def __init__(
         self,
         env: environments.Environment,
-        terms: repeatbudget.RetryLimits,
+        terms: retrybudget.RetryLimits,
     ) -> None:
         self._env = env
         self.terms = terms
-        self._budget_by_service: dict[str, repeatbudget.RetryBudget] = {}
+        self._budget_by_service: dict[str, retrybudget.RetryBudget] = {}
 
     def requested(self, service: str) -> None:
         """Count a request of a caller.
 
         :param service: the one it goes to.
         """
-        self._budget(service).requested(self._env.clock.now())
+        self._budget(service).record_request(self._env.clock.now())
 
     def holds(self, service: str) -> bool:
         """Tell whether one more repeat may be taken now.
@@ -34,7 +34,7 @@
         :param service: the one it goes to.
         """
         now = self._env.clock.now()
-        return self._budget(service).holds(self._env.daemons, now)
+        return self._budget(service).allows(self._env.daemons, now)
 
     def spend(self, service: str) -> bool:
         """Take one repeat, or return False.
@@ -44,10 +44,10 @@
         now = self._env.clock.now()
         return self._budget(service).spend(self._env.daemons, now)
 
-    def _budget(self, service: str) -> repeatbudget.RetryBudget:
+    def _budget(self, service: str) -> retrybudget.RetryBudget:
         held = self._budget_by_service.get(service)
         if held is None:
-            held = repeatbudget.RetryBudget(self.terms)
+            held = retrybudget.RetryBudget(self.terms)
             self._budget_by_service[service] = held
-        held.terms = self.terms
+        held.limits = self.terms
         return held
--- a/src/citronvalve/policy/admission.py
+++ b/src/citronvalve/policy/admission.py
@@ -7,19 +7,19 @@
 
 #: Share of the predicted rate that promises are made on.  The rest covers
 #: answers that run long.
-_CAUTION = 0.9
+_USABLE_RATE_SHARE = 0.9
 
 
 #: Share of its slack that work may be made to wait.  A queue filled up to
 #: the deadlines has nothing left for work that runs long or comes after.
-_HOLD = 0.6
+_MAX_WAIT_SHARE = 0.6
 
 #: Share of what is left of its slack that later arrivals may use up.
-_KEEP = 0.8
+_USABLE_SLACK_SHARE = 0.8
 
 #: Longest wait in times of the mean service time.  A deeper queue serves
 #: no more under lasting load; it only makes everyone in it wait.
-_DEEPEST = 4
+_MAX_WAIT_IN_SERVICE_TIMES = 4
 
 
 class Supply(NamedTuple):
@@ -65,31 +65,36 @@
     """
     if supply.slots <= 0 or supply.team_slots <= 0:
         return Forecast(0, False)
-    line = queue.items_of(item.team)
-    rate = supply.team_slots * _CAUTION
-    first = supply.mean_started / supply.slots
+    team_queue = queue.items_of(item.team)
+    rate = supply.team_slots * _USABLE_RATE_SHARE
+    first_slot = supply.mean_started / supply.slots
     ahead = 0
-    at = 0
-    for at, other in enumerate(line, 1):
+    position = 0
+    for position, other in enumerate(team_queue, 1):
         if other > item:
-            at -= 1
+            position -= 1
             break
         ahead += other.cost
-    shared = queue.cost / (supply.slots * _CAUTION)
-    wait = round(first + min(ahead / rate, shared))
+    total_wait = queue.cost / (supply.slots * _USABLE_RATE_SHARE)
+    wait = round(first_slot + min(ahead / rate, total_wait))
     slack = item.deadline - now - item.bound
     # A team with nothing waiting has the next slot, and nobody after it can
     # take that; only its own queue makes a wait uncertain.
-    most = (
-        min(slack * _HOLD, supply.mean_arriving * _DEEPEST) if line else slack
+    max_wait = (
+        min(
+            slack * _MAX_WAIT_SHARE,
+            supply.mean_arriving * _MAX_WAIT_IN_SERVICE_TIMES,
+        )
+        if team_queue
+        else slack
     )
-    if wait + supply.margin > most:
+    if wait + supply.margin > max_wait:
         return Forecast(wait, False)
     ahead += item.cost
-    for other in line[at:]:
+    for other in team_queue[position:]:
         # Part of the slack is kept: what comes after takes more of it.
-        spare = (other.deadline - now - other.bound) * _KEEP
-        if first + ahead / rate > spare:
+        spare = (other.deadline - now - other.bound) * _USABLE_SLACK_SHARE
+        if first_slot + ahead / rate > spare:
             return Forecast(wait, False)
         ahead += other.cost
     return Forecast(wait, True)
--- a/src/citronvalve/policy/affinity.py
+++ b/src/citronvalve/policy/affinity.py
@@ -10,11 +10,11 @@
 _HALF_LIFE: clock.Ms = 60_000
 
 #: Prefixes remembered, about 10 MB; the one used longest ago goes first.
-_MOST_PREFIXES = 20_000
+_MAX_PREFIXES = 20_000
 
 #: Upstreams remembered for one prefix.  More would only be more to look
 #: through: placement weighs two of them.
-_MOST_HOLDERS = 8
+_MAX_HOLDERS = 8
 
 
 class Affinity:
@@ -25,7 +25,7 @@
     """
 
     def __init__(self) -> None:
-        self._seen_by_prefix: collections.OrderedDict[
+        self._holders_by_prefix: collections.OrderedDict[
             str, dict[str, clock.Ms]
         ] = collections.OrderedDict()
 
@@ -36,13 +36,13 @@
         :param upstream: who has read it.
         :param at: when it did, in monotonic ms.
         """
-        seen = self._seen_by_prefix.setdefault(prefix, {})
-        self._seen_by_prefix.move_to_end(prefix)
-        seen[upstream] = max(at, seen.get(upstream, at))
-        if len(seen) > _MOST_HOLDERS:
-            del seen[min(seen, key=seen.__getitem__)]
-        if len(self._seen_by_prefix) > _MOST_PREFIXES:
-            self._seen_by_prefix.popitem(last=False)
+        holders = self._holders_by_prefix.setdefault(prefix, {})
+        self._holders_by_prefix.move_to_end(prefix)
+        holders[upstream] = max(at, holders.get(upstream, at))
+        if len(holders) > _MAX_HOLDERS:
+            del holders[min(holders, key=holders.__getitem__)]
+        if len(self._holders_by_prefix) > _MAX_PREFIXES:
+            self._holders_by_prefix.popitem(last=False)
 
     def drop(self, prefix: str, upstream: str) -> None:
         """Note that an upstream evicted a prefix.
@@ -50,15 +50,15 @@
         :param prefix: key of the prefix.
         :param upstream: who evicted it.
         """
-        self._seen_by_prefix.get(prefix, {}).pop(upstream, None)
+        self._holders_by_prefix.get(prefix, {}).pop(upstream, None)
 
     def drop_upstream(self, upstream: str) -> None:
         """Note that an upstream started afresh, with an empty cache.
 
         :param upstream: its name.
         """
-        for seen in self._seen_by_prefix.values():
-            seen.pop(upstream, None)
+        for holders in self._holders_by_prefix.values():
+            holders.pop(upstream, None)
 
     def holders(
         self, prefixes: collections.abc.Iterable[str], now: clock.Ms
@@ -70,10 +70,10 @@
         :param now: monotonic ms.
         """
         for prefix in prefixes:
-            seen = self._seen_by_prefix.get(prefix)
-            if seen:
+            holders = self._holders_by_prefix.get(prefix)
+            if holders:
                 return {
                     name: 0.5 ** (max(0, now - at) / _HALF_LIFE)
-                    for name, at in seen.items()
+                    for name, at in holders.items()
                 }
         return {}
--- a/src/citronvalve/policy/backlog.py
+++ b/src/citronvalve/policy/backlog.py
@@ -7,14 +7,14 @@
 from citronvalve.policy import admission
 from citronvalve.policy import attempt
 from citronvalve.policy import fairshare
-from citronvalve.policy import surprise
 from citronvalve.policy import usage
+from citronvalve.policy import waiterror
 
 #: Gain of one start in the mean service time of the model's mix.
 _GAIN = 0.05
 
 #: Work of this many times the mean service time is long.
-_LONG = 4
+_LONG_RATIO = 4
 
 #: Share of the slots that long work may hold.
 _LONG_SHARE = 0.75
@@ -32,26 +32,28 @@
         self.queue = fairshare.FairQueue()
         self._usage = usage.Usage()
         self._weight_of = weight_of
-        self._typical = 0.0
-        self._started = 0.0
-        self._surprise_by_flow: dict[tuple[str, bool], surprise.WaitError]
-        self._surprise_by_flow = collections.defaultdict(surprise.WaitError)
+        self._mean_arriving = 0.0
+        self._mean_started = 0.0
+        self._wait_error_by_flow: dict[tuple[str, bool], waiterror.WaitError]
+        self._wait_error_by_flow = collections.defaultdict(waiterror.WaitError)
         self._long_running = 0
-        self._order = 0
+        self._sequence = 0
 
     def record_arrival(self, entry: attempt.Entry) -> None:
         """Count a request that arrives, whatever becomes of it.
 
         :param entry: the request.
         """
-        gain = _GAIN if self._typical else 1.0
-        self._typical += gain * (entry.expected.mean - self._typical)
+        gain = _GAIN if self._mean_arriving else 1.0
+        self._mean_arriving += gain * (
+            entry.expected.mean - self._mean_arriving
+        )
 
     def forecast(
         self,
         entry: attempt.Entry,
         slots: float,
-        most: float,
+        team_limit: float,
         now: clock.Ms,
     ) -> admission.Forecast:
         """Predict when a request would start.
@@ -66,19 +68,23 @@
         if is_long:
             slots *= _LONG_SHARE
         waiting = self.queue.teams_by_turn()
-        rate = self._usage.available_slots(
+        team_slots = self._usage.available_slots(
             team, slots, self._weight_of, waiting, now
         )
-        typical = round(self._typical) or entry.expected.mean
-        margin = self._surprise_by_flow[team, is_long].margin(now)
-        started = round(self._started) or typical
+        mean_arriving = round(self._mean_arriving) or entry.expected.mean
+        margin = self._wait_error_by_flow[team, is_long].margin(now)
+        mean_started = round(self._mean_started) or mean_arriving
         supply = admission.Supply(
-            slots, min(rate, most), typical, started, margin
+            slots,
+            min(team_slots, team_limit),
+            mean_arriving,
+            mean_started,
+            margin,
         )
-        item = self._waiting(entry)
-        seen = admission.forecast(self.queue, item, supply, now)
-        entry.predicted_wait = seen.wait
-        return seen
+        item = self._queue_item(entry)
+        predicted = admission.forecast(self.queue, item, supply, now)
+        entry.predicted_wait = predicted.wait
+        return predicted
 
     def may_start(self, entry: attempt.Entry, slots: float) -> bool:
         """Tell whether a request may take a slot now.
@@ -101,8 +107,8 @@
         :param now: monotonic ms.
         """
         entry.queued_at = now
-        self._order += 1
-        entry.queue_item = self._waiting(entry)
+        self._sequence += 1
+        entry.queue_item = self._queue_item(entry)
         self.queue.push(entry.queue_item)
 
     def remove(self, entry: attempt.Entry, now: clock.Ms) -> None:
@@ -115,7 +121,7 @@
             if entry.predicted_wait is not None:
                 error = now - entry.queued_at - entry.predicted_wait
                 flow = entry.work.team, self._is_long(entry)
-                self._surprise_by_flow[flow].add(error, now)
+                self._wait_error_by_flow[flow].record(error, now)
             self.queue.remove(entry.queue_item)
             entry.queue_item = None
 
@@ -130,8 +136,8 @@
         self._long_running += entry.is_long
         self.queue.record_start(team, cost, self._weight_of(team))
         self._usage.add(team, cost, now)
-        gain = _GAIN if self._started else 1.0
-        self._started += gain * (cost - self._started)
+        gain = _GAIN if self._mean_started else 1.0
+        self._mean_started += gain * (cost - self._mean_started)
 
     def record_end(self, entry: attempt.Entry) -> None:
         """Count an attempt that ended.
@@ -142,13 +148,13 @@
         self._long_running -= entry.is_long
 
     def _is_long(self, entry: attempt.Entry) -> bool:
-        return 0 < self._typical * _LONG < entry.expected.mean
+        return 0 < self._mean_arriving * _LONG_RATIO < entry.expected.mean
 
-    def _waiting(self, entry: attempt.Entry) -> fairshare.QueuedRequest:
+    def _queue_item(self, entry: attempt.Entry) -> fairshare.QueuedRequest:
         item = entry.work
         return fairshare.QueuedRequest(
             item.deadline,
-            self._order,
+            self._sequence,
             item.request,
             item.team,
             entry.expected.mean,
--- a/src/citronvalve/policy/candidate.py
+++ b/src/citronvalve/policy/candidate.py
@@ -9,10 +9,10 @@
 from citronvalve.model import declared
 from citronvalve.model import load
 from citronvalve.policy import circuit
+from citronvalve.policy import datacentrestate
 from citronvalve.policy import limits
 from citronvalve.policy import outlier
 from citronvalve.policy import ramp
-from citronvalve.policy import shift
 
 #: An upstream gets work only while its reports are fresh.  A group may have
 #: lost a VM since an old one, and an upstream that fell over may be back,
@@ -23,7 +23,7 @@
 
 #: Moments of the past at which this daemon's own work is remembered, so
 #: that a late report can be compared with what was there at its time.
-_MOST_HISTORY = 256
+_MAX_HISTORY = 256
 
 
 class BlockReason(enum.Enum):
@@ -56,11 +56,11 @@
     def __init__(
         self,
         upstream: declared.Upstream,
-        place: shift.DatacentreState,
+        datacentre: datacentrestate.DatacentreState,
         tier: int,
     ) -> None:
         self.upstream = upstream
-        self.datacentre = place
+        self.datacentre = datacentre
         self.tier = tier
         self.ramp = ramp.Ramp(upstream)
         self.circuit = circuit.Circuit()
@@ -79,8 +79,8 @@
         #: When it last died, as far as this daemon knows.
         self.lost_at: clock.Ms = 0
         self._others = 0
-        self._most = 0
-        self._offset = zlib.crc32(upstream.name.encode())
+        self._capacity = 0
+        self._rank_offset = zlib.crc32(upstream.name.encode())
         self._history = collections.deque([(0, 0)])
 
     @property
@@ -115,31 +115,31 @@
         if old is not None and old.start_id != report.start_id:
             self.restart_pending = True
         self.ramp.observe(report)
-        mine = self._own_at(report.measured_at)
-        self._others = max(0, report.running + report.queued - mine)
-        self._most = report.capacity
+        own = self._own_at(report.measured_at)
+        self._others = max(0, report.running + report.queued - own)
+        self._capacity = report.capacity
 
     def record_start(self, now: clock.Ms) -> None:
         """Count a request sent there.
 
         :param now: monotonic ms.
         """
-        self._count(1, now)
+        self._record_change(1, now)
 
     def record_end(self, now: clock.Ms) -> None:
         """Count a request that ended.
 
         :param now: monotonic ms.
         """
-        self._count(-1, now)
+        self._record_change(-1, now)
 
-    def record_loss(self, moment: clock.Ms) -> None:
+    def record_loss(self, at: clock.Ms) -> None:
         """Note that it died; a report from before says nothing of it now.
 
         :param moment: when, in monotonic ms.
         """
-        self.lost_at = moment
-        self.ramp.mark_cold(moment)
+        self.lost_at = at
+        self.ramp.mark_cold(at)
 
     def record_busy(self) -> None:
         """Note that it refused work: hardly more until a report.
@@ -147,7 +147,7 @@
         One is left, since it may have refused for another reason, and with
         none there would be nobody to ask when all refused once.
         """
-        self._most = min(self._most, max(1, self.own))
+        self._capacity = min(self._capacity, max(1, self.own))
 
     def block_reason(self, now: clock.Ms) -> BlockReason | None:
         """Return why it gets nothing new, or None.
@@ -160,10 +160,10 @@
         reasons = {
             BlockReason.OUT: self.upstream.state is declared.ServiceState.OUT,
             BlockReason.DATACENTRE_OUT: self.datacentre.phase
-            is shift.Phase.OUT,
+            is datacentrestate.Phase.OUT,
             BlockReason.VMS_MISSING: bool(report.vms_missing),
             BlockReason.STALE: now - report.measured_at > MAX_REPORT_AGE,
-            BlockReason.EJECTED: now < self.latency_ratio.until,
+            BlockReason.EJECTED: now < self.latency_ratio.ejected_until,
             BlockReason.CIRCUIT: self.circuit.state is circuit.State.OPEN,
         }
         return next((bar for bar, holds in reasons.items() if holds), None)
@@ -179,7 +179,7 @@
 
     def has_free_slot(self) -> bool:
         """Tell whether one more request may go there."""
-        return self.own < self.allowance and self.datacentre.has_room()
+        return self.own < self.allowance and self.datacentre.has_free_slot()
 
     def loan_slots(self, now: clock.Ms) -> int:
         """Return the slots that a loan allows now.
@@ -198,30 +198,30 @@
 
         :param share: this daemon's place among those that use it.
         """
-        rank = (share.rank + self._offset) % share.members
+        rank = (share.rank + self._rank_offset) % share.members
         part = limits.Share(rank, share.members).of(self.upstream.slots)
-        return min(part, self._most)
+        return min(part, self._capacity)
 
     def _allowed(self, now: clock.Ms, share: limits.Share) -> int:
         if self.upstream.weight <= 0 or self.block_reason(now) is not None:
             return 0
         if self.ramp.is_cold(now):
-            most = min(self.loan_slots(now), self.ramp.bound(now))
+            allowed = min(self.loan_slots(now), self.ramp.bound(now))
         else:
-            most = self.fixed_part(share)
+            allowed = self.fixed_part(share)
         half_open = self.circuit.state is circuit.State.HALF_OPEN
-        return min(1, most) if half_open else most
+        return min(1, allowed) if half_open else allowed
 
-    def _count(self, step: int, now: clock.Ms) -> None:
+    def _record_change(self, step: int, now: clock.Ms) -> None:
         self.own += step
         self._history.append((now, self.own))
-        if len(self._history) > _MOST_HISTORY:
+        if len(self._history) > _MAX_HISTORY:
             self._history.popleft()
 
-    def _own_at(self, moment: clock.Ms) -> int:
+    def _own_at(self, at: clock.Ms) -> int:
         # The last value up to that moment stays: it holds for the next
         # report too, when nothing was sent or ended in between.
         history = self._history
-        while len(history) > 1 and history[1][0] <= moment:
+        while len(history) > 1 and history[1][0] <= at:
             history.popleft()
         return history[0][1]
--- a/src/citronvalve/policy/circuit.py
+++ b/src/citronvalve/policy/circuit.py
@@ -6,14 +6,14 @@
 
 #: Failures in a row that open the circuit.  One or two also happen to a
 #: sound upstream when a connection goes silent.
-_FAILURES = 3
+_FAILURES_TO_OPEN = 3
 
 #: First wait before a probe, doubled at each failed one.  Shorter ones
 #: spend callers' requests on an upstream that is still down.
-_WAIT: clock.Ms = 2_000
+_FIRST_WAIT: clock.Ms = 2_000
 
 #: Longest wait, so that a mended upstream is found within half a minute.
-_LONGEST_WAIT: clock.Ms = 30_000
+_MAX_WAIT: clock.Ms = 30_000
 
 
 class State(enum.Enum):
@@ -30,19 +30,19 @@
 
     SUCCEEDED = "succeeded"
     TRIPPED = "tripped"
-    WAITED = "waited"
+    WAIT_ELAPSED = "waited"
 
 
-_NEXT: dict[tuple[State, Event], State] = {
+_NEXT_STATE: dict[tuple[State, Event], State] = {
     (State.CLOSED, Event.SUCCEEDED): State.CLOSED,
     (State.CLOSED, Event.TRIPPED): State.OPEN,
-    (State.CLOSED, Event.WAITED): State.CLOSED,
+    (State.CLOSED, Event.WAIT_ELAPSED): State.CLOSED,
     (State.OPEN, Event.SUCCEEDED): State.OPEN,
     (State.OPEN, Event.TRIPPED): State.OPEN,
-    (State.OPEN, Event.WAITED): State.HALF_OPEN,
+    (State.OPEN, Event.WAIT_ELAPSED): State.HALF_OPEN,
     (State.HALF_OPEN, Event.SUCCEEDED): State.CLOSED,
     (State.HALF_OPEN, Event.TRIPPED): State.OPEN,
-    (State.HALF_OPEN, Event.WAITED): State.HALF_OPEN,
+    (State.HALF_OPEN, Event.WAIT_ELAPSED): State.HALF_OPEN,
 }
 
 
@@ -59,7 +59,7 @@
         self.state = State.CLOSED
         self.probe_at: clock.Ms = 0
         self._failures = 0
-        self._wait = _WAIT
+        self._wait = _FIRST_WAIT
 
     def record_success(self) -> None:
         """Take in an answer."""
@@ -74,7 +74,7 @@
         """
         self._failures += 1
         probing = self.state is State.HALF_OPEN
-        if fatal or probing or self._failures >= _FAILURES:
+        if fatal or probing or self._failures >= _FAILURES_TO_OPEN:
             self._move(Event.TRIPPED, now)
 
     def tick(self, now: clock.Ms) -> None:
@@ -83,12 +83,12 @@
         :param now: monotonic ms.
         """
         if self.state is State.OPEN and now >= self.probe_at:
-            self._move(Event.WAITED, now)
+            self._move(Event.WAIT_ELAPSED, now)
 
     def _move(self, event: Event, now: clock.Ms) -> None:
-        old, self.state = self.state, _NEXT[self.state, event]
+        old, self.state = self.state, _NEXT_STATE[self.state, event]
         if old is not State.OPEN and self.state is State.OPEN:
             self.probe_at = now + self._wait
-            self._wait = min(self._wait * 2, _LONGEST_WAIT)
+            self._wait = min(self._wait * 2, _MAX_WAIT)
         if old is State.HALF_OPEN and self.state is State.CLOSED:
-            self._wait = _WAIT
+            self._wait = _FIRST_WAIT
--- a/src/citronvalve/policy/coldrate.py
+++ b/src/citronvalve/policy/coldrate.py
@@ -7,11 +7,11 @@
 
 #: Requests that leave within one second may arrive within a shorter one;
 #: this part of the bound leaves room for that.
-_USED = 0.8
+_USABLE_SHARE = 0.8
 
 #: Turns of many daemons fall together by chance; this much of the part keeps
 #: the sum of a second four standard deviations within the bound.
-_USED_IN_TURNS = 0.75
+_USABLE_SHARE_IN_TURNS = 0.75
 
 
 class ColdRate:
@@ -24,8 +24,8 @@
     :param chance: spreads turns where each part is under one a second.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._sent_by_upstream: dict[str, slidingcount.SlidingCount] = {}
         self._last_by_upstream: dict[str, clock.Ms] = {}
 
@@ -39,21 +39,21 @@
         :param daemons: how many share it.
         :param now: monotonic ms.
         """
-        part = _USED * rate / max(1, daemons)
+        part = _USABLE_SHARE * rate / max(1, daemons)
         if part < 1:
-            return self._has_turn(upstream, _USED_IN_TURNS * part, now)
+            return self._is_due(upstream, _USABLE_SHARE_IN_TURNS * part, now)
         sent = self._sent_by_upstream.get(upstream)
         return sent is None or sent.count(now) + 1 <= part
 
-    def _has_turn(self, upstream: str, part: float, now: clock.Ms) -> bool:
+    def _is_due(self, upstream: str, part: float, now: clock.Ms) -> bool:
         # More daemons than requests a second: each waits for its turn, the
         # first of which comes by chance, or all would take it at once.
-        between = clock.SECOND / part
+        interval = clock.SECOND / part
         last = self._last_by_upstream.get(upstream)
         if last is None:
-            last = now - round(self._chance.uniform(0, between))
+            last = now - round(self._rng.uniform(0, interval))
             self._last_by_upstream[upstream] = last
-        return now - last >= between
+        return now - last >= interval
 
     def record_sent(self, upstream: str, now: clock.Ms) -> None:
         """Count a request that is about to be sent.
--- a/src/citronvalve/policy/crashfence.py
+++ b/src/citronvalve/policy/crashfence.py
@@ -6,12 +6,12 @@
 
 #: Fingerprints remembered.  One crash marks all that ran there, a few
 #: dozen; this holds hundreds of crashes.
-_MOST_FINGERPRINTS = 10_000
+_MAX_FINGERPRINTS = 10_000
 
 
 #: A sound upstream reports within this time after a connection to it broke.
 #: One that doesn't is taken for dead.
-_DOUBT: clock.Ms = 5_000
+_REPORT_TIMEOUT: clock.Ms = 5_000
 
 
 class Loss(NamedTuple):
@@ -36,8 +36,8 @@
     """
 
     def __init__(self) -> None:
-        self._lost_by_print: dict[str, dict[str, clock.Ms]] = {}
-        self._doubts: dict[str, dict[str, clock.Ms]] = {}
+        self._losses_by_fingerprint: dict[str, dict[str, clock.Ms]] = {}
+        self._suspicions_by_upstream: dict[str, dict[str, clock.Ms]] = {}
 
     def record_loss(
         self, fingerprint: str, upstream: str, now: clock.Ms
@@ -49,11 +49,13 @@
         :param upstream: who died.
         :param now: monotonic ms.
         """
-        self._doubts.get(upstream, {}).pop(fingerprint, None)
-        lost = self._lost_by_print.setdefault(fingerprint, {})
+        self._suspicions_by_upstream.get(upstream, {}).pop(fingerprint, None)
+        lost = self._losses_by_fingerprint.setdefault(fingerprint, {})
         lost[upstream] = max(now, lost.get(upstream, now))
-        if len(self._lost_by_print) > _MOST_FINGERPRINTS:
-            del self._lost_by_print[next(iter(self._lost_by_print))]
+        if len(self._losses_by_fingerprint) > _MAX_FINGERPRINTS:
+            del self._losses_by_fingerprint[
+                next(iter(self._losses_by_fingerprint))
+            ]
 
     def suspect(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
         """Note that a connection broke, which a death would explain.
@@ -62,7 +64,9 @@
         :param upstream: whose connection it was.
         :param now: monotonic ms.
         """
-        self._doubts.setdefault(upstream, {})[fingerprint] = now
+        self._suspicions_by_upstream.setdefault(upstream, {})[fingerprint] = (
+            now
+        )
 
     def confirm_loss(self, upstream: str, now: clock.Ms) -> bool:
         """Turn doubts into losses: it is gone, or started afresh.
@@ -71,10 +75,10 @@
         :param now: monotonic ms.
         :return: whether there was a doubt.
         """
-        doubts = self._doubts.pop(upstream, {})
-        for fingerprint in doubts:
+        suspicions = self._suspicions_by_upstream.pop(upstream, {})
+        for fingerprint in suspicions:
             self.record_loss(fingerprint, upstream, now)
-        return bool(doubts)
+        return bool(suspicions)
 
     def overdue(self, now: clock.Ms) -> list[str]:
         """Return upstreams that have been silent since they were doubted.
@@ -83,8 +87,8 @@
         """
         return [
             name
-            for name, doubts in self._doubts.items()
-            if any(now - at >= _DOUBT for at in doubts.values())
+            for name, doubts in self._suspicions_by_upstream.items()
+            if any(now - at >= _REPORT_TIMEOUT for at in doubts.values())
         ]
 
     def clear_suspicions(self, upstream: str) -> None:
@@ -92,7 +96,7 @@
 
         :param upstream: who reported.
         """
-        self._doubts.pop(upstream, None)
+        self._suspicions_by_upstream.pop(upstream, None)
 
     def clear(self, fingerprint: str) -> None:
         """Drop all that speaks against a request: it has just been done.
@@ -103,9 +107,9 @@
         :param fingerprint: the request's.
         """
         if fingerprint:
-            self._lost_by_print.pop(fingerprint, None)
-            for doubts in self._doubts.values():
-                doubts.pop(fingerprint, None)
+            self._losses_by_fingerprint.pop(fingerprint, None)
+            for suspicions in self._suspicions_by_upstream.values():
+                suspicions.pop(fingerprint, None)
 
     def loss_count(
         self, fingerprint: str, now: clock.Ms, span: clock.Ms
@@ -118,7 +122,7 @@
         """
         if not fingerprint:
             return 0
-        lost = self._lost_by_print.get(fingerprint, {})
+        lost = self._losses_by_fingerprint.get(fingerprint, {})
         return sum(now - at < span for at in lost.values())
 
     def suspicion_count(self, fingerprint: str) -> int:
@@ -126,9 +130,12 @@
 
         :param fingerprint: the request's.
         """
-        if not fingerprint or not self._doubts:
+        if not fingerprint or not self._suspicions_by_upstream:
             return 0
-        return sum(fingerprint in seen for seen in self._doubts.values())
+        return sum(
+            fingerprint in seen
+            for seen in self._suspicions_by_upstream.values()
+        )
 
     def record_remote_loss(self, loss: Loss, now: clock.Ms) -> None:
         """Take in a loss that a peer saw.
@@ -144,12 +151,12 @@
         :param now: monotonic ms.
         :param span: how long a loss counts, in ms.
         """
-        for fingerprint in list(self._lost_by_print):
-            lost = self._lost_by_print[fingerprint]
+        for fingerprint in list(self._losses_by_fingerprint):
+            lost = self._losses_by_fingerprint[fingerprint]
             if all(now - at >= span for at in lost.values()):
-                del self._lost_by_print[fingerprint]
+                del self._losses_by_fingerprint[fingerprint]
         return tuple(
             Loss(fingerprint, upstream, now - at)
-            for fingerprint, lost in self._lost_by_print.items()
+            for fingerprint, lost in self._losses_by_fingerprint.items()
             for upstream, at in lost.items()
         )
--- a/src/citronvalve/policy/shift.py
+++ b/src/citronvalve/policy/datacentrestate.py
@@ -24,7 +24,7 @@
 
 #: What a returning data centre gets first from this daemon: enough to
 #: learn from, little enough to lose.
-_FIRST = 2
+_FIRST_BOUND = 2
 
 
 class DatacentreState:
@@ -43,21 +43,21 @@
         out = state is declared.ServiceState.OUT
         self.phase = Phase.OUT if out else Phase.IN
         self.running = 0
-        self._bound = _FIRST
-        self._most = 0
+        self._bound = _FIRST_BOUND
+        self._slots = 0
 
-    def declare(self, state: declared.ServiceState, most: int) -> bool:
+    def apply_state(self, state: declared.ServiceState, slots: int) -> bool:
         """Apply the table; return whether the data centre comes back.
 
         :param state: what the table says.
         :param most: slots there; once shown to be borne, the return ends.
         """
         old, self.phase = self.phase, _NEXT[self.phase, state]
-        self._most = most
-        comes_back = old is Phase.OUT and self.phase is Phase.RETURNING
-        if comes_back:
-            self._bound = _FIRST
-        return comes_back
+        self._slots = slots
+        is_returning = old is Phase.OUT and self.phase is Phase.RETURNING
+        if is_returning:
+            self._bound = _FIRST_BOUND
+        return is_returning
 
     @property
     def bound(self) -> float:
@@ -66,13 +66,13 @@
             return 0
         return self._bound if self.phase is Phase.RETURNING else float("inf")
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether one more request may go there."""
         return self.running < self.bound
 
-    def showed(self) -> None:
+    def record_on_time(self) -> None:
         """Count an answer that came in its expected time."""
         if self.phase is Phase.RETURNING:
             self._bound += 1
-            if self._bound >= self._most:
+            if self._bound >= self._slots:
                 self.phase = Phase.IN
--- a/src/citronvalve/policy/dispatcher.py
+++ b/src/citronvalve/policy/dispatcher.py
@@ -10,7 +10,7 @@
 from citronvalve.policy import crashfence
 from citronvalve.policy import decision
 from citronvalve.policy import fleet
-from citronvalve.policy import judge
+from citronvalve.policy import health
 from citronvalve.policy import limits
 from citronvalve.policy import outcome
 from citronvalve.policy import placement
@@ -46,7 +46,7 @@
     ) -> None:
         self.fleet = fleet.Fleet(home)
         self.limits = limits.Limits()
-        self.monitor = judge.HealthMonitor(self.fleet)
+        self.monitor = health.HealthMonitor(self.fleet)
         self._starter = starter.Starter(
             self.fleet,
             self.limits,
@@ -111,7 +111,7 @@
         """
         ended = self._starter.end(ticket, now)
         if ended is not None:
-            self.monitor.ended(ended, how, now)
+            self.monitor.record_end(ended, how, now)
             self._starter.refresh_upstream(ended, now)
             self._requests.handle_end(ended, how, now)
             for model in ended.candidate.upstream.serves:
@@ -135,7 +135,7 @@
         self.monitor.tick(now)
         self.fleet.tick(now)
         for late in self._starter.overdue(now):
-            self.monitor.overdue(late, now)
+            self.monitor.record_overdue(late, now)
             self._requests.hedge(late, now)
         self._requests.tick(now)
         return self._requests.take_decisions()
@@ -147,10 +147,10 @@
         :param now: monotonic ms.
         """
         self.fleet.observe(report, now)
-        self.monitor.observed(report.upstream, now)
+        self.monitor.handle_report(report.upstream, now)
 
     def accept_loan(
-        self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
+        self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
         """Take a loan of a cold upstream's slots.
 
@@ -159,7 +159,7 @@
         :param until: monotonic ms at which it ends.
         :param now: monotonic ms.
         """
-        self.fleet.accept_loan(upstream, slots, until, now)
+        self.fleet.accept_loan(upstream, slots, expires_at, now)
 
     def needed_loans(self, now: clock.Ms) -> tuple[fleet.LoanRequest, ...]:
         """Return the cold upstreams that this daemon needs loans of.
@@ -196,4 +196,4 @@
         :param loss: what it told.
         :param now: monotonic ms.
         """
-        self.monitor.learn(loss, now)
+        self.monitor.record_remote_loss(loss, now)
--- a/src/citronvalve/policy/enginepace.py
+++ b/src/citronvalve/policy/enginepace.py
@@ -29,7 +29,7 @@
         self._spec = spec
         self._pace = pace
 
-    def step_time(self, writers: int) -> float:
+    def step_time(self, decoding: int) -> float:
         """Return ms of one step.
 
         :param writers: requests that are writing.
@@ -42,7 +42,7 @@
             spec.step_time_per_request
             + spec.step_time_per_1k_context * context
         )
-        return self._pace * (spec.step_time + each * writers)
+        return self._pace * (spec.step_time + each * decoding)
 
     def prefill_time(self, prompt: int) -> float:
         """Return ms to read a prompt.
@@ -56,7 +56,7 @@
             + spec.prefill_time_per_million_pairs * pairs
         )
 
-    def event_gap(self, writers: int) -> float:
+    def event_gap(self, decoding: int) -> float:
         """Return ms between two events, with the usual prompts between.
 
         Each request that ends is followed by one that is read, so of each
@@ -65,9 +65,9 @@
         :param writers: requests that are writing.
         """
         spec = self._spec
-        steps = spec.steps_per_pass * self.step_time(writers)
+        steps = spec.steps_per_pass * self.step_time(decoding)
         passes = max(1.0, spec.typical_response_tokens / spec.steps_per_pass)
-        return steps + writers / passes * self.prefill_time(
+        return steps + decoding / passes * self.prefill_time(
             spec.typical_prompt_tokens
         )
 
@@ -83,11 +83,11 @@
         gap = self.event_gap(running)
         passes = max(1.0, spec.typical_response_tokens / spec.steps_per_pass)
         # Each place becomes free once in a usual answer's time.
-        freed_every = gap * passes / spec.slots
+        free_interval = gap * passes / spec.slots
         queue = max(0.0, load + 1 - spec.slots)
         # It comes in the middle of a pass, is read, and written by the next.
         first = (
-            0.5 * gap + self.prefill_time(prompt) + gap + queue * freed_every
+            0.5 * gap + self.prefill_time(prompt) + gap + queue * free_interval
         )
         events = max(1.0, answer / spec.steps_per_pass)
         return Forecast(first, gap, first + gap * (events - 1))
--- a/src/citronvalve/policy/fairshare.py
+++ b/src/citronvalve/policy/fairshare.py
@@ -14,7 +14,7 @@
     """
 
     deadline: clock.Ms
-    order: int
+    sequence: int
     request: str
     team: str
     cost: clock.Ms
@@ -24,12 +24,12 @@
 class _TeamQueue:
     """One team's work, and how much service it has had."""
 
-    __slots__ = ("by_deadline", "cost", "running", "virtual", "weight")
+    __slots__ = ("by_deadline", "cost", "running", "virtual_time", "weight")
 
     def __init__(self) -> None:
         self.by_deadline: list[QueuedRequest] = []
         self.cost = 0
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.running = 0
         self.weight = 1.0
 
@@ -47,8 +47,8 @@
     """
 
     def __init__(self) -> None:
-        self._line_by_team: dict[str, _TeamQueue] = {}
-        self._virtual = 0.0
+        self._queue_by_team: dict[str, _TeamQueue] = {}
+        self._virtual_time = 0.0
         self._size = 0
         self._cost = 0
 
@@ -65,21 +65,21 @@
 
         :param team: its name.
         """
-        line = self._line_by_team.get(team)
-        return line.by_deadline if line else ()
+        queue = self._queue_by_team.get(team)
+        return queue.by_deadline if queue else ()
 
     def push(self, item: QueuedRequest) -> None:
         """Add work.
 
         :param item: the work.
         """
-        line = self._line_by_team.setdefault(item.team, _TeamQueue())
-        if not line.by_deadline:
+        queue = self._queue_by_team.setdefault(item.team, _TeamQueue())
+        if not queue.by_deadline:
             # A team that was idle has no claim to the service it left to
             # others; with one it could take every slot for a while.
-            line.virtual = max(line.virtual, self._virtual)
-        bisect.insort(line.by_deadline, item)
-        line.cost += item.cost
+            queue.virtual_time = max(queue.virtual_time, self._virtual_time)
+        bisect.insort(queue.by_deadline, item)
+        queue.cost += item.cost
         self._size += 1
         self._cost += item.cost
 
@@ -88,18 +88,18 @@
 
         :param item: the work as it was pushed.
         """
-        line = self._line_by_team[item.team]
-        at = bisect.bisect_left(line.by_deadline, item)
-        del line.by_deadline[at]
-        line.cost -= item.cost
+        queue = self._queue_by_team[item.team]
+        position = bisect.bisect_left(queue.by_deadline, item)
+        del queue.by_deadline[position]
+        queue.cost -= item.cost
         self._size -= 1
         self._cost -= item.cost
 
     def teams_by_turn(self) -> list[str]:
         """Return the teams that wait, whose turn it is first."""
-        line_by_team = self._line_by_team
-        waiting = [t for t, n in line_by_team.items() if n.by_deadline]
-        return sorted(waiting, key=lambda t: _turn(line_by_team[t]))
+        queue_by_team = self._queue_by_team
+        waiting = [t for t, n in queue_by_team.items() if n.by_deadline]
+        return sorted(waiting, key=lambda t: _turn_key(queue_by_team[t]))
 
     def record_start(self, team: str, cost: clock.Ms, weight: float) -> None:
         """Count an attempt that starts.
@@ -108,25 +108,27 @@
         :param cost: its expected service time in ms.
         :param weight: the team's weight, above 0.
         """
-        line = self._line_by_team.setdefault(team, _TeamQueue())
-        begin = max(line.virtual, self._virtual if not line.cost else 0.0)
-        line.virtual = begin + cost / weight
-        line.weight = weight
-        line.running += 1
-        self._virtual = max(self._virtual, begin)
+        queue = self._queue_by_team.setdefault(team, _TeamQueue())
+        begin = max(
+            queue.virtual_time, self._virtual_time if not queue.cost else 0.0
+        )
+        queue.virtual_time = begin + cost / weight
+        queue.weight = weight
+        queue.running += 1
+        self._virtual_time = max(self._virtual_time, begin)
 
     def record_end(self, team: str) -> None:
         """Count an attempt that ended.
 
         :param team: whose it was.
         """
-        self._line_by_team[team].running -= 1
+        self._queue_by_team[team].running -= 1
 
     def items(self) -> collections.abc.Iterator[QueuedRequest]:
         """Yield all that waits, in no order that means anything."""
-        for line in self._line_by_team.values():
-            yield from line.by_deadline
+        for queue in self._queue_by_team.values():
+            yield from queue.by_deadline
 
 
-def _turn(line: _TeamQueue) -> tuple[float, float]:
-    return (line.running + 1) / line.weight, line.virtual
+def _turn_key(queue: _TeamQueue) -> tuple[float, float]:
+    return (queue.running + 1) / queue.weight, queue.virtual_time
--- a/src/citronvalve/policy/fleet.py
+++ b/src/citronvalve/policy/fleet.py
@@ -8,12 +8,12 @@
 from citronvalve.model import declared
 from citronvalve.model import load
 from citronvalve.policy import candidate
+from citronvalve.policy import datacentrestate
+from citronvalve.policy import freeslots
 from citronvalve.policy import limits
-from citronvalve.policy import room
-from citronvalve.policy import shift
 
 #: Ticks in which the whole fleet is looked at once.
-_TICKS_A_ROUND = 8
+_TICKS_PER_ROUND = 8
 
 _NO_SLOTS: collections.Counter = collections.Counter()
 
@@ -42,11 +42,13 @@
 
     def __init__(self, home: str) -> None:
         self.candidate_by_name: dict[str, candidate.Candidate] = {}
-        self.index_by_model: dict[str, room.FreeSlotIndex] = {}
-        self.state_by_datacentre: dict[str, shift.DatacentreState] = {}
+        self.index_by_model: dict[str, freeslots.FreeSlotIndex] = {}
+        self.state_by_datacentre: dict[
+            str, datacentrestate.DatacentreState
+        ] = {}
         self._home = home
         self._share = limits.Share(0, 1)
-        self._looked_at = 0
+        self._next_index = 0
         self._slots_by_model: dict[str, collections.Counter] = {}
 
     def set_share(self, share: limits.Share, now: clock.Ms) -> None:
@@ -56,7 +58,7 @@
         :param now: monotonic ms.
         """
         self._share = share
-        self._refresh(self.candidate_by_name.values(), now)
+        self._refresh_all(self.candidate_by_name.values(), now)
 
     def apply_table(
         self,
@@ -70,18 +72,18 @@
         :param grouped: upstreams of replica groups.
         :param now: monotonic ms.
         """
-        made = {upstream.name: upstream for upstream in grouped}
-        wanted = {**table.upstream_by_name, **made}
-        for name in self.candidate_by_name.keys() - wanted.keys():
+        grouped_by_name = {upstream.name: upstream for upstream in grouped}
+        upstream_by_name = {**table.upstream_by_name, **grouped_by_name}
+        for name in self.candidate_by_name.keys() - upstream_by_name.keys():
             self._remove(self.candidate_by_name.pop(name))
-        back = self._declare_places(table, wanted)
-        for upstream in wanted.values():
-            self._declare_one(table, upstream)
+        returning = self._apply_datacentres(table, upstream_by_name)
+        for upstream in upstream_by_name.values():
+            self._apply_upstream(table, upstream)
         for item in self.candidate_by_name.values():
-            if item.upstream.datacentre in back:
+            if item.upstream.datacentre in returning:
                 # What its engines had cached is old or gone.
                 item.ramp.mark_cold(now)
-        self._refresh(self.candidate_by_name.values(), now)
+        self._refresh_all(self.candidate_by_name.values(), now)
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
         """Take in a load report; one of an unknown upstream is dropped.
@@ -95,7 +97,7 @@
             self.refresh(item, now)
 
     def accept_loan(
-        self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
+        self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
         """Take a loan of a cold upstream's slots.
 
@@ -106,7 +108,7 @@
         """
         item = self.candidate_by_name.get(upstream)
         if item is not None:
-            item.loan = candidate.Loan(slots, until)
+            item.loan = candidate.Loan(slots, expires_at)
             self.refresh(item, now)
 
     def tick(self, now: clock.Ms) -> None:
@@ -119,12 +121,12 @@
         :param now: monotonic ms.
         """
         names = list(self.candidate_by_name)
-        part = len(names) // _TICKS_A_ROUND + 1
-        for at in range(self._looked_at, self._looked_at + part):
+        count = len(names) // _TICKS_PER_ROUND + 1
+        for index in range(self._next_index, self._next_index + count):
             if names:
-                name = names[at % len(names)]
+                name = names[index % len(names)]
                 self.refresh(self.candidate_by_name[name], now)
-        self._looked_at = (self._looked_at + part) % max(1, len(names))
+        self._next_index = (self._next_index + count) % max(1, len(names))
 
     def refresh(self, item: candidate.Candidate, now: clock.Ms) -> None:
         """Work out what an upstream may get, after any change of it.
@@ -171,13 +173,13 @@
         """
         counts: collections.Counter = collections.Counter()
         for item in self.serving(model):
-            bar = item.block_reason(now)
+            reason = item.block_reason(now)
             cold = "it is cold, and no slots of it are lent to this daemon"
             full = "it bears no more"
-            open_ = cold if item.ramp.is_cold(now) else full
-            counts[bar.value if bar else open_] += 1
-        told = (f"{many} since {why}" for why, many in counts.items())
-        return "; ".join(told) or "none is declared"
+            not_blocked = cold if item.ramp.is_cold(now) else full
+            counts[reason.value if reason else not_blocked] += 1
+        parts = (f"{many} since {why}" for why, many in counts.items())
+        return "; ".join(parts) or "none is declared"
 
     def start_id(self, upstream: str) -> str:
         """Return the start of an upstream that was seen last.
@@ -218,7 +220,7 @@
             return 0
         return item.upstream.slots
 
-    def _refresh(
+    def _refresh_all(
         self,
         items: collections.abc.Iterable[candidate.Candidate],
         now: clock.Ms,
@@ -226,49 +228,51 @@
         for item in items:
             self.refresh(item, now)
 
-    def _declare_places(
+    def _apply_datacentres(
         self,
         table: declared.Declared,
-        wanted: dict[str, declared.Upstream],
+        upstream_by_name: dict[str, declared.Upstream],
     ) -> set[str]:
-        most = collections.Counter()
-        for upstream in wanted.values():
-            most[upstream.datacentre] += upstream.slots
-        back = set()
+        slots = collections.Counter()
+        for upstream in upstream_by_name.values():
+            slots[upstream.datacentre] += upstream.slots
+        returning = set()
         for name, row in table.datacentre_by_name.items():
-            place = self.state_by_datacentre.get(name)
-            if place is None:
-                place = shift.DatacentreState(row.state)
-                self.state_by_datacentre[name] = place
-            if place.declare(row.state, most[name] // self._share.members):
-                back.add(name)
-        return back
-
-    def _declare_one(
+            state = self.state_by_datacentre.get(name)
+            if state is None:
+                state = datacentrestate.DatacentreState(row.state)
+                self.state_by_datacentre[name] = state
+            if state.apply_state(
+                row.state, slots[name] // self._share.members
+            ):
+                returning.add(name)
+        return returning
+
+    def _apply_upstream(
         self,
         table: declared.Declared,
         upstream: declared.Upstream,
     ) -> None:
         old = self.candidate_by_name.get(upstream.name)
-        if old is not None and _is_same_place(old, upstream):
+        if old is not None and _is_same_upstream(old, upstream):
             old.update_upstream(upstream)
             return
         if old is not None:
             self._remove(old)
-        place = self.state_by_datacentre.setdefault(
+        state = self.state_by_datacentre.setdefault(
             upstream.datacentre,
-            shift.DatacentreState(declared.ServiceState.OUT),
+            datacentrestate.DatacentreState(declared.ServiceState.OUT),
         )
         tier = self._tier(table, upstream.datacentre)
-        item = candidate.Candidate(upstream, place, tier)
+        item = candidate.Candidate(upstream, state, tier)
         self.candidate_by_name[upstream.name] = item
         for model in upstream.serves:
-            self.index_by_model.setdefault(model, room.FreeSlotIndex())
+            self.index_by_model.setdefault(model, freeslots.FreeSlotIndex())
             self._slots_by_model.setdefault(model, collections.Counter())
 
     def _remove(self, item: candidate.Candidate) -> None:
         for model in item.upstream.serves:
-            self.index_by_model[model].drop(item)
+            self.index_by_model[model].remove(item)
             slots = self._slots_by_model[model]
             slots[item.upstream.datacentre] -= item.allowance
         item.allowance = 0
@@ -282,13 +286,13 @@
         return 1 if near else 2
 
 
-def _is_same_place(
+def _is_same_upstream(
     old: candidate.Candidate, upstream: declared.Upstream
 ) -> bool:
     # An upstream at another address or with other models is another one:
     # what is known of the old one says nothing about it.
-    now = old.upstream
-    return (now.address, now.datacentre, now.serves) == (
+    current = old.upstream
+    return (current.address, current.datacentre, current.serves) == (
         upstream.address,
         upstream.datacentre,
         upstream.serves,
--- a/src/citronvalve/policy/room.py
+++ b/src/citronvalve/policy/freeslots.py
@@ -16,34 +16,34 @@
     """
 
     def __init__(self) -> None:
-        self._names: tuple[list[candidate.Candidate], ...]
-        self._names = tuple([] for _ in range(TIERS))
-        self._at_by_name: dict[str, int] = {}
+        self._items_by_tier: tuple[list[candidate.Candidate], ...]
+        self._items_by_tier = tuple([] for _ in range(TIERS))
+        self._position_by_name: dict[str, int] = {}
 
     def add(self, item: candidate.Candidate) -> None:
         """Put in an upstream that has room; it may be there already.
 
         :param item: the upstream.
         """
-        if item.name in self._at_by_name:
+        if item.name in self._position_by_name:
             return
-        tier = self._names[item.tier]
-        self._at_by_name[item.name] = len(tier)
+        tier = self._items_by_tier[item.tier]
+        self._position_by_name[item.name] = len(tier)
         tier.append(item)
 
-    def drop(self, item: candidate.Candidate) -> None:
+    def remove(self, item: candidate.Candidate) -> None:
         """Take out an upstream, if it is there.
 
         :param item: the upstream.
         """
-        at = self._at_by_name.pop(item.name, None)
-        if at is None:
+        position = self._position_by_name.pop(item.name, None)
+        if position is None:
             return
-        tier = self._names[item.tier]
+        tier = self._items_by_tier[item.tier]
         last = tier.pop()
         if last is not item:
-            tier[at] = last
-            self._at_by_name[last.name] = at
+            tier[position] = last
+            self._position_by_name[last.name] = position
 
     def draw(
         self, tier: int, rng: random.Random
@@ -53,18 +53,18 @@
         :param tier: the tier to draw from.
         :param rng: source of chance.
         """
-        items = self._names[tier]
+        items = self._items_by_tier[tier]
         while items:
             # Faster than choice(), and as even for so few.
             item = items[int(rng.random() * len(items))]
             if item.has_free_slot():
                 return item
-            self.drop(item)
+            self.remove(item)
         return None
 
-    def all(self, tier: int) -> list[candidate.Candidate]:
+    def in_tier(self, tier: int) -> list[candidate.Candidate]:
         """Return all that may have room.
 
         :param tier: the tier to list.
         """
-        return self._names[tier]
+        return self._items_by_tier[tier]
--- a/src/citronvalve/policy/judge.py
+++ b/src/citronvalve/policy/health.py
@@ -14,11 +14,11 @@
 
 #: An answer within this many times its expected time shows that a
 #: returning data centre bears what it has.
-_IN_TIME = 2.0
+_ON_TIME_RATIO = 2.0
 
 #: Two tellings of one loss differ by no more than this; a ramp restarted by
 #: each of them would never end.
-_SAME_LOSS: clock.Ms = 2_000
+_SAME_LOSS_WINDOW: clock.Ms = 2_000
 
 
 class HealthMonitor:
@@ -28,13 +28,13 @@
     """
 
     def __init__(self, upstreams: fleet.Fleet) -> None:
-        self.estimate = estimate.Estimator()
+        self.estimator = estimate.Estimator()
         self.affinity = affinity.Affinity()
         self.fence = crashfence.CrashFence()
         self.switches = declared.Switches()
         self._fleet = upstreams
 
-    def ended(
+    def record_end(
         self, ended: attempt.Attempt, how: outcome.Outcome, now: clock.Ms
     ) -> None:
         """Take in an attempt that ended.
@@ -44,15 +44,15 @@
         :param now: monotonic ms.
         """
         if how is outcome.Outcome.DONE:
-            self._answered(ended, now)
+            self._record_success(ended, now)
         elif how is outcome.Outcome.CANCELLED:
-            self._stopped(ended, now)
+            self._record_cancelled(ended, now)
         elif how is outcome.Outcome.BUSY:
             ended.candidate.record_busy()
-        elif outcome.TRAITS_BY_OUTCOME[how].fails:
-            self._failed(ended, how, now)
+        elif outcome.TRAITS_BY_OUTCOME[how].is_failure:
+            self._record_failure(ended, how, now)
 
-    def overdue(self, late: attempt.Attempt, now: clock.Ms) -> None:
+    def record_overdue(self, late: attempt.Attempt, now: clock.Ms) -> None:
         """Take in an attempt that should have ended long ago.
 
         An upstream that is ten times slower would else be found only after
@@ -61,9 +61,9 @@
         :param late: the attempt.
         :param now: monotonic ms.
         """
-        self._pace(late, now)
+        self._update_latency(late, now)
 
-    def observed(self, upstream: str, now: clock.Ms) -> None:
+    def handle_report(self, upstream: str, now: clock.Ms) -> None:
         """Look at an upstream whose newest report was taken in.
 
         :param upstream: its name.
@@ -79,7 +79,7 @@
         elif target.report.measured_at > target.connection_broke_at:
             self.fence.clear_suspicions(upstream)
 
-    def learn(self, loss: crashfence.Loss, now: clock.Ms) -> None:
+    def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
         """Take in a loss that a peer saw.
 
         Made for the daemons that had nothing on the lost upstream: their
@@ -92,48 +92,52 @@
         self.fence.record_remote_loss(loss, now)
         target = self._fleet.candidate_by_name.get(loss.upstream)
         lost_at = now - loss.age
-        if target is not None and target.lost_at + _SAME_LOSS < lost_at:
+        if target is not None and target.lost_at + _SAME_LOSS_WINDOW < lost_at:
             target.record_loss(lost_at)
             self._fleet.refresh(target, now)
 
-    def _answered(self, ended: attempt.Attempt, now: clock.Ms) -> None:
+    def _record_success(self, ended: attempt.Attempt, now: clock.Ms) -> None:
         item, target = ended.entry.work, ended.candidate
-        took = now - ended.started
+        elapsed = now - ended.started
         target.circuit.record_success()
         self.fence.clear(item.fingerprint)
-        if took <= _IN_TIME * ended.entry.expected.mean:
-            target.datacentre.showed()
-        self._pace(ended, now)
-        self.estimate.learn(item, took, now)
+        if elapsed <= _ON_TIME_RATIO * ended.entry.expected.mean:
+            target.datacentre.record_on_time()
+        self._update_latency(ended, now)
+        self.estimator.record(item, elapsed, now)
         for prefix in item.prefixes:
             self.affinity.add(prefix, target.name, now)
 
-    def _stopped(self, ended: attempt.Attempt, now: clock.Ms) -> None:
+    def _record_cancelled(self, ended: attempt.Attempt, now: clock.Ms) -> None:
         # It would have taken longer still.  Without this a size of work
         # that always runs into its deadline would never be learned of.
-        took = now - ended.started
-        if took > ended.entry.expected.mean:
-            self.estimate.learn(ended.entry.work, took, now)
+        elapsed = now - ended.started
+        if elapsed > ended.entry.expected.mean:
+            self.estimator.record(ended.entry.work, elapsed, now)
 
-    def _failed(
+    def _record_failure(
         self, ended: attempt.Attempt, how: outcome.Outcome, now: clock.Ms
     ) -> None:
         target = ended.candidate
-        print_ = ended.entry.work.fingerprint
+        fingerprint = ended.entry.work.fingerprint
         if how is outcome.Outcome.CRASHED:
-            self.fence.record_loss(print_, target.name, now)
-            self._lost(target, now)
+            self.fence.record_loss(fingerprint, target.name, now)
+            self._record_loss(target, now)
         elif how is outcome.Outcome.BROKEN:
             target.connection_broke_at = now
-            self.fence.suspect(print_, target.name, now)
+            self.fence.suspect(fingerprint, target.name, now)
         elif how is outcome.Outcome.NOT_RUN:
-            self._confirm(target, now)
-        meaning = outcome.TRAITS_BY_OUTCOME[how]
+            self._confirm_loss(target, now)
+        traits = outcome.TRAITS_BY_OUTCOME[how]
         unreachable = how is outcome.Outcome.NOT_RUN
         # The floor is for upstreams that still answer something.  One that
         # can't be reached bears nothing, however many others are gone.
-        if meaning.fatal or unreachable or self._may_lose(target, now):
-            target.circuit.record_failure(now, meaning.fatal)
+        if (
+            traits.is_fatal
+            or unreachable
+            or self._may_open_circuit(target, now)
+        ):
+            target.circuit.record_failure(now, traits.is_fatal)
 
     def tick(self, now: clock.Ms) -> None:
         """Take upstreams for dead that have been silent for too long.
@@ -144,7 +148,7 @@
             target = self._fleet.candidate_by_name.get(name)
             self.fence.confirm_loss(name, now)
             if target is not None:
-                self._lost(target, now)
+                self._record_loss(target, now)
 
     def is_fenced(self, fingerprint: str, now: clock.Ms) -> bool:
         """Tell whether a request has cost too many upstreams.
@@ -171,43 +175,55 @@
         :param fingerprint: the request's.
         :param now: monotonic ms.
         """
-        doubts = self.fence.suspicion_count(fingerprint)
-        if not doubts:
+        suspicions = self.fence.suspicion_count(fingerprint)
+        if not suspicions:
             return False
         lost = self.fence.loss_count(fingerprint, now, self.switches.fence_for)
-        return lost + doubts >= self.switches.crashes_to_fence
+        return lost + suspicions >= self.switches.crashes_to_fence
 
-    def _confirm(self, target: candidate.Candidate, now: clock.Ms) -> None:
+    def _confirm_loss(
+        self, target: candidate.Candidate, now: clock.Ms
+    ) -> None:
         if self.fence.confirm_loss(target.name, now):
-            self._lost(target, now)
+            self._record_loss(target, now)
 
-    def _lost(self, target: candidate.Candidate, now: clock.Ms) -> None:
+    def _record_loss(self, target: candidate.Candidate, now: clock.Ms) -> None:
         self.affinity.drop_upstream(target.name)
         # It comes back cold, and may do so before its next report: from
         # here on it gets only what its keeper lends.
         target.record_loss(now)
 
-    def _pace(self, seen: attempt.Attempt, now: clock.Ms) -> None:
-        pace = seen.candidate.latency_ratio
-        pace.add((now - seen.started) / seen.entry.expected.mean)
-        if not pace.is_slow():
+    def _update_latency(
+        self, observed: attempt.Attempt, now: clock.Ms
+    ) -> None:
+        ratio = observed.candidate.latency_ratio
+        ratio.record((now - observed.started) / observed.entry.expected.mean)
+        if not ratio.is_slow():
             return
-        paces = [item.latency_ratio for item in self._peers(seen.candidate)]
+        ratios = [
+            item.latency_ratio
+            for item in self._serving_same_model(observed.candidate)
+        ]
         share = self.switches.eject_share
-        if outlier.may_eject(pace, paces, share, now):
-            pace.eject(now)
+        if outlier.may_eject(ratio, ratios, share, now):
+            ratio.eject(now)
             # A jump may also be a cold start that nobody told of.
-            seen.candidate.ramp.mark_cold(now)
+            observed.candidate.ramp.mark_cold(now)
 
-    def _may_lose(self, target: candidate.Candidate, now: clock.Ms) -> bool:
-        peers = self._peers(target)
+    def _may_open_circuit(
+        self, target: candidate.Candidate, now: clock.Ms
+    ) -> bool:
+        peers = self._serving_same_model(target)
         closed = circuit.State.CLOSED
-        out = sum(
-            item.circuit.state is not closed or now < item.latency_ratio.until
+        unavailable = sum(
+            item.circuit.state is not closed
+            or now < item.latency_ratio.ejected_until
             for item in peers
             if item is not target
         )
-        return out + 1 <= self.switches.eject_share * len(peers)
+        return unavailable + 1 <= self.switches.eject_share * len(peers)
 
-    def _peers(self, target: candidate.Candidate) -> list[candidate.Candidate]:
+    def _serving_same_model(
+        self, target: candidate.Candidate
+    ) -> list[candidate.Candidate]:
         return self._fleet.serving(target.upstream.serves[0])
--- a/src/citronvalve/policy/limits.py
+++ b/src/citronvalve/policy/limits.py
@@ -32,7 +32,7 @@
 
 class _Loan(NamedTuple):
     slots: int
-    until: clock.Ms
+    expires_at: clock.Ms
 
 
 class Limits:
@@ -65,14 +65,14 @@
         """
         self._share = share
 
-    def accept_loan(self, key: Key, slots: int, until: clock.Ms) -> None:
+    def accept_loan(self, key: Key, slots: int, expires_at: clock.Ms) -> None:
         """Take a loan, in place of the fixed part.
 
         :param key: which limit.
         :param slots: requests in progress that it allows here.
         :param until: monotonic ms at which it ends.
         """
-        self._loan_by_key[key] = _Loan(slots, until)
+        self._loan_by_key[key] = _Loan(slots, expires_at)
 
     def allowed(self, key: Key, now: clock.Ms) -> float:
         """Return the requests that may be in progress here.
@@ -84,7 +84,7 @@
         if limit is None:
             return float("inf")
         loan = self._loan_by_key.get(key)
-        if loan is not None and now < loan.until:
+        if loan is not None and now < loan.expires_at:
             return min(loan.slots, limit.slots)
         return self._share.of(limit.slots)
 
--- a/src/citronvalve/policy/outcome.py
+++ b/src/citronvalve/policy/outcome.py
@@ -37,20 +37,20 @@
     """
 
     ran: ran.Ran
-    fails: bool
-    fatal: bool = False
+    is_failure: bool
+    is_fatal: bool = False
 
 
 TRAITS_BY_OUTCOME: dict[Outcome, Traits] = {
-    Outcome.DONE: Traits(ran.Ran.YES, fails=False),
-    Outcome.NOT_RUN: Traits(ran.Ran.NO, fails=True),
-    Outcome.BUSY: Traits(ran.Ran.NO, fails=False),
-    Outcome.BROKEN: Traits(ran.Ran.UNKNOWN, fails=True),
-    Outcome.SILENT: Traits(ran.Ran.UNKNOWN, fails=True),
-    Outcome.WRONG: Traits(ran.Ran.UNKNOWN, fails=True),
-    Outcome.DIVERGED: Traits(ran.Ran.UNKNOWN, fails=True),
-    Outcome.CRASHED: Traits(ran.Ran.UNKNOWN, fails=True, fatal=True),
-    Outcome.CANCELLED: Traits(ran.Ran.UNKNOWN, fails=False),
+    Outcome.DONE: Traits(ran.Ran.YES, is_failure=False),
+    Outcome.NOT_RUN: Traits(ran.Ran.NO, is_failure=True),
+    Outcome.BUSY: Traits(ran.Ran.NO, is_failure=False),
+    Outcome.BROKEN: Traits(ran.Ran.UNKNOWN, is_failure=True),
+    Outcome.SILENT: Traits(ran.Ran.UNKNOWN, is_failure=True),
+    Outcome.WRONG: Traits(ran.Ran.UNKNOWN, is_failure=True),
+    Outcome.DIVERGED: Traits(ran.Ran.UNKNOWN, is_failure=True),
+    Outcome.CRASHED: Traits(ran.Ran.UNKNOWN, is_failure=True, is_fatal=True),
+    Outcome.CANCELLED: Traits(ran.Ran.UNKNOWN, is_failure=False),
 }
 
 #: Outcomes after which the caller still waits for an answer.
--- a/src/citronvalve/policy/placement.py
+++ b/src/citronvalve/policy/placement.py
@@ -7,18 +7,18 @@
 
 from citronvalve.model import clock
 from citronvalve.policy import candidate
-from citronvalve.policy import room
+from citronvalve.policy import freeslots
 
 #: Draws in one tier before all of it is looked through; only upstreams
 #: that this request may not use make a draw fail.
-_DRAWS = 6
+_MAX_DRAWS = 6
 
 #: Likely holders of the prompt's prefix that are weighed as well.
-_HOLDERS = 2
+_MAX_HOLDERS = 2
 
 #: Time in ms to read one token of a prompt that is not cached: what a
 #: wrong guess costs, so it only has to be of the right size.
-_READ = 0.1
+_PREFILL_MS_PER_TOKEN = 0.1
 
 
 #: Times in ms there and back, by tier, until they are measured: the data
@@ -35,7 +35,7 @@
     """
 
     allows: collections.abc.Callable[[candidate.Candidate], bool]
-    belief_by_name: dict[str, float]
+    cache_probability_by_name: dict[str, float]
     prompt_tokens: int
     service: clock.Ms
 
@@ -46,9 +46,9 @@
     @abc.abstractmethod
     def pick(
         self,
-        index: room.FreeSlotIndex,
+        index: freeslots.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: PlacementRequest,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         """Return an upstream with room, or None.
@@ -61,7 +61,7 @@
 
 
 def placement_cost(
-    item: candidate.Candidate, wish: PlacementRequest, distance: clock.Ms
+    item: candidate.Candidate, request: PlacementRequest, round_trip: clock.Ms
 ) -> float:
     """Return what an upstream would cost the caller, as ms.
 
@@ -75,9 +75,13 @@
     """
     upstream = item.upstream
     load = (item.running + 1) / (upstream.slots * upstream.weight)
-    belief = wish.belief_by_name.get(item.name, 0.0)
-    reading = wish.prompt_tokens * _READ * (1.0 - belief)
-    return load * wish.service + reading + distance
+    cache_probability = request.cache_probability_by_name.get(item.name, 0.0)
+    prefill = (
+        request.prompt_tokens
+        * _PREFILL_MS_PER_TOKEN
+        * (1.0 - cache_probability)
+    )
+    return load * request.service + prefill + round_trip
 
 
 class TwoChoices(Placement):
@@ -90,50 +94,52 @@
     :param distance_by_tier: ms there and back, by tier.
     """
 
-    def __init__(self, distance_by_tier: tuple[clock.Ms, ...]) -> None:
-        self._distance_by_tier = distance_by_tier
+    def __init__(self, round_trip_by_tier: tuple[clock.Ms, ...]) -> None:
+        self._round_trip_by_tier = round_trip_by_tier
 
     def pick(
         self,
-        index: room.FreeSlotIndex,
+        index: freeslots.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: PlacementRequest,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
         """Return the cheapest of a few, or None when nobody has room."""
         drawn: list[candidate.Candidate] = []
-        for tier in range(room.TIERS):
-            drawn = self._draw(index, tier, wish, rng)
+        for tier in range(freeslots.TIERS):
+            drawn = self._draw(index, tier, request, rng)
             if drawn:
                 break
         likely = [
             item
             for item in holders
-            if item.has_free_slot() and wish.allows(item)
+            if item.has_free_slot() and request.allows(item)
         ]
-        drawn += likely[:_HOLDERS]
+        drawn += likely[:_MAX_HOLDERS]
         if not drawn:
             return None
-        return min(drawn, key=lambda item: self._price(item, wish))
+        return min(drawn, key=lambda item: self._cost(item, request))
 
-    def _price(
-        self, item: candidate.Candidate, wish: PlacementRequest
+    def _cost(
+        self, item: candidate.Candidate, request: PlacementRequest
     ) -> float:
-        return placement_cost(item, wish, self._distance_by_tier[item.tier])
+        return placement_cost(
+            item, request, self._round_trip_by_tier[item.tier]
+        )
 
     def _draw(
         self,
-        index: room.FreeSlotIndex,
+        index: freeslots.FreeSlotIndex,
         tier: int,
-        wish: PlacementRequest,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> list[candidate.Candidate]:
         found: list[candidate.Candidate] = []
-        for _ in range(_DRAWS):
+        for _ in range(_MAX_DRAWS):
             item = index.draw(tier, rng)
             if item is None:
                 return found
-            if wish.allows(item):
+            if request.allows(item):
                 found.append(item)
             if len(found) == 2:
                 return found
@@ -143,6 +149,6 @@
         # since "nobody has room" would be told to the caller.
         return [
             item
-            for item in index.all(tier)
-            if item.has_free_slot() and wish.allows(item)
+            for item in index.in_tier(tier)
+            if item.has_free_slot() and request.allows(item)
         ]
--- a/src/citronvalve/policy/ramp.py
+++ b/src/citronvalve/policy/ramp.py
@@ -19,8 +19,8 @@
     def __init__(self, upstream: declared.Upstream) -> None:
         self.upstream = upstream
         self._start_id = ""
-        self._bears = 0
-        self._since: clock.Ms | None = None
+        self._capacity = 0
+        self._cold_since: clock.Ms | None = None
 
     def observe(self, report: load.LoadReport) -> None:
         """Take in a report and notice a new start.
@@ -28,9 +28,9 @@
         :param report: the newest report of this upstream.
         """
         if self._is_new_start(report):
-            self._since = report.measured_at
+            self._cold_since = report.measured_at
         self._start_id = report.start_id
-        self._bears = report.capacity
+        self._capacity = report.capacity
 
     def mark_cold(self, now: clock.Ms) -> None:
         """Take the upstream for cold, though it did not say so.
@@ -40,19 +40,19 @@
 
         :param now: monotonic ms.
         """
-        self._since = now
+        self._cold_since = now
 
     def is_cold(self, now: clock.Ms) -> bool:
         """Tell whether work needs a loan.
 
         :param now: monotonic ms.
         """
-        if self._since is None:
+        if self._cold_since is None:
             return False
-        ramped = now - self._since >= self.upstream.ramp
-        if ramped and self._bears >= self.upstream.slots:
-            self._since = None
-        return self._since is not None
+        ramped = now - self._cold_since >= self.upstream.ramp
+        if ramped and self._capacity >= self.upstream.slots:
+            self._cold_since = None
+        return self._cold_since is not None
 
     def bound(self, now: clock.Ms) -> int:
         """Return how many requests all daemons together may have there.
@@ -63,12 +63,12 @@
         :param now: monotonic ms.
         """
         if not self.is_cold(now):
-            return self._bears
+            return self._capacity
         cold = self.upstream.cold_slots
-        passed = min(now - self._since, self.upstream.ramp)
-        growth = (self.upstream.slots - cold) * passed
-        line = cold + growth // max(1, self.upstream.ramp)
-        return max(0, min(self._bears, line))
+        elapsed = min(now - self._cold_since, self.upstream.ramp)
+        growth = (self.upstream.slots - cold) * elapsed
+        ramped = cold + growth // max(1, self.upstream.ramp)
+        return max(0, min(self._capacity, ramped))
 
     def _is_new_start(self, report: load.LoadReport) -> bool:
         weak = report.capacity < self.upstream.slots
@@ -78,5 +78,5 @@
             return True
         # It fell back under the same start id: it now bears no more than a
         # cold one, and it bore more before.
-        fell = report.capacity <= self.upstream.cold_slots < self._bears
-        return weak and fell and self._since is None
+        fell = report.capacity <= self.upstream.cold_slots < self._capacity
+        return weak and fell and self._cold_since is None
--- a/src/citronvalve/policy/refusals.py
+++ b/src/citronvalve/policy/refusals.py
@@ -6,8 +6,8 @@
 from citronvalve.model import ran
 from citronvalve.model import refusal
 from citronvalve.policy import attempt
-from citronvalve.policy import comeback
 from citronvalve.policy import outcome
+from citronvalve.policy import retryafter
 
 _REMEDY_BY_KIND: dict[refusal.RefusalKind, str] = {
     refusal.RefusalKind.NO_TIME: "come back later, or allow more time",
@@ -55,7 +55,7 @@
             detail,
             _REMEDY_BY_KIND[kind],
             has_run,
-            comeback.retry_after(excess, self._rng),
+            retryafter.retry_after(excess, self._rng),
         )
 
     def late(
--- a/src/citronvalve/policy/retries.py
+++ b/src/citronvalve/policy/retries.py
@@ -11,11 +11,11 @@
 RESERVE = 10.0
 
 #: Refill of the reserve, in attempts a second.
-_REFILL = 2.0
+_REFILL_PER_SECOND = 2.0
 
 #: Most that idle time may save up.  When every upstream fails at once, more
 #: would let a long quiet spell pay for a storm of retries.
-_MOST_SAVED = 20.0
+_MAX_BALANCE = 20.0
 
 
 class AttemptBudget:
@@ -29,12 +29,12 @@
     """
 
     def __init__(self, name: str, invariants: invariant.Invariants) -> None:
-        self._promise = f"{name} stay within their share of first tries"
+        self._invariant = f"{name} stay within their share of first tries"
         self._invariants = invariants
-        self._saved = RESERVE
+        self._balance = RESERVE
         self._earned = RESERVE
         self._spent = 0
-        self._at: clock.Ms | None = None
+        self._refilled_at: clock.Ms | None = None
 
     def earn(self, share: float) -> None:
         """Count a first try.
@@ -42,7 +42,7 @@
         :param share: second attempts that it pays for.
         """
         self._earned += share
-        self._saved = min(self._saved + share, _MOST_SAVED)
+        self._balance = min(self._balance + share, _MAX_BALANCE)
 
     def spend(self, now: clock.Ms) -> bool:
         """Take one second attempt, or return False.
@@ -50,23 +50,25 @@
         :param now: monotonic ms.
         """
         self._refill(now)
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         self._spent += 1
         self._invariants.check(
-            self._promise,
+            self._invariant,
             self._spent <= self._earned,
             f"{self._spent} spent, {self._earned} earned",
         )
         return True
 
     def _refill(self, now: clock.Ms) -> None:
-        passed = 0 if self._at is None else now - self._at
-        self._at = now
-        due = min(_REFILL * passed / clock.SECOND, RESERVE - self._saved)
+        passed = 0 if self._refilled_at is None else now - self._refilled_at
+        self._refilled_at = now
+        due = min(
+            _REFILL_PER_SECOND * passed / clock.SECOND, RESERVE - self._balance
+        )
         if due > 0:
-            self._saved += due
+            self._balance += due
             self._earned += due
 
 
--- a/src/citronvalve/policy/comeback.py
+++ b/src/citronvalve/policy/retryafter.py
@@ -6,10 +6,10 @@
 
 #: Least time to stay away.  A caller told less comes back before anything
 #: has changed, and each return costs the system a refusal.
-_LEAST: clock.Ms = 500
+_MIN_DELAY: clock.Ms = 500
 
 #: Longest time.  Nothing is known of the load that far ahead.
-_LONGEST: clock.Ms = 30_000
+_MAX_DELAY: clock.Ms = 30_000
 
 
 def retry_after(excess: clock.Ms, rng: random.Random) -> clock.Ms:
@@ -22,5 +22,5 @@
     :param excess: ms by which the work would have been late.
     :param rng: source of chance.
     """
-    base = min(max(excess, _LEAST), _LONGEST)
+    base = min(max(excess, _MIN_DELAY), _MAX_DELAY)
     return round(base * rng.uniform(1, 3))
--- a/src/citronvalve/policy/repeatbudget.py
+++ b/src/citronvalve/policy/retrybudget.py
@@ -8,7 +8,7 @@
 #: Part of the declared budget that is used.  Daemons cut their windows at
 #: other moments than whoever checks them, and count a repeat when they send
 #: it, not when it arrives.
-_USED = 0.8
+_USABLE_SHARE = 0.8
 
 
 class RetryLimits(NamedTuple):
@@ -35,27 +35,27 @@
     :ivar terms: the same; share and slack may be replaced.
     """
 
-    def __init__(self, terms: RetryLimits) -> None:
-        self.terms = terms
-        self._requests = slidingcount.SlidingCount(terms.window)
-        self._repeats = slidingcount.SlidingCount(terms.window)
+    def __init__(self, limits: RetryLimits) -> None:
+        self.limits = limits
+        self._requests = slidingcount.SlidingCount(limits.window)
+        self._retries = slidingcount.SlidingCount(limits.window)
 
-    def requested(self, now: clock.Ms) -> None:
+    def record_request(self, now: clock.Ms) -> None:
         """Count a request of a caller.
 
         :param now: monotonic ms.
         """
         self._requests.add(now)
 
-    def holds(self, daemons: int, now: clock.Ms) -> bool:
+    def allows(self, daemons: int, now: clock.Ms) -> bool:
         """Tell whether the window holds one more repeat.
 
         :param daemons: how many share the slack.
         :param now: monotonic ms.
         """
-        earned = self.terms.share * self._requests.count(now)
-        slack = self.terms.slack / max(1, daemons)
-        return self._repeats.count(now) + 1 <= _USED * (earned + slack)
+        earned = self.limits.share * self._requests.count(now)
+        slack = self.limits.slack / max(1, daemons)
+        return self._retries.count(now) + 1 <= _USABLE_SHARE * (earned + slack)
 
     def spend(self, daemons: int, now: clock.Ms) -> bool:
         """Take one repeat, or return False when the window holds no more.
@@ -63,7 +63,7 @@
         :param daemons: how many share the slack.
         :param now: monotonic ms.
         """
-        if not self.holds(daemons, now):
+        if not self.allows(daemons, now):
             return False
-        self._repeats.add(now)
+        self._retries.add(now)
         return True
--- a/src/citronvalve/policy/slidingcount.py
+++ b/src/citronvalve/policy/slidingcount.py
@@ -11,24 +11,24 @@
     :param span: ms of the window.
     """
 
-    __slots__ = ("_moments", "_span")
+    __slots__ = ("_times", "_window")
 
-    def __init__(self, span: clock.Ms) -> None:
-        self._span = span
-        self._moments: collections.deque[clock.Ms] = collections.deque()
+    def __init__(self, window: clock.Ms) -> None:
+        self._window = window
+        self._times: collections.deque[clock.Ms] = collections.deque()
 
     def add(self, now: clock.Ms) -> None:
         """Count one.
 
         :param now: monotonic ms, never before an earlier one.
         """
-        self._moments.append(now)
+        self._times.append(now)
 
     def count(self, now: clock.Ms) -> int:
         """Return how many lie within the window that ends now.
 
         :param now: monotonic ms.
         """
-        while self._moments and self._moments[0] <= now - self._span:
-            self._moments.popleft()
-        return len(self._moments)
+        while self._times and self._times[0] <= now - self._window:
+            self._times.popleft()
+        return len(self._times)
--- a/src/citronvalve/policy/starter.py
+++ b/src/citronvalve/policy/starter.py
@@ -10,14 +10,14 @@
 from citronvalve.policy import candidate
 from citronvalve.policy import decision
 from citronvalve.policy import fleet
-from citronvalve.policy import judge
+from citronvalve.policy import freeslots
+from citronvalve.policy import health
 from citronvalve.policy import limits
 from citronvalve.policy import placement
-from citronvalve.policy import room
 
 #: An attempt is overdue after this many times its bound, and again after
 #: each doubling.
-_OVERDUE = 2
+_OVERDUE_RATIO = 2
 
 
 class Starter:
@@ -35,21 +35,23 @@
         self,
         upstreams: fleet.Fleet,
         caps: limits.Limits,
-        wise: judge.HealthMonitor,
+        monitor: health.HealthMonitor,
         chooser: placement.Placement,
         rng: random.Random,
         invariants: invariant.Invariants,
     ) -> None:
         self._fleet = upstreams
         self._limits = caps
-        self._judge = wise
+        self._monitor = monitor
         self._chooser = chooser
         self._rng = rng
         self._invariants = invariants
-        self._last: decision.Ticket = 0
+        self._last_ticket: decision.Ticket = 0
         self._attempt_by_ticket: dict[decision.Ticket, attempt.Attempt] = {}
-        self._running_by_print: collections.Counter = collections.Counter()
-        self._due: list[tuple[clock.Ms, decision.Ticket]] = []
+        self._running_by_fingerprint: collections.Counter = (
+            collections.Counter()
+        )
+        self._overdue_queue: list[tuple[clock.Ms, decision.Ticket]] = []
 
     def start(
         self, entry: attempt.Entry, now: clock.Ms, hedge: bool = False
@@ -64,17 +66,17 @@
         if target is None:
             return None
         self._assert_may_start(target, now)
-        self._count(entry, target, now)
-        begun = attempt.Attempt(
-            self._last, entry, target, now, hedge, entry.suspect
+        self._record_start(entry, target, now)
+        started = attempt.Attempt(
+            self._last_ticket, entry, target, now, hedge, entry.suspect
         )
-        self._attempt_by_ticket[self._last] = begun
-        entry.attempt_by_ticket[self._last] = begun
-        due = now + _OVERDUE * entry.expected.bound
-        heapq.heappush(self._due, (due, self._last))
+        self._attempt_by_ticket[self._last_ticket] = started
+        entry.attempt_by_ticket[self._last_ticket] = started
+        due = now + _OVERDUE_RATIO * entry.expected.bound
+        heapq.heappush(self._overdue_queue, (due, self._last_ticket))
         slack = entry.work.deadline - now - entry.expected.mean
         return decision.Start(
-            self._last,
+            self._last_ticket,
             entry.work,
             target.name,
             entry.attempts,
@@ -99,9 +101,9 @@
         target.datacentre.running -= 1
         target.suspects -= ended.suspect
         self._limits.release(_key(entry, target))
-        self._running_by_print[entry.work.fingerprint] -= 1
-        if not self._running_by_print[entry.work.fingerprint]:
-            del self._running_by_print[entry.work.fingerprint]
+        self._running_by_fingerprint[entry.work.fingerprint] -= 1
+        if not self._running_by_fingerprint[entry.work.fingerprint]:
+            del self._running_by_fingerprint[entry.work.fingerprint]
         return ended
 
     def refresh_upstream(self, ended: attempt.Attempt, now: clock.Ms) -> None:
@@ -120,13 +122,13 @@
         :param now: monotonic ms.
         """
         late = []
-        while self._due and self._due[0][0] <= now:
-            _, ticket = heapq.heappop(self._due)
-            seen = self._attempt_by_ticket.get(ticket)
-            if seen is not None:
-                again = now + max(1, now - seen.started)
-                heapq.heappush(self._due, (again, ticket))
-                late.append(seen)
+        while self._overdue_queue and self._overdue_queue[0][0] <= now:
+            _, ticket = heapq.heappop(self._overdue_queue)
+            running = self._attempt_by_ticket.get(ticket)
+            if running is not None:
+                next_due = now + max(1, now - running.started)
+                heapq.heappush(self._overdue_queue, (next_due, ticket))
+                late.append(running)
         return late
 
     def is_only_copy(self, fingerprint: str) -> bool:
@@ -134,29 +136,29 @@
 
         :param fingerprint: the request's.
         """
-        return not self._running_by_print[fingerprint]
+        return not self._running_by_fingerprint[fingerprint]
 
     def _place(
         self, entry: attempt.Entry, now: clock.Ms
     ) -> candidate.Candidate | None:
         item = entry.work
-        entry.suspect = self._judge.is_suspect(item.fingerprint, now)
+        entry.suspect = self._monitor.is_suspect(item.fingerprint, now)
         index = self._fleet.index_by_model.get(item.model)
         if index is None:
             return None
-        print_ = item.fingerprint
+        fingerprint = item.fingerprint
         # Two copies at once could cost two more upstreams before the first
         # is known to have cost one.  The second waits: most suspects turn
         # out to be harmless, and then all copies run.
-        if entry.suspect and not self.is_only_copy(print_):
+        if entry.suspect and not self.is_only_copy(fingerprint):
             return None
-        if self._judge.must_wait(print_, now):
+        if self._monitor.must_wait(fingerprint, now):
             return None
         chosen = self._pick(entry, index, entry.failed_upstreams, now)
         if (
             chosen is None
             and entry.failed_upstreams
-            and not self._elsewhere(entry, now)
+            and not self._has_alternative(entry, now)
         ):
             # The only one left may be better by now, and a broken
             # connection to it need not mean that the next one breaks.
@@ -166,23 +168,27 @@
     def _pick(
         self,
         entry: attempt.Entry,
-        index: room.FreeSlotIndex,
-        barred: set[str],
+        index: freeslots.FreeSlotIndex,
+        excluded: set[str],
         now: clock.Ms,
     ) -> candidate.Candidate | None:
-        belief = self._judge.affinity.holders(entry.work.prefixes, now)
+        cache_probability = self._monitor.affinity.holders(
+            entry.work.prefixes, now
+        )
         by_name = self._fleet.candidate_by_name
-        holders = sorted(belief, key=belief.__getitem__, reverse=True)
-        wish = placement.PlacementRequest(
-            lambda target: self._allows(entry, target, barred, now),
-            belief,
+        holders = sorted(
+            cache_probability, key=cache_probability.__getitem__, reverse=True
+        )
+        request = placement.PlacementRequest(
+            lambda target: self._allows(entry, target, excluded, now),
+            cache_probability,
             entry.work.prompt_tokens,
             entry.expected.mean,
         )
         likely = [by_name[name] for name in holders if name in by_name]
-        return self._chooser.pick(index, likely, wish, self._rng)
+        return self._chooser.pick(index, likely, request, self._rng)
 
-    def _elsewhere(self, entry: attempt.Entry, now: clock.Ms) -> bool:
+    def _has_alternative(self, entry: attempt.Entry, now: clock.Ms) -> bool:
         return any(
             item.name not in entry.failed_upstreams
             and item.block_reason(now) is None
@@ -193,13 +199,13 @@
         self,
         entry: attempt.Entry,
         target: candidate.Candidate,
-        barred: set[str],
+        excluded: set[str],
         now: clock.Ms,
     ) -> bool:
         # Time may have closed it since the last look: a loan or a group's
         # state ran out.
         self._fleet.refresh(target, now)
-        if not target.has_free_slot() or target.name in barred:
+        if not target.has_free_slot() or target.name in excluded:
             return False
         if entry.work.model not in target.upstream.serves:
             return False
@@ -212,11 +218,11 @@
     def _assert_may_start(
         self, target: candidate.Candidate, now: clock.Ms
     ) -> None:
-        bar = target.block_reason(now)
+        reason = target.block_reason(now)
         self._invariants.check(
             "work goes only to upstreams that are in service and whole",
-            bar is None,
-            f"{target.name}: {bar.value if bar else ''}",
+            reason is None,
+            f"{target.name}: {reason.value if reason else ''}",
         )
         if target.ramp.is_cold(now):
             self._invariants.check(
@@ -226,16 +232,16 @@
                 f"{target.name}: {target.own} there, {target.loan}",
             )
 
-    def _count(
+    def _record_start(
         self, entry: attempt.Entry, target: candidate.Candidate, now: clock.Ms
     ) -> None:
-        self._last += 1
+        self._last_ticket += 1
         entry.attempts += 1
         target.record_start(now)
         target.datacentre.running += 1
         target.suspects += entry.suspect
         self._limits.acquire(_key(entry, target))
-        self._running_by_print[entry.work.fingerprint] += 1
+        self._running_by_fingerprint[entry.work.fingerprint] += 1
 
 
 def _key(entry: attempt.Entry, target: candidate.Candidate) -> limits.Key:
--- a/src/citronvalve/policy/upstreamchoice.py
+++ b/src/citronvalve/policy/upstreamchoice.py
@@ -15,7 +15,7 @@
 
 #: An upstream of another data centre is taken when it is this many ms
 #: better: bytes between data centres are paid for, and a cut takes it away.
-_FAR = 40.0
+_REMOTE_PENALTY = 40.0
 
 
 class Candidate(NamedTuple):
@@ -73,13 +73,13 @@
 
         :param upstream: its id.
         """
-        held = self.load_by_upstream.get(upstream)
-        if held is None:
-            held = upstreamload.UpstreamLoad()
-            self.load_by_upstream[upstream] = held
-        return held
+        upstream_load = self.load_by_upstream.get(upstream)
+        if upstream_load is None:
+            upstream_load = upstreamload.UpstreamLoad()
+            self.load_by_upstream[upstream] = upstream_load
+        return upstream_load
 
-    def forget(self, upstreams: set[str]) -> None:
+    def retain(self, upstreams: set[str]) -> None:
         """Drop upstreams that are gone and have no request of ours.
 
         :param upstreams: the ids that are still there.
@@ -101,9 +101,9 @@
     :param chance: breaks ties.
     """
 
-    def __init__(self, book: LoadTable, chance: random.Random) -> None:
-        self._book = book
-        self._chance = chance
+    def __init__(self, loads: LoadTable, rng: random.Random) -> None:
+        self._loads = loads
+        self._rng = rng
 
     def choose(
         self,
@@ -123,31 +123,33 @@
         earliest = 0.0
         count = 0
         for candidate in candidates:
-            held = self._book.of(candidate.upstream)
-            held.circuit.tick(now)
-            if held.avoid_until > now or _is_shut(held):
+            load = self._loads.of(candidate.upstream)
+            load.circuit.tick(now)
+            if load.avoid_until > now or _is_unavailable(load):
                 continue
             count += 1
-            seen = pace.forecast(
-                held.total_on_time(now), job.prompt, job.answer
+            forecast = pace.forecast(
+                load.total_on_time(now), job.prompt, job.answer
             )
-            first = seen.first + 2 * candidate.latency
+            first = forecast.first + 2 * candidate.latency
             late = first > job.objective
             if late:
                 # Behind all that is there, those who are late too.
-                seen = pace.forecast(held.total(now), job.prompt, job.answer)
-                first = seen.first + 2 * candidate.latency
+                forecast = pace.forecast(
+                    load.total(now), job.prompt, job.answer
+                )
+                first = forecast.first + 2 * candidate.latency
             earliest = min(earliest, first) if earliest else first
             if first > job.patience:
                 continue
-            rank = first + self._chance.uniform(0, _JITTER)
-            rank += 0 if candidate.is_local else _FAR
+            rank = first + self._rng.uniform(0, _JITTER)
+            rank += 0 if candidate.is_local else _REMOTE_PENALTY
             if best is None or (late, rank) < best[0]:
-                best = (late, rank), Chosen(candidate.upstream, seen, late)
+                best = (late, rank), Chosen(candidate.upstream, forecast, late)
         if best is not None:
             return best[1]
-        over = max(0.0, earliest - job.patience)
-        return Full(round(over), count)
+        excess = max(0.0, earliest - job.patience)
+        return Full(round(excess), count)
 
     def least_loaded(
         self, candidates: Iterable[Candidate], now: clock.Ms
@@ -159,12 +161,12 @@
         """
         best: tuple[float, str] | None = None
         for candidate in candidates:
-            held = self._book.of(candidate.upstream)
-            held.circuit.tick(now)
-            if held.avoid_until > now or _is_shut(held):
+            load = self._loads.of(candidate.upstream)
+            load.circuit.tick(now)
+            if load.avoid_until > now or _is_unavailable(load):
                 continue
-            rank = (held.total(now) + 1) / max(1, candidate.slots)
-            rank += self._chance.uniform(0, 0.05)
+            rank = (load.total(now) + 1) / max(1, candidate.slots)
+            rank += self._rng.uniform(0, 0.05)
             # A free place here is better than a freer one far away, but
             # not than waiting for one.
             rank += 0.0 if candidate.is_local else 0.25
@@ -173,8 +175,8 @@
         return best[1] if best else None
 
 
-def _is_shut(held: upstreamload.UpstreamLoad) -> bool:
-    if held.circuit.state is circuit.State.OPEN:
+def _is_unavailable(load: upstreamload.UpstreamLoad) -> bool:
+    if load.circuit.state is circuit.State.OPEN:
         return True
     # One probe at a time goes to an upstream that failed.
-    return held.circuit.state is circuit.State.HALF_OPEN and held.own > 0
+    return load.circuit.state is circuit.State.HALF_OPEN and load.own > 0
--- a/src/citronvalve/policy/upstreamload.py
+++ b/src/citronvalve/policy/upstreamload.py
@@ -11,7 +11,7 @@
 
 #: What another daemon said of its own requests counts for so long; it says
 #: so several times within it.
-_TOLD: clock.Ms = 700
+_REMOTE_LOAD_TTL: clock.Ms = 700
 
 
 class RemoteLoad(NamedTuple):
@@ -80,9 +80,9 @@
 
         :param now: monotonic ms.
         """
-        told = self._told(now)
-        if told:
-            return self.own + float(sum(share.count for share in told))
+        remote = self._fresh_remote_loads(now)
+        if remote:
+            return self.own + float(sum(share.count for share in remote))
         if not self._reported_at:
             return 2.0 * self.own
         weight = 0.5 ** ((now - self._reported_at) / _HALF_LIFE)
@@ -95,12 +95,14 @@
 
         :param now: monotonic ms.
         """
-        late = self.late + sum(share.late for share in self._told(now))
+        late = self.late + sum(
+            share.late for share in self._fresh_remote_loads(now)
+        )
         return max(0.0, self.total(now) - late)
 
-    def _told(self, now: clock.Ms) -> list[RemoteLoad]:
+    def _fresh_remote_loads(self, now: clock.Ms) -> list[RemoteLoad]:
         return [
             share
             for share in self.remote_load_by_daemon.values()
-            if now - share.at <= _TOLD
+            if now - share.at <= _REMOTE_LOAD_TTL
         ]
--- a/src/citronvalve/policy/usage.py
+++ b/src/citronvalve/policy/usage.py
@@ -12,7 +12,7 @@
 _MEAN_LIFE = _HALF_LIFE / 0.693
 
 #: Slots below which a team counts as gone.
-_IDLE = 0.01
+_IDLE_SLOTS = 0.01
 
 
 class Usage:
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self._sum_by_team: dict[str, float] = {}
-        self._at: clock.Ms = 0
+        self._decayed_at: clock.Ms = 0
 
     def add(self, team: str, cost: clock.Ms, now: clock.Ms) -> None:
         """Count work that starts.
@@ -54,22 +54,22 @@
         :param now: monotonic ms.
         """
         self._decay(now)
-        names = {*self._sum_by_team, *waiting, team}
-        whole = sum(weight_of(name) for name in names)
+        teams = {*self._sum_by_team, *waiting, team}
+        total_weight = sum(weight_of(name) for name in teams)
         taken = 0.0
-        for name in names - {team}:
-            fair = slots * weight_of(name) / whole
+        for name in teams - {team}:
+            fair = slots * weight_of(name) / total_weight
             used = self._sum_by_team.get(name, 0.0) / _MEAN_LIFE
             taken += fair if name in waiting else min(used, fair)
-        return max(slots - taken, slots * weight_of(team) / whole)
+        return max(slots - taken, slots * weight_of(team) / total_weight)
 
     def _decay(self, now: clock.Ms) -> None:
-        if now <= self._at:
+        if now <= self._decayed_at:
             return
-        factor = 0.5 ** ((now - self._at) / _HALF_LIFE)
-        self._at = now
+        factor = 0.5 ** ((now - self._decayed_at) / _HALF_LIFE)
+        self._decayed_at = now
         self._sum_by_team = {
             name: total * factor
             for name, total in self._sum_by_team.items()
-            if total * factor / _MEAN_LIFE > _IDLE
+            if total * factor / _MEAN_LIFE > _IDLE_SLOTS
         }
--- a/src/citronvalve/policy/surprise.py
+++ b/src/citronvalve/policy/waiterror.py
@@ -24,18 +24,18 @@
     def __init__(self) -> None:
         self._mean = 0.0
         self._deviation = 0.0
-        self._at: clock.Ms = 0
+        self._decayed_at: clock.Ms = 0
 
-    def add(self, error: clock.Ms, now: clock.Ms) -> None:
+    def record(self, error: clock.Ms, now: clock.Ms) -> None:
         """Take in one wait that is over.
 
         :param error: ms that it lasted longer than predicted.
         :param now: monotonic ms.
         """
         self._decay(now)
-        off = error - self._mean
-        self._mean += _GAIN * off
-        self._deviation += _GAIN * (abs(off) - self._deviation)
+        deviation = error - self._mean
+        self._mean += _GAIN * deviation
+        self._deviation += _GAIN * (abs(deviation) - self._deviation)
 
     def margin(self, now: clock.Ms) -> clock.Ms:
         """Return the ms to add to a predicted wait.
@@ -46,7 +46,7 @@
         return max(0, round(self._mean + _DEVIATIONS * self._deviation))
 
     def _decay(self, now: clock.Ms) -> None:
-        factor = 0.5 ** ((now - self._at) / _HALF_LIFE)
-        self._at = now
+        factor = 0.5 ** ((now - self._decayed_at) / _HALF_LIFE)
+        self._decayed_at = now
         self._mean *= factor
         self._deviation *= factor
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -10,7 +10,7 @@
 from citronvalve.forward import environment as environments
 from citronvalve.model import manualclock
 from citronvalve.policy import coldrate
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import membership
 from citronvalve.replicas import phase
@@ -18,14 +18,14 @@
 from citronvalve.storage import rows
 from tests import quietlog
 
-_TERMS = repeatbudget.RetryLimits(0.2, 130, 10_000)
+_TERMS = retrybudget.RetryLimits(0.2, 130, 10_000)
 _RATE = 59
 _TICK = 5
 
 
 @behave.given("{count:d} daemons with 0.2 repeats a request and 130 in 10 s")
 def step_budgets(context, count):
-    context.budgets = [repeatbudget.RetryBudget(_TERMS) for _ in range(count)]
+    context.budgets = [retrybudget.RetryBudget(_TERMS) for _ in range(count)]
 
 
 @behave.when(
@@ -39,7 +39,7 @@
     for now in range(0, seconds * 1_000, _TICK):
         for budget in context.budgets:
             if chance.random() < rate * _TICK / 1_000:
-                budget.requested(now)
+                budget.record_request(now)
                 context.requests.append(now)
             while budget.spend(daemons, now):
                 context.repeats.append(now)
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -9,7 +9,7 @@
 from citronvalve.forward import dialect
 from citronvalve.forward import placing
 from citronvalve.model import missing
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 from citronvalve.replicas import order
 from citronvalve.replicas import orders
 from citronvalve.replicas import runner
@@ -43,7 +43,7 @@
         _ANY_PORT,
         _ANY_PORT,
         _ANY_PORT,
-        repeatbudget.RetryLimits(0.2, 100, 10_000),
+        retrybudget.RetryLimits(0.2, 100, 10_000),
         placing.ColdTerms(),
         grace=5_000,
         stall=world.STALL,
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -16,7 +16,7 @@
 from citronvalve.forward import stalls
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import membership
 from citronvalve.replicas import phase
@@ -68,7 +68,7 @@
         self.directory.known = True
         self.directory.confirmed_at = self.env.clock.now()
         book = upstreamchoice.LoadTable()
-        terms = repeatbudget.RetryLimits(0.2, 100, 10_000)
+        terms = retrybudget.RetryLimits(0.2, 100, 10_000)
         self.stalls = stalls.Stalls(self.env, book)
         kept = links.Links(self.env.clock)
         self.repeats = repeats.Repeats(self.env, terms)
--- a/tests/forward/steps/forward_steps.py
+++ b/tests/forward/steps/forward_steps.py
@@ -7,7 +7,7 @@
 import eventlet
 from eventlet.green import socket
 
-from citronvalve.policy import repeatbudget
+from citronvalve.policy import retrybudget
 from tests.forward import rig as rigs
 
 
@@ -65,7 +65,7 @@
 
 @behave.given("no repeat is left")
 def step_no_repeat(context):
-    none = repeatbudget.RetryLimits(0.0, 0, 10_000)
+    none = retrybudget.RetryLimits(0.0, 0, 10_000)
     context.rig.repeats.terms = none
 
 
