--- a/src/citronvalve/policy/__init__.py
+++ b/src/citronvalve/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: state in, decision out, no input or output."""
+"""Load-dependent decisions: admission, placement, retries; no I/O."""
--- a/src/citronvalve/policy/admission.py
+++ b/src/citronvalve/policy/admission.py
@@ -1,34 +1,34 @@
-"""Whether work that arrives now can finish by its deadline."""
+"""Admission: whether a new request can finish by its deadline."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.policy import fairshare
 
-#: Share of the predicted rate that promises are made on.  The rest covers
-#: answers that run long.
+#: Usable share of the predicted rate.  The rest covers answers that take
+#: longer than expected.
 _USABLE_RATE_SHARE = 0.9
 
 
-#: Share of its slack that work may be made to wait.  A queue filled up to
-#: the deadlines has nothing left for work that runs long or comes after.
+#: Largest share of its slack that a request may wait.  A queue filled up to
+#: the deadlines has no reserve for long answers or later arrivals.
 _MAX_WAIT_SHARE = 0.6
 
-#: Share of what is left of its slack that later arrivals may use up.
+#: Share of a queued request's remaining slack that later arrivals may use.
 _USABLE_SLACK_SHARE = 0.8
 
-#: Longest wait in times of the mean service time.  A deeper queue serves
-#: no more under lasting load; it only makes everyone in it wait.
+#: Longest wait as a multiple of the mean service time.  Under lasting load
+#: a longer queue only adds to the wait, not to the throughput.
 _MAX_WAIT_IN_SERVICE_TIMES = 4
 
 
 class Supply(NamedTuple):
     """What this daemon can serve of a model.
 
-    ``slots`` is for all teams, ``rate`` for the team in question, and
-    ``typical`` is the mean service time in ms of what arrives, ``started``
-    of what was started, and ``margin`` what waits have lately exceeded
-    their prediction by.
+    ``slots`` counts those for all teams, and ``team_slots`` those that the
+    team can rely on.  ``mean_arriving`` and ``mean_started`` are the mean
+    service times in ms of arriving and of started requests.  ``margin``
+    covers the recent error of predicted waits.
     """
 
     slots: float
@@ -39,7 +39,7 @@
 
 
 class Forecast(NamedTuple):
-    """When work would start; ``fits`` tells whether it may be accepted."""
+    """The predicted wait, and in ``fits`` whether to accept the request."""
 
     wait: clock.Ms
     fits: bool
@@ -51,16 +51,16 @@
     supply: Supply,
     now: clock.Ms,
 ) -> Forecast:
-    """Predict the wait, and whether all promises can still be kept.
+    """Predict a request's wait, and whether it can be accepted.
 
-    Made for callers who cannot try twice: work that can't finish is refused
-    while there is time to go elsewhere, instead of taking a slot from work
-    that can.  Work already accepted comes first: a new request that would
-    push an accepted one of its team past its deadline is refused.
+    A request that can't finish in time is rejected at once, while its
+    caller can still go elsewhere, and takes no slot from one that can.
+    Accepted requests have precedence: a new one that would push an accepted
+    one of its team past its deadline is rejected.
 
-    :param queue: what waits for the same model.
-    :param item: the new work.
-    :param supply: what is there to serve it.
+    :param queue: the queued requests of the same model.
+    :param item: the new request.
+    :param supply: the capacity that serves them.
     :param now: monotonic ms.
     """
     if supply.slots <= 0 or supply.team_slots <= 0:
@@ -78,8 +78,8 @@
     total_wait = queue.cost / (supply.slots * _USABLE_RATE_SHARE)
     wait = round(first_slot + min(ahead / rate, total_wait))
     slack = item.deadline - now - item.bound
-    # A team with nothing waiting has the next slot, and nobody after it can
-    # take that; only its own queue makes a wait uncertain.
+    # A team with an empty queue gets the next slot, whatever arrives later;
+    # only its own queue makes the wait uncertain.
     max_wait = (
         min(
             slack * _MAX_WAIT_SHARE,
@@ -92,7 +92,7 @@
         return Forecast(wait, False)
     ahead += item.cost
     for other in team_queue[position:]:
-        # Part of the slack is kept: what comes after takes more of it.
+        # Keep a part of the slack, since later arrivals take more of it.
         spare = (other.deadline - now - other.bound) * _USABLE_SLACK_SHARE
         if first_slot + ahead / rate > spare:
             return Forecast(wait, False)
--- a/src/citronvalve/policy/affinity.py
+++ b/src/citronvalve/policy/affinity.py
@@ -1,27 +1,27 @@
-"""Which upstreams are likely to hold a prompt's prefix in their cache."""
+"""Estimates of which upstreams have a prompt's prefix in their cache."""
 
 import collections
 import collections.abc
 
 from citronvalve.model import clock
 
-#: Half of the belief in a cached prefix is gone after this time: engines
-#: evict without telling, and their cache events come late and with gaps.
+#: Half-life of the probability that a prefix is cached: engines evict
+#: without notice, and their cache events arrive late and with gaps.
 _HALF_LIFE: clock.Ms = 60_000
 
-#: Prefixes remembered, about 10 MB; the one used longest ago goes first.
+#: Prefixes kept, about 10 MB; the least recently used is evicted first.
 _MAX_PREFIXES = 20_000
 
-#: Upstreams remembered for one prefix.  More would only be more to look
-#: through: placement weighs two of them.
+#: Upstreams kept for one prefix.  Placement considers only two of them, so
+#: that more would only cost time.
 _MAX_HOLDERS = 8
 
 
 class Affinity:
-    """An estimate of the engines' prefix caches that ages.
+    """An estimate of the engines' prefix caches that decays with time.
 
-    It only makes an upstream cheaper in placement, so a wrong entry costs
-    one slow prefill and never a wrong answer.
+    It only lowers an upstream's cost in placement, so that a wrong entry
+    causes a slow prefill and never a wrong answer.
     """
 
     def __init__(self) -> None:
@@ -30,11 +30,11 @@
         ] = collections.OrderedDict()
 
     def add(self, prefix: str, upstream: str, at: clock.Ms) -> None:
-        """Note that an upstream holds a prefix.
+        """Record that an upstream has cached a prefix.
 
         :param prefix: key of the prefix.
-        :param upstream: who has read it.
-        :param at: when it did, in monotonic ms.
+        :param upstream: name of the upstream.
+        :param at: when it was cached, in monotonic ms.
         """
         holders = self._holders_by_prefix.setdefault(prefix, {})
         self._holders_by_prefix.move_to_end(prefix)
@@ -45,17 +45,17 @@
             self._holders_by_prefix.popitem(last=False)
 
     def drop(self, prefix: str, upstream: str) -> None:
-        """Note that an upstream evicted a prefix.
+        """Record that an upstream evicted a prefix.
 
         :param prefix: key of the prefix.
-        :param upstream: who evicted it.
+        :param upstream: name of the upstream.
         """
         self._holders_by_prefix.get(prefix, {}).pop(upstream, None)
 
     def drop_upstream(self, upstream: str) -> None:
-        """Note that an upstream started afresh, with an empty cache.
+        """Drop all prefixes of an upstream, whose cache is empty.
 
-        :param upstream: its name.
+        :param upstream: name of the upstream.
         """
         for holders in self._holders_by_prefix.values():
             holders.pop(upstream, None)
@@ -63,10 +63,10 @@
     def holders(
         self, prefixes: collections.abc.Iterable[str], now: clock.Ms
     ) -> dict[str, float]:
-        """Return the belief, 0 to 1, in each likely holder.
+        """Return the probability, by upstream, that the prefix is cached.
 
         :param prefixes: keys of the prompt's prefixes, longest first; the
-            first one known decides.
+            first known one is used.
         :param now: monotonic ms.
         """
         for prefix in prefixes:
--- a/src/citronvalve/policy/attempt.py
+++ b/src/citronvalve/policy/attempt.py
@@ -1,4 +1,4 @@
-"""A request that was accepted, and the attempts at it."""
+"""Requests in progress and the attempts at them."""
 
 from typing import NamedTuple
 
@@ -12,11 +12,11 @@
 
 
 class Entry:
-    """One accepted request, until it has its one end.
+    """The state of one request from its arrival to its end.
 
     :param item: the request.
-    :param expected: its service time.
-    :param suspect: whether an upstream was already lost with it.
+    :param expected: its expected service time.
+    :param suspect: whether it may have crashed an upstream.
     """
 
     __slots__ = (
@@ -40,22 +40,23 @@
         self.work = item
         self.expected = expected
         self.suspect = suspect
-        #: As it was when it last started.
+        #: Whether it counted as long work when it last started.
         self.is_long = False
-        #: The wait that was predicted when it was queued, and when it was.
+        #: The predicted wait, and when it was queued.
         self.predicted_wait: clock.Ms | None = None
         self.queued_at: clock.Ms = 0
         self.attempts = 0
         self.ran = ran.Ran.NO
-        #: Upstreams that failed it; another attempt goes elsewhere if it
-        #: can, and to those that answered wrongly it never goes again.
+        #: Upstreams where an attempt failed, which a retry avoids if there
+        #: is an alternative; and those with a diverged answer, which it
+        #: never uses again.
         self.failed_upstreams: set[str] = set()
         self.excluded_upstreams: set[str] = set()
         self.queue_item: fairshare.QueuedRequest | None = None
         self.attempt_by_ticket: dict[decision.Ticket, Attempt] = {}
 
     def would_be_late(self, now: clock.Ms) -> bool:
-        """Tell whether it would be late if it started now.
+        """Return whether it would miss its deadline if it started now.
 
         :param now: monotonic ms.
         """
@@ -65,7 +66,8 @@
 class Attempt(NamedTuple):
     """One run of a request on one upstream.
 
-    ``suspect`` is as it was at the start: it is what was counted.
+    ``suspect`` keeps the value at the start, since the upstream's count of
+    suspects has to be lowered by the same value.
     """
 
     ticket: decision.Ticket
--- a/src/citronvalve/policy/backlog.py
+++ b/src/citronvalve/policy/backlog.py
@@ -1,4 +1,4 @@
-"""What waits for one model, and what was started of late."""
+"""The queue of one model, with the state that predicts its waits."""
 
 import collections
 import collections.abc
@@ -10,22 +10,22 @@
 from citronvalve.policy import usage
 from citronvalve.policy import waiterror
 
-#: Gain of one start in the mean service time of the model's mix.
+#: Weight of one sample in the mean service times.
 _GAIN = 0.05
 
-#: Work of this many times the mean service time is long.
+#: A request is long from this many times the mean service time.
 _LONG_RATIO = 4
 
-#: Share of the slots that long work may hold.
+#: Share of the slots that long requests may hold.
 _LONG_SHARE = 0.75
 
 _Weights = collections.abc.Callable[[str], float]
 
 
 class Backlog:
-    """The queue of one model with what is needed to predict waits.
+    """The queue of one model, with predictions of the wait.
 
-    :param weight_of: gives the weight of a team.
+    :param weight_of: returns the weight of a team.
     """
 
     def __init__(self, weight_of: _Weights) -> None:
@@ -40,7 +40,7 @@
         self._sequence = 0
 
     def record_arrival(self, entry: attempt.Entry) -> None:
-        """Count a request that arrives, whatever becomes of it.
+        """Record a request that arrives, accepted or not.
 
         :param entry: the request.
         """
@@ -56,11 +56,11 @@
         team_limit: float,
         now: clock.Ms,
     ) -> admission.Forecast:
-        """Predict when a request would start.
+        """Predict a request's wait.
 
         :param entry: the request.
         :param slots: slots of this model for all teams.
-        :param most: slots that limits leave to the team.
+        :param team_limit: slots that limits allow the team.
         :param now: monotonic ms.
         """
         team = entry.work.team
@@ -87,11 +87,11 @@
         return predicted
 
     def may_start(self, entry: attempt.Entry, slots: float) -> bool:
-        """Tell whether a request may take a slot now.
+        """Return whether a request may take a slot now.
 
-        Made for a mix of long and short work.  Long work that takes each
-        slot as it comes free soon has them all, and work that is due
-        within a second waits for many; a part of the slots is kept for it.
+        Long requests that took each slot as it became free would soon hold
+        all of them, and requests due within a second would have to wait.  So
+        a part of the slots is kept free of long requests.
 
         :param entry: the request.
         :param slots: slots of this model for all teams.
@@ -101,7 +101,7 @@
         return self._long_running < max(1.0, slots * _LONG_SHARE)
 
     def push(self, entry: attempt.Entry, now: clock.Ms) -> None:
-        """Let a request wait.
+        """Queue a request.
 
         :param entry: the request.
         :param now: monotonic ms.
@@ -112,7 +112,7 @@
         self.queue.push(entry.queue_item)
 
     def remove(self, entry: attempt.Entry, now: clock.Ms) -> None:
-        """Take a request out, if it waits.
+        """Remove a request from the queue, if it is queued.
 
         :param entry: the request.
         :param now: monotonic ms.
@@ -126,7 +126,7 @@
             entry.queue_item = None
 
     def record_start(self, entry: attempt.Entry, now: clock.Ms) -> None:
-        """Count a request that starts.
+        """Record a request that starts.
 
         :param entry: the request.
         :param now: monotonic ms.
@@ -140,7 +140,7 @@
         self._mean_started += gain * (cost - self._mean_started)
 
     def record_end(self, entry: attempt.Entry) -> None:
-        """Count an attempt that ended.
+        """Record an attempt that ended.
 
         :param entry: the request.
         """
--- a/src/citronvalve/policy/candidate.py
+++ b/src/citronvalve/policy/candidate.py
@@ -1,4 +1,4 @@
-"""One upstream as placement sees it."""
+"""The state of one upstream for placement."""
 
 import collections
 import enum
@@ -14,20 +14,20 @@
 from citronvalve.policy import outlier
 from citronvalve.policy import ramp
 
-#: An upstream gets work only while its reports are fresh.  A group may have
-#: lost a VM since an old one, and an upstream that fell over may be back,
-#: cold: its daemons would go on with their warm parts until they heard.  No
-#: engine starts within this time, and reports come every second and up to
-#: three late.
+#: An upstream gets requests only while its last report is younger than this.
+#: After an older one, a group may have lost a VM, or an upstream may have
+#: crashed and come back cold, while daemons go on using their warm parts.
+#: No engine starts within this time, and reports come every second with a
+#: delay of up to three seconds.
 MAX_REPORT_AGE: clock.Ms = 5_000
 
-#: Moments of the past at which this daemon's own work is remembered, so
-#: that a late report can be compared with what was there at its time.
+#: Entries in the history of this daemon's own requests.  A late report is
+#: compared with the number at the time of the report.
 _MAX_HISTORY = 256
 
 
 class BlockReason(enum.Enum):
-    """Why an upstream gets nothing new."""
+    """Why an upstream gets no new requests."""
 
     UNSEEN = "it has not reported yet"
     OUT = "it is out of service"
@@ -39,7 +39,7 @@
 
 
 class Loan(NamedTuple):
-    """Slots of a cold upstream lent to this daemon up to a moment."""
+    """Slots of a cold upstream that are lent to this daemon."""
 
     slots: int = 0
     expires_at: clock.Ms = 0
@@ -48,8 +48,8 @@
 class Candidate:
     """The state of one upstream.
 
-    :param upstream: its row, or the one its group made for it.
-    :param place: its data centre.
+    :param upstream: its row, declared or made by its replica group.
+    :param datacentre: the state of its data centre.
     :param tier: 0 in this daemon's data centre, 1 in its region, else 2.
     """
 
@@ -67,16 +67,16 @@
         self.latency_ratio = outlier.LatencyRatio()
         self.loan = Loan()
         self.report: load.LoadReport | None = None
-        #: Requests that this daemon has there, and that it may have there.
+        #: This daemon's requests there, and how many it may have there.
         self.own = 0
         self.allowance = 0
-        #: Requests there that have already cost another upstream.
+        #: Requests there that may have crashed an upstream.
         self.suspects = 0
-        #: Whether a report with a new start id has yet to be acted on.
+        #: Whether a report with a new start id is not yet handled.
         self.restart_pending = False
         #: When a connection to it last broke.
         self.connection_broke_at: clock.Ms = 0
-        #: When it last died, as far as this daemon knows.
+        #: When it last died, as known to this daemon.
         self.lost_at: clock.Ms = 0
         self._others = 0
         self._capacity = 0
@@ -90,7 +90,7 @@
 
     @property
     def running(self) -> int:
-        """Return the estimated requests there, of all daemons."""
+        """Return the estimated number of requests there, of all daemons."""
         return self._others + self.own
 
     def update_upstream(self, upstream: declared.Upstream) -> None:
@@ -102,7 +102,7 @@
         self.ramp.upstream = upstream
 
     def observe(self, report: load.LoadReport) -> None:
-        """Take in a report; one older than the last is dropped.
+        """Apply a load report; one older than the last is ignored.
 
         :param report: the report.
         """
@@ -134,23 +134,25 @@
         self._record_change(-1, now)
 
     def record_loss(self, at: clock.Ms) -> None:
-        """Note that it died; a report from before says nothing of it now.
+        """Record that it died; its last report is no longer valid.
 
-        :param moment: when, in monotonic ms.
+        :param at: when it died, in monotonic ms.
         """
         self.lost_at = at
         self.ramp.mark_cold(at)
 
     def record_busy(self) -> None:
-        """Note that it refused work: hardly more until a report.
+        """Record that it rejected a request as full.
 
-        One is left, since it may have refused for another reason, and with
-        none there would be nobody to ask when all refused once.
+        Its capacity is limited to the current requests until the next
+        report, but to no less than one: it may have rejected the request
+        for another reason, and with none left there would be no upstream to
+        use after each has rejected once.
         """
         self._capacity = min(self._capacity, max(1, self.own))
 
     def block_reason(self, now: clock.Ms) -> BlockReason | None:
-        """Return why it gets nothing new, or None.
+        """Return why it gets no new requests, or None.
 
         :param now: monotonic ms.
         """
@@ -166,23 +168,23 @@
             BlockReason.EJECTED: now < self.latency_ratio.ejected_until,
             BlockReason.CIRCUIT: self.circuit.state is circuit.State.OPEN,
         }
-        return next((bar for bar, holds in reasons.items() if holds), None)
+        return next((why for why, holds in reasons.items() if holds), None)
 
     def refresh(self, now: clock.Ms, share: limits.Share) -> int:
-        """Work out the allowance anew; return by how much it changed.
+        """Recompute the allowance; return its change.
 
         :param now: monotonic ms.
-        :param share: this daemon's place among those that use it.
+        :param share: this daemon's rank among those that use it.
         """
         old, self.allowance = self.allowance, self._allowed(now, share)
         return self.allowance - old
 
     def has_free_slot(self) -> bool:
-        """Tell whether one more request may go there."""
+        """Return whether one more request may be sent there."""
         return self.own < self.allowance and self.datacentre.has_free_slot()
 
     def loan_slots(self, now: clock.Ms) -> int:
-        """Return the slots that a loan allows now.
+        """Return the number of slots that are lent now.
 
         :param now: monotonic ms.
         """
@@ -191,12 +193,12 @@
     def fixed_part(self, share: limits.Share) -> int:
         """Return this daemon's fixed part of a warm upstream.
 
-        Made for reports that are seconds old when many daemons read them:
-        were each to fill the free slots it sees, they would fill them many
-        times.  The parts of all daemons add up to the whole whatever they
-        know.  Who gets the odd slots differs from upstream to upstream.
+        Reports are seconds old when many daemons read them; if each filled
+        the free slots that it sees, they would be filled many times over.
+        The parts of all daemons add up to the slots whatever each of them
+        knows.  The remainder goes to different daemons for each upstream.
 
-        :param share: this daemon's place among those that use it.
+        :param share: this daemon's rank among those that use it.
         """
         rank = (share.rank + self._rank_offset) % share.members
         part = limits.Share(rank, share.members).of(self.upstream.slots)
@@ -219,8 +221,8 @@
             self._history.popleft()
 
     def _own_at(self, at: clock.Ms) -> int:
-        # The last value up to that moment stays: it holds for the next
-        # report too, when nothing was sent or ended in between.
+        # The last value up to that time stays, since it also applies to the
+        # next report when no request started or ended in between.
         history = self._history
         while len(history) > 1 and history[1][0] <= at:
             history.popleft()
--- a/src/citronvalve/policy/circuit.py
+++ b/src/citronvalve/policy/circuit.py
@@ -1,32 +1,32 @@
-"""Whether a failing upstream gets work, as a table of states."""
+"""A circuit breaker for one upstream."""
 
 import enum
 
 from citronvalve.model import clock
 
-#: Failures in a row that open the circuit.  One or two also happen to a
-#: sound upstream when a connection goes silent.
+#: Consecutive failures that open the circuit.  A healthy upstream may have
+#: one or two when connections stop responding.
 _FAILURES_TO_OPEN = 3
 
-#: First wait before a probe, doubled at each failed one.  Shorter ones
-#: spend callers' requests on an upstream that is still down.
+#: First wait before a probe, doubled at each failed probe.  A shorter wait
+#: would use up callers' requests on an upstream that is still down.
 _FIRST_WAIT: clock.Ms = 2_000
 
-#: Longest wait, so that a mended upstream is found within half a minute.
+#: Longest wait, so that a recovered upstream is used again within 30 s.
 _MAX_WAIT: clock.Ms = 30_000
 
 
 class State(enum.Enum):
-    """What an upstream may get."""
+    """States of a circuit: which requests the upstream gets."""
 
     CLOSED = "closed"
     OPEN = "open"
-    #: One probe at a time.
+    #: One request at a time, as a probe.
     HALF_OPEN = "half-open"
 
 
 class Event(enum.Enum):
-    """What moves a circuit."""
+    """Events that cause a transition."""
 
     SUCCEEDED = "succeeded"
     TRIPPED = "tripped"
@@ -47,10 +47,10 @@
 
 
 class Circuit:
-    """The circuit of one upstream.
+    """The circuit breaker of one upstream.
 
-    :ivar state: what it may get now.
-    :ivar until: when an open circuit may be probed, in monotonic ms.
+    :ivar state: its current state.
+    :ivar probe_at: when an open circuit may be probed, in monotonic ms.
     """
 
     __slots__ = ("_failures", "_wait", "probe_at", "state")
@@ -62,15 +62,16 @@
         self._wait = _FIRST_WAIT
 
     def record_success(self) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._failures = 0
         self._move(Event.SUCCEEDED, 0)
 
     def record_failure(self, now: clock.Ms, fatal: bool) -> None:
-        """Take in a failure.
+        """Record a failure.
 
         :param now: monotonic ms.
-        :param fatal: the upstream is gone, so one failure is enough.
+        :param fatal: whether this failure alone opens the circuit, since the
+            upstream is lost.
         """
         self._failures += 1
         probing = self.state is State.HALF_OPEN
@@ -78,7 +79,7 @@
             self._move(Event.TRIPPED, now)
 
     def tick(self, now: clock.Ms) -> None:
-        """Let an open circuit be probed once its wait is over.
+        """Half-open an open circuit once its wait is over.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/policy/coldrate.py
+++ b/src/citronvalve/policy/coldrate.py
@@ -1,27 +1,28 @@
-"""How many requests a second a cold upstream gets."""
+"""The request rate to a cold upstream."""
 
 import random
 
 from citronvalve.model import clock
 from citronvalve.policy import slidingcount
 
-#: Requests that leave within one second may arrive within a shorter one;
-#: this part of the bound leaves room for that.
+#: Usable part of the rate.  Requests sent within one second may arrive
+#: within a shorter time.
 _USABLE_SHARE = 0.8
 
-#: Turns of many daemons fall together by chance; this much of the part keeps
-#: the sum of a second four standard deviations within the bound.
+#: Usable part of a daemon's share below one request per second.  The sends
+#: of many daemons coincide by chance; this keeps the sum in any second four
+#: standard deviations below the bound.
 _USABLE_SHARE_IN_TURNS = 0.75
 
 
 class ColdRate:
-    """One daemon's part of a cold upstream's rate.
+    """One daemon's share of the rate of each cold upstream.
 
-    Made for an upstream that has just started: well above its rate it
-    crashes, and all that it ran is lost.  Each daemon takes an equal part,
-    which holds also while the daemons can't reach each other.
+    An upstream that has just started crashes well above its rate, and all
+    requests on it are lost.  Each daemon uses an equal share, which keeps
+    the bound also while the daemons can't reach each other.
 
-    :param chance: spreads turns where each part is under one a second.
+    :param rng: spreads the sends when the share is below one per second.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -32,11 +33,11 @@
     def allows(
         self, upstream: str, rate: float, daemons: int, now: clock.Ms
     ) -> bool:
-        """Tell whether a cold upstream bears one more request now.
+        """Return whether one more request may be sent to a cold upstream.
 
         :param upstream: its id.
-        :param rate: requests a second from all daemons together.
-        :param daemons: how many share it.
+        :param rate: requests per second from all daemons together.
+        :param daemons: number of daemons that share it.
         :param now: monotonic ms.
         """
         part = _USABLE_SHARE * rate / max(1, daemons)
@@ -46,8 +47,8 @@
         return sent is None or sent.count(now) + 1 <= part
 
     def _is_due(self, upstream: str, part: float, now: clock.Ms) -> bool:
-        # More daemons than requests a second: each waits for its turn, the
-        # first of which comes by chance, or all would take it at once.
+        # With less than one request per second, each daemon keeps an
+        # interval.  The first one is random, or all would send at once.
         interval = clock.SECOND / part
         last = self._last_by_upstream.get(upstream)
         if last is None:
@@ -69,9 +70,9 @@
         self._last_by_upstream[upstream] = now
 
     def retain(self, upstreams: set[str]) -> None:
-        """Drop what is known of upstreams that are gone.
+        """Drop the state of all other upstreams.
 
-        :param upstreams: the ids that are still there.
+        :param upstreams: the ids to keep.
         """
         for upstream in set(self._sent_by_upstream) - upstreams:
             del self._sent_by_upstream[upstream]
--- a/src/citronvalve/policy/crashfence.py
+++ b/src/citronvalve/policy/crashfence.py
@@ -1,23 +1,24 @@
-"""Requests that crash the upstreams which run them."""
+"""Detection of requests that crash the upstreams they run on."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 
-#: Fingerprints remembered.  One crash marks all that ran there, a few
-#: dozen; this holds hundreds of crashes.
+#: Fingerprints kept.  One crash marks all requests that ran there, a few
+#: dozen, so that this holds hundreds of crashes.
 _MAX_FINGERPRINTS = 10_000
 
 
-#: A sound upstream reports within this time after a connection to it broke.
-#: One that doesn't is taken for dead.
+#: A healthy upstream reports within this time after a connection to it
+#: broke.  One that doesn't is considered dead.
 _REPORT_TIMEOUT: clock.Ms = 5_000
 
 
 class Loss(NamedTuple):
-    """An upstream died with a request on it.
+    """The loss of an upstream while it ran a request.
 
-    Travels between daemons, so it carries an ``age`` in ms and no moment.
+    It is sent between daemons, whose clocks differ, so that it has an
+    ``age`` in ms instead of a time.
     """
 
     fingerprint: str
@@ -26,13 +27,13 @@
 
 
 class CrashFence:
-    """Refuses a request after it has cost several upstreams.
+    """Counts the upstreams that were lost with each request.
 
-    Made for the request whose caller sends it again after each crash: with
-    no fence it takes the upstreams down one by one.  Different upstreams
-    must be lost, since one that keeps dying by itself proves nothing.  A
-    connection that broke is only a doubt: the request waits until the
-    upstream's next report, or its absence, tells which it was.
+    A request that crashes upstreams takes them down one by one when its
+    caller sends it again after each crash.  Only different upstreams count,
+    since one that keeps crashing may do so by itself.  A broken connection
+    is only a suspicion, until the upstream's next report clears it or the
+    lack of one confirms the loss.
     """
 
     def __init__(self) -> None:
@@ -42,11 +43,11 @@
     def record_loss(
         self, fingerprint: str, upstream: str, now: clock.Ms
     ) -> None:
-        """Note that an upstream died with a request on it.
+        """Record that an upstream died while it ran a request.
 
-        :param fingerprint: the request's; an empty one is never refused,
-            but tells peers that the upstream was lost.
-        :param upstream: who died.
+        :param fingerprint: the request's; an empty one is never fenced, but
+            informs peers of the lost upstream.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
         """
         self._suspicions_by_upstream.get(upstream, {}).pop(fingerprint, None)
@@ -58,10 +59,10 @@
             ]
 
     def suspect(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
-        """Note that a connection broke, which a death would explain.
+        """Record a broken connection, which a crash may have caused.
 
         :param fingerprint: the request's.
-        :param upstream: whose connection it was.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
         """
         self._suspicions_by_upstream.setdefault(upstream, {})[fingerprint] = (
@@ -69,11 +70,11 @@
         )
 
     def confirm_loss(self, upstream: str, now: clock.Ms) -> bool:
-        """Turn doubts into losses: it is gone, or started afresh.
+        """Turn suspicions into losses, as the upstream is gone or restarted.
 
-        :param upstream: who died.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
-        :return: whether there was a doubt.
+        :return: whether there was a suspicion.
         """
         suspicions = self._suspicions_by_upstream.pop(upstream, {})
         for fingerprint in suspicions:
@@ -81,28 +82,28 @@
         return bool(suspicions)
 
     def overdue(self, now: clock.Ms) -> list[str]:
-        """Return upstreams that have been silent since they were doubted.
+        """Return suspected upstreams whose report is overdue.
 
         :param now: monotonic ms.
         """
         return [
             name
-            for name, doubts in self._suspicions_by_upstream.items()
-            if any(now - at >= _REPORT_TIMEOUT for at in doubts.values())
+            for name, suspicions in self._suspicions_by_upstream.items()
+            if any(now - at >= _REPORT_TIMEOUT for at in suspicions.values())
         ]
 
     def clear_suspicions(self, upstream: str) -> None:
-        """Drop doubts: it reported after them, and is the same as before.
+        """Drop suspicions, as the upstream reported and did not restart.
 
-        :param upstream: who reported.
+        :param upstream: name of the upstream.
         """
         self._suspicions_by_upstream.pop(upstream, None)
 
     def clear(self, fingerprint: str) -> None:
-        """Drop all that speaks against a request: it has just been done.
+        """Drop all losses and suspicions of a request that succeeded.
 
-        One that crashes upstreams is never done.  One that only ran beside
-        it is, and must not be refused for it.
+        A request that crashes upstreams never succeeds, but one that ran
+        beside it may, and must not be fenced.
 
         :param fingerprint: the request's.
         """
@@ -114,7 +115,7 @@
     def loss_count(
         self, fingerprint: str, now: clock.Ms, span: clock.Ms
     ) -> int:
-        """Return how many different upstreams were lost.
+        """Return the number of different upstreams that were lost.
 
         :param fingerprint: the request's.
         :param now: monotonic ms.
@@ -126,7 +127,7 @@
         return sum(now - at < span for at in lost.values())
 
     def suspicion_count(self, fingerprint: str) -> int:
-        """Return how many upstreams may have been lost, and may not.
+        """Return the number of upstreams that are suspected to be lost.
 
         :param fingerprint: the request's.
         """
@@ -138,15 +139,15 @@
         )
 
     def record_remote_loss(self, loss: Loss, now: clock.Ms) -> None:
-        """Take in a loss that a peer saw.
+        """Record a loss that a peer reported.
 
-        :param loss: what the peer told.
+        :param loss: the peer's report.
         :param now: monotonic ms.
         """
         self.record_loss(loss.fingerprint, loss.upstream, now - loss.age)
 
     def recent_losses(self, now: clock.Ms, span: clock.Ms) -> tuple[Loss, ...]:
-        """Return the losses that peers should know, and drop old ones.
+        """Return the losses to send to peers, and drop expired ones.
 
         :param now: monotonic ms.
         :param span: how long a loss counts, in ms.
--- a/src/citronvalve/policy/datacentrestate.py
+++ b/src/citronvalve/policy/datacentrestate.py
@@ -1,4 +1,4 @@
-"""How a data centre leaves and comes back."""
+"""How a data centre is taken out of service and returns."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Phase(enum.Enum):
-    """What a data centre may get."""
+    """Service states of a data centre."""
 
     IN = "in"
     OUT = "out"
@@ -22,21 +22,20 @@
     (Phase.RETURNING, declared.ServiceState.OUT): Phase.OUT,
 }
 
-#: What a returning data centre gets first from this daemon: enough to
-#: learn from, little enough to lose.
+#: First bound on this daemon's requests at a returning data centre: enough
+#: to get answers from, and few to lose.
 _FIRST_BOUND = 2
 
 
 class DatacentreState:
-    """One data centre as this daemon uses it.
+    """The state of one data centre and this daemon's requests there.
 
-    Made for a data centre that returns under load: its caches are cold and
-    its links unproved, and the whole spill moving back at once would fail
-    twice.  Each answer in its expected time raises its bound by one, so the
-    share doubles with each round of answers and stands still when they
-    stay out.
+    A data centre that returns has cold caches and untested connections, and
+    would fail again if all of its load moved back at once.  Each answer
+    within its expected time raises the bound by one, so that the load
+    doubles with each round of answers and stops growing without answers.
 
-    :param state: what the table says.
+    :param state: the declared service state.
     """
 
     def __init__(self, state: declared.ServiceState) -> None:
@@ -47,10 +46,11 @@
         self._slots = 0
 
     def apply_state(self, state: declared.ServiceState, slots: int) -> bool:
-        """Apply the table; return whether the data centre comes back.
+        """Apply the declared state; return whether a return begins.
 
-        :param state: what the table says.
-        :param most: slots there; once shown to be borne, the return ends.
+        :param state: the declared service state.
+        :param slots: this daemon's share of the slots there; the return
+            ends when the bound reaches it.
         """
         old, self.phase = self.phase, _NEXT[self.phase, state]
         self._slots = slots
@@ -61,17 +61,17 @@
 
     @property
     def bound(self) -> float:
-        """Return how many requests this daemon may have there."""
+        """Return how many requests this daemon may run there."""
         if self.phase is Phase.OUT:
             return 0
         return self._bound if self.phase is Phase.RETURNING else float("inf")
 
     def has_free_slot(self) -> bool:
-        """Tell whether one more request may go there."""
+        """Return whether one more request may be sent there."""
         return self.running < self.bound
 
     def record_on_time(self) -> None:
-        """Count an answer that came in its expected time."""
+        """Record an answer within its expected time."""
         if self.phase is Phase.RETURNING:
             self._bound += 1
             if self._bound >= self._slots:
--- a/src/citronvalve/policy/decision.py
+++ b/src/citronvalve/policy/decision.py
@@ -1,4 +1,4 @@
-"""What the daemon is told to do."""
+"""The decisions that the daemon carries out."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 from citronvalve.model import refusal
 from citronvalve.policy import work
 
-#: Names one attempt at one request.
+#: Identifies one attempt at one request.
 Ticket = int
 
 
 class Start(NamedTuple):
     """Send the work to an upstream now.
 
-    ``attempt`` counts from 1.  ``priority`` is for engines that honour one:
-    the slack in ms, so that a smaller one goes first.  A ``hedge`` runs
-    beside an earlier attempt; the first whole answer wins.
+    ``attempt`` counts from 1.  ``priority`` is for engines that support
+    one: the slack in ms, the smallest first.  A ``hedge`` runs in parallel
+    with an earlier attempt; the first complete answer wins.
     """
 
     ticket: Ticket
@@ -27,21 +27,21 @@
 
 
 class Queued(NamedTuple):
-    """Accepted, and waiting; ``wait`` is the predicted wait in ms."""
+    """Accepted and queued; ``wait`` is the predicted wait in ms."""
 
     request: str
     wait: clock.Ms
 
 
 class Refuse(NamedTuple):
-    """Give an accepted request its final answer now."""
+    """Reject an accepted request now."""
 
     request: str
     refusal: refusal.Refusal
 
 
 class Cancel(NamedTuple):
-    """Stop an attempt that nobody waits for any more."""
+    """Stop an attempt whose answer is no longer needed."""
 
     ticket: Ticket
     upstream: str
@@ -49,5 +49,5 @@
 
 Decision = Start | Refuse | Cancel
 
-#: What becomes of a request that has just arrived.
+#: The result of submitting a request.
 Verdict = Start | Queued | refusal.Refusal
--- a/src/citronvalve/policy/dispatcher.py
+++ b/src/citronvalve/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one object that the daemon asks for every decision under load."""
+"""The entry point for all load-dependent decisions of a daemon."""
 
 import collections.abc
 import random
@@ -23,18 +23,19 @@
 
 
 class Dispatcher:
-    """Admits, queues, refuses, places and retries; carries out nothing.
+    """Decides on admission, queueing, placement and retries.
 
     The daemon calls ``submit`` for each request, ``finished`` for each
-    attempt that ended, ``tick`` every 50 ms or so, and carries out what
-    these return.  ``declare``, ``observe``, ``lend`` and ``divide`` bring
-    the table, load reports, loans, and the number of daemons; work that
-    these make possible starts at the next tick.
+    attempt that ended and ``tick`` every 50 ms or so, and carries out the
+    decisions that these return.  ``apply_table``, ``observe``,
+    ``accept_loan`` and ``set_share`` update the table, load reports, loans
+    and the number of daemons; requests that can start as a result do so at
+    the next tick.
 
     :param home: this daemon's data centre.
-    :param rng: source of chance.
-    :param invariants: asserts and counts the promises.
-    :param chooser: how to place; two choices when left out.
+    :param rng: random source.
+    :param invariants: checks the invariants and counts the checks.
+    :param chooser: the placement strategy; ``TwoChoices`` by default.
     """
 
     def __init__(
@@ -72,9 +73,9 @@
     ) -> None:
         """Apply the table.
 
-        :param table: the whole table at its newest version.
+        :param table: the whole table.
         :param now: monotonic ms.
-        :param grouped: upstreams that replica groups made.
+        :param grouped: upstreams of replica groups.
         """
         self.monitor.switches = table.switches
         self._requests.weight_by_team = {
@@ -84,7 +85,7 @@
         self.fleet.apply_table(table, grouped, now)
 
     def set_share(self, share: limits.Share, now: clock.Ms) -> None:
-        """Set this daemon's place among those that use the same upstreams.
+        """Set this daemon's rank among those that use the same upstreams.
 
         :param share: its rank and their number.
         :param now: monotonic ms.
@@ -93,7 +94,7 @@
         self.fleet.set_share(share, now)
 
     def submit(self, item: work.Work, now: clock.Ms) -> decision.Verdict:
-        """Decide on a request that has just arrived.
+        """Decide on a new request.
 
         :param item: the request.
         :param now: monotonic ms.
@@ -103,7 +104,7 @@
     def finished(
         self, ticket: decision.Ticket, how: outcome.Outcome, now: clock.Ms
     ) -> _Decisions:
-        """Take in the end of an attempt; each ticket must get one.
+        """Record the end of an attempt; required once for each ticket.
 
         :param ticket: the attempt.
         :param how: its outcome.
@@ -119,7 +120,7 @@
         return self._requests.take_decisions()
 
     def cancel(self, request: str, now: clock.Ms) -> _Decisions:
-        """Drop a request whose caller has left.
+        """End a request whose caller has left.
 
         :param request: its id; one that has ended is ignored.
         :param now: monotonic ms.
@@ -128,7 +129,7 @@
         return self._requests.take_decisions()
 
     def tick(self, now: clock.Ms) -> _Decisions:
-        """Let time pass.
+        """Do what is due at a time.
 
         :param now: monotonic ms.
         """
@@ -141,7 +142,7 @@
         return self._requests.take_decisions()
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
-        """Take in a load report.
+        """Apply a load report.
 
         :param report: the report.
         :param now: monotonic ms.
@@ -152,37 +153,37 @@
     def accept_loan(
         self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
-        """Take a loan of a cold upstream's slots.
+        """Use a loan of a cold upstream's slots.
 
         :param upstream: its name.
         :param slots: requests in progress that it allows here.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         :param now: monotonic ms.
         """
         self.fleet.accept_loan(upstream, slots, expires_at, now)
 
     def needed_loans(self, now: clock.Ms) -> tuple[fleet.LoanRequest, ...]:
-        """Return the cold upstreams that this daemon needs loans of.
+        """Return the cold upstreams that need a loan.
 
         :param now: monotonic ms.
         """
         return self.fleet.needed_loans(now)
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
-        """Return the slots of an upstream that is warm, as seen here; else 0.
+        """Return an upstream's slots if this daemon sees it as warm, or 0.
 
         :param upstream: its name.
-        :param start_id: the start that is asked for.
+        :param start_id: the start in question.
         :param now: monotonic ms.
         """
         return self.fleet.warm_slots(upstream, start_id, now)
 
     def open_request_count(self) -> int:
-        """Return how many accepted requests have not ended."""
+        """Return the number of accepted requests that have not ended."""
         return len(self._requests)
 
     def recent_losses(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
-        """Return what peers should know of lost upstreams.
+        """Return the losses of upstreams to send to peers.
 
         :param now: monotonic ms.
         """
@@ -191,9 +192,9 @@
         )
 
     def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
-        """Take in a loss that a peer saw.
+        """Record a loss that a peer reported.
 
-        :param loss: what it told.
+        :param loss: the peer's report.
         :param now: monotonic ms.
         """
         self.monitor.record_remote_loss(loss, now)
--- a/src/citronvalve/policy/enginepace.py
+++ b/src/citronvalve/policy/enginepace.py
@@ -1,4 +1,4 @@
-"""How long an engine takes, worked out from its declared figures."""
+"""Latency predictions from an engine's declared figures."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Forecast(NamedTuple):
-    """Spans in ms: to the first event, between events, to the end."""
+    """Times in ms: to the first event, between events, to the end."""
 
     first: float
     gap: float
@@ -16,10 +16,10 @@
 
 
 class EnginePace:
-    """Predicts for one model of a service.
+    """Predicts the latency of one model of a service.
 
-    The figures are the engine's own: a pass reads waiting prompts in
-    pieces and then executes some steps for all that are writing.
+    A pass of the engine prefills waiting prompts in chunks, and then
+    executes a number of steps for all requests that are decoding.
 
     :param spec: the engine's declared figures.
     :param pace: the model's factor on all times.
@@ -30,9 +30,9 @@
         self._pace = pace
 
     def step_time(self, decoding: int) -> float:
-        """Return ms of one step.
+        """Return the duration of one step in ms.
 
-        :param writers: requests that are writing.
+        :param decoding: number of requests that are decoding.
         """
         spec = self._spec
         context = (
@@ -45,9 +45,9 @@
         return self._pace * (spec.step_time + each * decoding)
 
     def prefill_time(self, prompt: int) -> float:
-        """Return ms to read a prompt.
+        """Return the time to prefill a prompt in ms.
 
-        :param prompt: tokens.
+        :param prompt: length in tokens.
         """
         spec = self._spec
         pairs = prompt * prompt / 2 / _MILLION
@@ -57,12 +57,12 @@
         )
 
     def event_gap(self, decoding: int) -> float:
-        """Return ms between two events, with the usual prompts between.
+        """Return the time between two events in ms, prefill included.
 
-        Each request that ends is followed by one that is read, so of each
-        pass a part goes to reading: one usual prompt a request's passes.
+        Each request that ends is followed by one that is prefilled, which
+        adds one typical prefill per request, spread over its passes.
 
-        :param writers: requests that are writing.
+        :param decoding: number of requests that are decoding.
         """
         spec = self._spec
         steps = spec.steps_per_pass * self.step_time(decoding)
@@ -72,20 +72,21 @@
         )
 
     def forecast(self, load: float, prompt: int, answer: int) -> Forecast:
-        """Predict one request that is sent now.
+        """Predict the latency of a request that is sent now.
 
-        :param load: requests at the replica before it, running or waiting.
-        :param prompt: its tokens.
-        :param answer: tokens that it is expected to write.
+        :param load: requests at the replica before it, running or queued.
+        :param prompt: length of its prompt in tokens.
+        :param answer: expected length of the answer in tokens.
         """
         spec = self._spec
         running = min(round(load) + 1, spec.slots)
         gap = self.event_gap(running)
         passes = max(1.0, spec.typical_response_tokens / spec.steps_per_pass)
-        # Each place becomes free once in a usual answer's time.
+        # Each slot becomes free once per typical answer.
         free_interval = gap * passes / spec.slots
         queue = max(0.0, load + 1 - spec.slots)
-        # It comes in the middle of a pass, is read, and written by the next.
+        # It arrives in the middle of a pass, is prefilled, and gets its first
+        # event from the next pass.
         first = (
             0.5 * gap + self.prefill_time(prompt) + gap + queue * free_interval
         )
--- a/src/citronvalve/policy/estimate.py
+++ b/src/citronvalve/policy/estimate.py
@@ -1,43 +1,44 @@
-"""Service times, measured by model, prompt length and output length."""
+"""Estimates of service times by model, prompt and output length."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.policy import work
 
-#: Guess before a size was measured.  Too low only lets the first few
-#: requests in; too high would refuse them, and nothing would be measured.
+#: Estimate without samples.  A value that is too low only admits the first
+#: few requests; one that is too high would reject them, and no sample would
+#: correct it.
 _INITIAL_TIME: clock.Ms = 200
 
-#: Gain of one new sample once a size has been seen often: about the last
-#: ten answers count, which follows a new version within seconds of load.
+#: Smallest weight of a new sample: about the last ten answers count, which
+#: adapts to a new version within seconds of load.
 _GAIN = 0.1
 
-#: After this long without a sample half of the old ones' weight is gone.
+#: Half-life of the old samples' weight.
 _HALF_LIFE: clock.Ms = 60_000
 
-#: After this long without a sample an estimate is no reason to refuse: one
-#: that is too high would else refuse all such work and never be corrected.
+#: Age of the last sample from which an estimate is ignored.  Otherwise one
+#: that is too high would reject all such requests and never be corrected.
 _MAX_AGE: clock.Ms = 20_000
 
-#: One sample counts for at most this many times the mean, so that a slow
-#: upstream does not make the whole model look slow and its work refused.
+#: A sample is capped at this many times the mean, so that one slow upstream
+#: does not raise the model's estimate and get its requests rejected.
 _MAX_SAMPLE_RATIO = 4.0
 
-#: Deviations above the mean that an answer is given to finish: with fewer,
-#: accepted work finishes late.
+#: Mean deviations above the mean in the bound; with fewer, accepted
+#: requests finish late.
 _DEVIATIONS = 3.5
 
 
 class Expected(NamedTuple):
-    """Service time in ms: the mean, and one that nearly all stay under."""
+    """Service time in ms: the mean, and a bound that nearly all keep."""
 
     mean: clock.Ms
     bound: clock.Ms
 
 
 class _SizeStats:
-    """Mean and mean deviation of one size of work, in ms."""
+    """Mean and mean deviation of one size class, in ms."""
 
     __slots__ = ("deviation", "mean", "samples", "updated_at")
 
@@ -59,16 +60,16 @@
 
 
 def _work_units(item: work.Work) -> float:
-    # Reading a prompt token costs an engine a small part of what writing
-    # one costs; only sizes never seen before are scaled by this.
+    # Prefilling a token costs an engine a small part of decoding one.  Only
+    # sizes without samples are scaled by this.
     return 1 + item.output_tokens + item.prompt_tokens / 16
 
 
 class Estimator:
-    """Predicts how long work takes once it has a slot.
+    """Predicts the service time of a request, without its wait.
 
-    Made for traffic whose sizes differ a hundredfold: one mean over all
-    would admit long work that can't finish and refuse short work that can.
+    Sizes differ by a factor of a hundred: one mean over all of them would
+    admit long requests that can't finish and reject short ones that can.
     """
 
     def __init__(self) -> None:
@@ -76,9 +77,9 @@
         self._unit_stats_by_model: dict[str, _SizeStats] = {}
 
     def predict(self, item: work.Work, now: clock.Ms) -> Expected:
-        """Return how long the work takes.
+        """Return the expected service time.
 
-        :param item: the work.
+        :param item: the request.
         :param now: monotonic ms.
         """
         size = self._stats_by_key.get(self._key(item))
@@ -94,10 +95,10 @@
     def record(
         self, item: work.Work, elapsed: clock.Ms, now: clock.Ms
     ) -> None:
-        """Take in one answer.
+        """Record a service time.
 
-        :param item: the work that was done.
-        :param took: ms from sending to the whole answer.
+        :param item: the request.
+        :param elapsed: ms since it was sent.
         :param now: monotonic ms.
         """
         self._add(self._stats_by_key, self._key(item), elapsed, now)
@@ -114,6 +115,6 @@
 
     @staticmethod
     def _key(item: work.Work) -> tuple[str, int, int]:
-        # Powers of two: few enough sizes that each is measured often.
+        # Powers of two give few size classes, each with frequent samples.
         prompt = item.prompt_tokens.bit_length()
         return item.model, prompt, item.output_tokens.bit_length()
--- a/src/citronvalve/policy/fairshare.py
+++ b/src/citronvalve/policy/fairshare.py
@@ -1,4 +1,4 @@
-"""A queue of one model's work, fair between teams, urgent first in one."""
+"""A fair queue of one model's requests, by deadline within a team."""
 
 import bisect
 import collections.abc
@@ -10,7 +10,8 @@
 class QueuedRequest(NamedTuple):
     """One request in the queue; sorts by deadline, then by arrival.
 
-    ``cost`` is its expected and ``bound`` its cautious service time in ms.
+    ``cost`` is the expected service time in ms, and ``bound`` the time that
+    nearly all such requests stay under.
     """
 
     deadline: clock.Ms
@@ -22,7 +23,7 @@
 
 
 class _TeamQueue:
-    """One team's work, and how much service it has had."""
+    """One team's queued requests and the service that it has received."""
 
     __slots__ = ("by_deadline", "cost", "running", "virtual_time", "weight")
 
@@ -35,15 +36,14 @@
 
 
 class FairQueue:
-    """Weighted fair shares across teams, earliest deadline first in one.
-
-    Made for one team that sends several times its share: its own line
-    grows, and the others' work still finds the next free slot.  The next
-    slot goes to the team with the fewest in use for its weight, and among
-    equals to the one least served: equal slots at all times are equal
-    service.  Charging the whole cost at the start, as weighted fair
-    queueing does, would make a team's short work wait for seconds after
-    each of its long ones.
+    """Weighted fair shares across teams, earliest deadline first in each.
+
+    When a team sends several times its share, only its own queue grows; the
+    requests of others still get the next free slot.  The next slot goes to
+    the team with the fewest slots in use relative to its weight, and among
+    equals to the one that has received the least service.  Weighted fair
+    queueing, which charges the whole cost at the start, would delay a
+    team's short requests for seconds after each of its long ones.
     """
 
     def __init__(self) -> None:
@@ -57,11 +57,11 @@
 
     @property
     def cost(self) -> clock.Ms:
-        """Return the service time in ms of all that waits."""
+        """Return the total cost of the queued requests in ms."""
         return self._cost
 
     def items_of(self, team: str) -> collections.abc.Sequence[QueuedRequest]:
-        """Return a team's work, the most urgent first.
+        """Return a team's queued requests, the earliest deadline first.
 
         :param team: its name.
         """
@@ -69,14 +69,14 @@
         return queue.by_deadline if queue else ()
 
     def push(self, item: QueuedRequest) -> None:
-        """Add work.
+        """Add a request.
 
-        :param item: the work.
+        :param item: the request.
         """
         queue = self._queue_by_team.setdefault(item.team, _TeamQueue())
         if not queue.by_deadline:
-            # A team that was idle has no claim to the service it left to
-            # others; with one it could take every slot for a while.
+            # An idle team saves up no service; otherwise it could take
+            # every slot for a while.
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
         bisect.insort(queue.by_deadline, item)
         queue.cost += item.cost
@@ -84,9 +84,9 @@
         self._cost += item.cost
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take work out, wherever it stands.
+        """Remove a request from any position.
 
-        :param item: the work as it was pushed.
+        :param item: the request as it was pushed.
         """
         queue = self._queue_by_team[item.team]
         position = bisect.bisect_left(queue.by_deadline, item)
@@ -96,7 +96,7 @@
         self._cost -= item.cost
 
     def teams_by_turn(self) -> list[str]:
-        """Return the teams that wait, whose turn it is first."""
+        """Return the teams with queued requests, the next one first."""
         queue_by_team = self._queue_by_team
         waiting = [t for t, n in queue_by_team.items() if n.by_deadline]
         return sorted(waiting, key=lambda t: _turn_key(queue_by_team[t]))
@@ -104,7 +104,7 @@
     def record_start(self, team: str, cost: clock.Ms, weight: float) -> None:
         """Count an attempt that starts.
 
-        :param team: whose it is.
+        :param team: its team.
         :param cost: its expected service time in ms.
         :param weight: the team's weight, above 0.
         """
@@ -120,12 +120,12 @@
     def record_end(self, team: str) -> None:
         """Count an attempt that ended.
 
-        :param team: whose it was.
+        :param team: its team.
         """
         self._queue_by_team[team].running -= 1
 
     def items(self) -> collections.abc.Iterator[QueuedRequest]:
-        """Yield all that waits, in no order that means anything."""
+        """Yield all queued requests, in no particular order."""
         for queue in self._queue_by_team.values():
             yield from queue.by_deadline
 
--- a/src/citronvalve/policy/fleet.py
+++ b/src/citronvalve/policy/fleet.py
@@ -12,19 +12,19 @@
 from citronvalve.policy import freeslots
 from citronvalve.policy import limits
 
-#: Ticks in which the whole fleet is looked at once.
+#: Ticks in which the whole fleet is refreshed once.
 _TICKS_PER_ROUND = 8
 
 _NO_SLOTS: collections.Counter = collections.Counter()
 
 
 class LoanRequest(NamedTuple):
-    """A cold upstream that this daemon wants slots of.
+    """A request for a loan of a cold upstream's slots.
 
-    ``bound`` is what all daemons together may have there now, as this one
-    sees it; the keeper lends parts of it.  ``slots`` are asked for: no more
-    than this daemon would have of it warm, so that its loan fits beside the
-    parts of those that take the upstream for warm.
+    ``bound`` is the number of requests that all daemons together may run
+    there, as known here; the coordinator lends parts of it.  ``slots`` is
+    the requested number, at most this daemon's part when warm, so that the
+    loan fits beside the parts of daemons that see the upstream as warm.
     """
 
     upstream: str
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Keeps candidates, their allowances, and sums of these by model.
+    """All candidates, and the sums of their allowances by model.
 
     :param home: this daemon's data centre.
     """
@@ -52,9 +52,9 @@
         self._slots_by_model: dict[str, collections.Counter] = {}
 
     def set_share(self, share: limits.Share, now: clock.Ms) -> None:
-        """Set the number of daemons that use the same upstreams.
+        """Set this daemon's rank among those that use the same upstreams.
 
-        :param share: this daemon's place among them.
+        :param share: its rank and their number.
         :param now: monotonic ms.
         """
         self._share = share
@@ -66,7 +66,7 @@
         grouped: collections.abc.Iterable[declared.Upstream],
         now: clock.Ms,
     ) -> None:
-        """Apply the table and the upstreams that groups made.
+        """Apply the table and the upstreams of replica groups.
 
         :param table: the whole table.
         :param grouped: upstreams of replica groups.
@@ -81,12 +81,12 @@
             self._apply_upstream(table, upstream)
         for item in self.candidate_by_name.values():
             if item.upstream.datacentre in returning:
-                # What its engines had cached is old or gone.
+                # The caches of its engines are outdated or empty.
                 item.ramp.mark_cold(now)
         self._refresh_all(self.candidate_by_name.values(), now)
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
-        """Take in a load report; one of an unknown upstream is dropped.
+        """Apply a load report; one of an unknown upstream is ignored.
 
         :param report: the report.
         :param now: monotonic ms.
@@ -99,11 +99,11 @@
     def accept_loan(
         self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
-        """Take a loan of a cold upstream's slots.
+        """Use a loan of a cold upstream's slots.
 
         :param upstream: its name.
         :param slots: requests in progress that the loan allows.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         :param now: monotonic ms.
         """
         item = self.candidate_by_name.get(upstream)
@@ -112,11 +112,11 @@
             self.refresh(item, now)
 
     def tick(self, now: clock.Ms) -> None:
-        """Let time change what it changes: loans, circuits, ramps, age.
+        """Refresh part of the fleet after loans, circuits, ramps and age.
 
-        A part of the fleet each time: what an upstream may get is worked
-        out again before each start, so a late look only delays room that
-        opens, and a look at thousands every tick would cost a core.
+        An allowance is recomputed before each start, so that a late refresh
+        only delays the use of new slots, and a refresh of thousands of
+        upstreams at every tick would use up a core.
 
         :param now: monotonic ms.
         """
@@ -129,7 +129,7 @@
         self._next_index = (self._next_index + count) % max(1, len(names))
 
     def refresh(self, item: candidate.Candidate, now: clock.Ms) -> None:
-        """Work out what an upstream may get, after any change of it.
+        """Recompute an upstream's allowance after any change.
 
         :param item: the upstream.
         :param now: monotonic ms.
@@ -144,7 +144,7 @@
                 self.index_by_model[model].add(item)
 
     def slots(self, model: str) -> float:
-        """Return the requests of a model this daemon may have in progress.
+        """Return how many requests of a model this daemon may run.
 
         :param model: the model or plain service.
         """
@@ -166,7 +166,7 @@
         ]
 
     def no_slots_reason(self, model: str, now: clock.Ms) -> str:
-        """Tell in words why a model has no slots.
+        """Return a description of why a model has no slots.
 
         :param model: the model or plain service.
         :param now: monotonic ms.
@@ -175,14 +175,14 @@
         for item in self.serving(model):
             reason = item.block_reason(now)
             cold = "it is cold, and no slots of it are lent to this daemon"
-            full = "it bears no more"
+            full = "it has no slots for this daemon"
             not_blocked = cold if item.ramp.is_cold(now) else full
             counts[reason.value if reason else not_blocked] += 1
         parts = (f"{many} since {why}" for why, many in counts.items())
         return "; ".join(parts) or "none is declared"
 
     def start_id(self, upstream: str) -> str:
-        """Return the start of an upstream that was seen last.
+        """Return the last known start id of an upstream.
 
         :param upstream: its name.
         """
@@ -207,10 +207,10 @@
         )
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
-        """Return the slots of an upstream that is warm, as seen here; else 0.
+        """Return an upstream's slots if this daemon sees it as warm, or 0.
 
         :param upstream: its name.
-        :param start_id: the start that is asked for.
+        :param start_id: the start in question.
         :param now: monotonic ms.
         """
         item = self.candidate_by_name.get(upstream)
@@ -289,8 +289,8 @@
 def _is_same_upstream(
     old: candidate.Candidate, upstream: declared.Upstream
 ) -> bool:
-    # An upstream at another address or with other models is another one:
-    # what is known of the old one says nothing about it.
+    # An upstream at another address or with other models is a different
+    # one, to which the state of the old one does not apply.
     current = old.upstream
     return (current.address, current.datacentre, current.serves) == (
         upstream.address,
--- a/src/citronvalve/policy/freeslots.py
+++ b/src/citronvalve/policy/freeslots.py
@@ -1,4 +1,4 @@
-"""The upstreams of one model that may have room."""
+"""The upstreams of one model that may have free slots."""
 
 import random
 
@@ -9,10 +9,10 @@
 
 
 class FreeSlotIndex:
-    """Lists by tier, out of which full upstreams fall when they are met.
+    """Lists of upstreams by tier; full ones are removed when drawn.
 
-    Made for a fleet of thousands at saturation: looking through all of
-    them for the few with room would cost more than the request itself.
+    At saturation, a search through thousands of upstreams for the few with
+    free slots would cost more than the request itself.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._position_by_name: dict[str, int] = {}
 
     def add(self, item: candidate.Candidate) -> None:
-        """Put in an upstream that has room; it may be there already.
+        """Add an upstream with a free slot, unless it is in the index.
 
         :param item: the upstream.
         """
@@ -32,7 +32,7 @@
         tier.append(item)
 
     def remove(self, item: candidate.Candidate) -> None:
-        """Take out an upstream, if it is there.
+        """Remove an upstream, if it is in the index.
 
         :param item: the upstream.
         """
@@ -48,14 +48,14 @@
     def draw(
         self, tier: int, rng: random.Random
     ) -> candidate.Candidate | None:
-        """Return one with room by chance, or None when none is left.
+        """Return a random upstream with a free slot, or None.
 
         :param tier: the tier to draw from.
-        :param rng: source of chance.
+        :param rng: random source.
         """
         items = self._items_by_tier[tier]
         while items:
-            # Faster than choice(), and as even for so few.
+            # Faster than choice(), and close enough to uniform for so few.
             item = items[int(rng.random() * len(items))]
             if item.has_free_slot():
                 return item
@@ -63,7 +63,7 @@
         return None
 
     def in_tier(self, tier: int) -> list[candidate.Candidate]:
-        """Return all that may have room.
+        """Return all upstreams of a tier that may have a free slot.
 
         :param tier: the tier to list.
         """
--- a/src/citronvalve/policy/health.py
+++ b/src/citronvalve/policy/health.py
@@ -1,4 +1,4 @@
-"""What ended and overdue attempts say of the upstreams and the work."""
+"""Upstream health and request costs, learned from attempts."""
 
 from citronvalve.model import clock
 from citronvalve.model import declared
@@ -12,17 +12,17 @@
 from citronvalve.policy import outcome
 from citronvalve.policy import outlier
 
-#: An answer within this many times its expected time shows that a
-#: returning data centre bears what it has.
+#: An answer within this many times its expected time shows that a returning
+#: data centre can handle its current load.
 _ON_TIME_RATIO = 2.0
 
-#: Two tellings of one loss differ by no more than this; a ramp restarted by
-#: each of them would never end.
+#: Reports of the same loss differ by no more than this.  A ramp that each of
+#: them restarted would never end.
 _SAME_LOSS_WINDOW: clock.Ms = 2_000
 
 
 class HealthMonitor:
-    """Learns from attempts, and takes bad upstreams out of service.
+    """Learns from attempts, and takes unhealthy upstreams out of service.
 
     :param upstreams: the fleet.
     """
@@ -37,7 +37,7 @@
     def record_end(
         self, ended: attempt.Attempt, how: outcome.Outcome, now: clock.Ms
     ) -> None:
-        """Take in an attempt that ended.
+        """Record an attempt that ended.
 
         :param ended: the attempt.
         :param how: its outcome.
@@ -53,10 +53,10 @@
             self._record_failure(ended, how, now)
 
     def record_overdue(self, late: attempt.Attempt, now: clock.Ms) -> None:
-        """Take in an attempt that should have ended long ago.
+        """Record an attempt that is overdue.
 
-        An upstream that is ten times slower would else be found only after
-        ten times the service time, and get work all that while.
+        Otherwise an upstream that is ten times slower would be detected
+        only after ten times the service time, and get requests until then.
 
         :param late: the attempt.
         :param now: monotonic ms.
@@ -64,7 +64,7 @@
         self._update_latency(late, now)
 
     def handle_report(self, upstream: str, now: clock.Ms) -> None:
-        """Look at an upstream whose newest report was taken in.
+        """Handle a load report that was applied to an upstream.
 
         :param upstream: its name.
         :param now: monotonic ms.
@@ -80,13 +80,13 @@
             self.fence.clear_suspicions(upstream)
 
     def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
-        """Take in a loss that a peer saw.
+        """Record a loss that a peer reported.
 
-        Made for the daemons that had nothing on the lost upstream: their
-        last report shows it warm and free, and together they would fill it
-        in the first moments of its cold start.
+        Daemons without requests on the lost upstream still have a report
+        that shows it warm and free, and would together overload it right
+        after its cold start.
 
-        :param loss: what the peer told.
+        :param loss: the peer's report.
         :param now: monotonic ms.
         """
         self.fence.record_remote_loss(loss, now)
@@ -109,8 +109,8 @@
             self.affinity.add(prefix, target.name, now)
 
     def _record_cancelled(self, ended: attempt.Attempt, now: clock.Ms) -> None:
-        # It would have taken longer still.  Without this a size of work
-        # that always runs into its deadline would never be learned of.
+        # The request would have taken even longer.  Without this sample, a
+        # size that always misses its deadline would never be recorded.
         elapsed = now - ended.started
         if elapsed > ended.entry.expected.mean:
             self.estimator.record(ended.entry.work, elapsed, now)
@@ -130,8 +130,8 @@
             self._confirm_loss(target, now)
         traits = outcome.TRAITS_BY_OUTCOME[how]
         unreachable = how is outcome.Outcome.NOT_RUN
-        # The floor is for upstreams that still answer something.  One that
-        # can't be reached bears nothing, however many others are gone.
+        # The floor applies to upstreams that still answer.  An unreachable
+        # one has no capacity, however many others are out of service.
         if (
             traits.is_fatal
             or unreachable
@@ -140,7 +140,7 @@
             target.circuit.record_failure(now, traits.is_fatal)
 
     def tick(self, now: clock.Ms) -> None:
-        """Take upstreams for dead that have been silent for too long.
+        """Record suspected upstreams with an overdue report as lost.
 
         :param now: monotonic ms.
         """
@@ -151,7 +151,7 @@
                 self._record_loss(target, now)
 
     def is_fenced(self, fingerprint: str, now: clock.Ms) -> bool:
-        """Tell whether a request has cost too many upstreams.
+        """Return whether a request has crashed too many upstreams.
 
         :param fingerprint: the request's.
         :param now: monotonic ms.
@@ -160,7 +160,7 @@
         return lost >= self.switches.crashes_to_fence
 
     def is_suspect(self, fingerprint: str, now: clock.Ms) -> bool:
-        """Tell whether a request may have cost an upstream.
+        """Return whether a request may have crashed an upstream.
 
         :param fingerprint: the request's.
         :param now: monotonic ms.
@@ -170,7 +170,7 @@
         return lost + self.fence.suspicion_count(fingerprint) > 0
 
     def must_wait(self, fingerprint: str, now: clock.Ms) -> bool:
-        """Tell whether one more try could cost one upstream too many.
+        """Return whether another attempt could crash one upstream too many.
 
         :param fingerprint: the request's.
         :param now: monotonic ms.
@@ -189,8 +189,8 @@
 
     def _record_loss(self, target: candidate.Candidate, now: clock.Ms) -> None:
         self.affinity.drop_upstream(target.name)
-        # It comes back cold, and may do so before its next report: from
-        # here on it gets only what its keeper lends.
+        # It returns cold, perhaps before its next report: until then it
+        # gets only what its coordinator lends.
         target.record_loss(now)
 
     def _update_latency(
@@ -207,7 +207,7 @@
         share = self.switches.eject_share
         if outlier.may_eject(ratio, ratios, share, now):
             ratio.eject(now)
-            # A jump may also be a cold start that nobody told of.
+            # The cause may also be a cold start that was not reported.
             observed.candidate.ramp.mark_cold(now)
 
     def _may_open_circuit(
--- a/src/citronvalve/policy/limits.py
+++ b/src/citronvalve/policy/limits.py
@@ -1,4 +1,4 @@
-"""Requests in progress by team, model and data centre."""
+"""Limits on requests in progress by team, model and data centre."""
 
 import collections.abc
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Key(NamedTuple):
-    """What a limit is set on; equal to the key of its row."""
+    """What a limit applies to; equal to the key of its row."""
 
     team: str
     model: str
@@ -16,15 +16,15 @@
 
 
 class Share(NamedTuple):
-    """This daemon's place among those that share every limit."""
+    """This daemon's rank among those that share every limit."""
 
     rank: int
     members: int
 
     def of(self, slots: int) -> int:
-        """Return its fixed part; the parts of all add up to the whole.
+        """Return its fixed part; the parts of all members add up.
 
-        :param slots: the whole.
+        :param slots: the number of slots to divide.
         """
         whole, rest = divmod(slots, self.members)
         return whole + (self.rank < rest)
@@ -36,11 +36,12 @@
 
 
 class Limits:
-    """Counts what this daemon has in progress against its part of limits.
+    """Counts requests in progress against this daemon's part of the limits.
 
-    Made for a team whose burst must not take what operators set aside for
-    others.  The limit holds over all daemons: without a loan from its
-    keeper each uses a fixed part, so that no message is needed for safety.
+    The limits keep a team's burst from taking slots that are reserved for
+    others.  A limit applies to all daemons together: without a loan from
+    its coordinator each uses a fixed part, so that the limit is kept without
+    messages.
     """
 
     def __init__(self) -> None:
@@ -59,23 +60,23 @@
         self._limit_by_key = limit_by_key
 
     def set_share(self, share: Share) -> None:
-        """Set this daemon's place among the members.
+        """Set this daemon's rank among the members.
 
         :param share: its rank and their number.
         """
         self._share = share
 
     def accept_loan(self, key: Key, slots: int, expires_at: clock.Ms) -> None:
-        """Take a loan, in place of the fixed part.
+        """Use a loan instead of the fixed part.
 
         :param key: which limit.
         :param slots: requests in progress that it allows here.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         """
         self._loan_by_key[key] = _Loan(slots, expires_at)
 
     def allowed(self, key: Key, now: clock.Ms) -> float:
-        """Return the requests that may be in progress here.
+        """Return how many requests may be in progress here.
 
         :param key: which limit; infinite where there is none.
         :param now: monotonic ms.
@@ -89,7 +90,7 @@
         return self._share.of(limit.slots)
 
     def has_free_slot(self, key: Key, now: clock.Ms) -> bool:
-        """Tell whether one more may start.
+        """Return whether one more request may start.
 
         :param key: which limit.
         :param now: monotonic ms.
@@ -105,7 +106,7 @@
         datacentres: collections.abc.Iterable[str],
         now: clock.Ms,
     ) -> float:
-        """Return what all limits together leave to a team.
+        """Return how many requests of a team all limits together allow.
 
         :param team: the team.
         :param model: the model.
@@ -117,14 +118,14 @@
         )
 
     def acquire(self, key: Key) -> None:
-        """Count a start.
+        """Count a request that starts.
 
         :param key: which limit.
         """
         self._running_by_key[key] = self._running_by_key.get(key, 0) + 1
 
     def release(self, key: Key) -> None:
-        """Count an end.
+        """Count a request that ended.
 
         :param key: which limit.
         """
--- a/src/citronvalve/policy/outcome.py
+++ b/src/citronvalve/policy/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt ended, and what may follow from it."""
+"""Outcomes of attempts and their consequences."""
 
 import enum
 from typing import NamedTuple
@@ -7,33 +7,34 @@
 
 
 class Outcome(enum.StrEnum):
-    """What the task that carried an attempt saw."""
+    """How an attempt ended."""
 
-    #: The whole answer arrived.
+    #: The complete answer arrived.
     DONE = "done"
-    #: Never sent, since no connection came about.
+    #: Not sent, since no connection could be established.
     NOT_RUN = "not-run"
-    #: The upstream was full, said so, and did not run it.
+    #: The upstream rejected it as full and did not run it.
     BUSY = "busy"
-    #: The connection broke: the upstream may have died of it.
+    #: The connection broke; the request may have crashed the upstream.
     BROKEN = "broken"
-    #: The upstream fell silent; it may have run.
+    #: The upstream stopped sending; the request may have run.
     SILENT = "silent"
-    #: It answered what can't be passed on.
+    #: The answer is invalid and can't be forwarded.
     WRONG = "wrong"
-    #: It contradicted its answer; this request never goes there again.
+    #: The answer contradicts an earlier part of it; the request is never
+    #: sent to this upstream again.
     DIVERGED = "diverged"
-    #: The upstream died with the attempt on it.
+    #: The upstream died while it ran the attempt.
     CRASHED = "crashed"
-    #: Stopped because its caller left or another attempt won.
+    #: Stopped since the caller left or another attempt won.
     CANCELLED = "cancelled"
 
 
 class Traits(NamedTuple):
-    """What an outcome says of the work and of the upstream.
+    """What an outcome implies for the request and for the upstream.
 
-    ``fails`` counts against the upstream; ``fatal`` means that it is gone,
-    whatever share of the others is gone too.
+    ``is_failure`` counts against the upstream.  ``is_fatal`` takes the
+    upstream out of service, whatever share of the others is out already.
     """
 
     ran: ran.Ran
--- a/src/citronvalve/policy/outlier.py
+++ b/src/citronvalve/policy/outlier.py
@@ -1,32 +1,32 @@
-"""Upstreams that are much slower than the others."""
+"""Detection of upstreams that are much slower than the others."""
 
 import collections.abc
 import statistics
 
 from citronvalve.model import clock
 
-#: An upstream this many times slower than expected, and than the middle of
-#: its model, is an outlier.  Batching alone makes answers twice as long.
+#: An upstream is an outlier when it is this many times slower than expected
+#: and than its model's median.  Batching alone can double service times.
 _SLOW_RATIO = 3.0
 
-#: Samples before one is judged; a single long answer proves nothing.
+#: Samples needed for a decision; a single long answer is no evidence.
 _MIN_SAMPLES = 3
 
-#: Gain of one sample: three slow ones outweigh a good past.
+#: Weight of one sample: three slow ones outweigh a good history.
 _GAIN = 0.4
 
-#: Time out of service at first, doubled each time in a row.
+#: First ejection, doubled with each consecutive one.
 _FIRST_EJECTION: clock.Ms = 10_000
 
-#: Longest time, so that a mended upstream is used again soon.
+#: Longest ejection, so that a recovered upstream is soon used again.
 _MAX_EJECTION: clock.Ms = 120_000
 
 
 class LatencyRatio:
-    """How one upstream's answers compare with what was expected.
+    """The ratio of one upstream's service times to the expected ones.
 
     :ivar ratio: decayed mean of measured over expected time.
-    :ivar until: monotonic ms to which it is ejected.
+    :ivar ejected_until: when the ejection ends, in monotonic ms.
     """
 
     __slots__ = ("_next_ejection", "_samples", "ejected_until", "ratio")
@@ -38,22 +38,22 @@
         self._next_ejection = _FIRST_EJECTION
 
     def record(self, ratio: float) -> None:
-        """Take in one answer, or one that is overdue.
+        """Record an attempt that was answered or is overdue.
 
         :param ratio: measured over expected time.
         """
-        # One answer may not count for more than ten slow ones.
+        # One answer counts for no more than ten slow ones.
         self.ratio += _GAIN * (min(ratio, _SLOW_RATIO * 10) - self.ratio)
         self._samples += 1
         if self._samples > 10 * _MIN_SAMPLES and self.ratio < _SLOW_RATIO / 2:
             self._next_ejection = _FIRST_EJECTION
 
     def is_slow(self) -> bool:
-        """Tell whether it is worth comparing with the others."""
+        """Return whether it is slow enough to compare with the others."""
         return self._samples >= _MIN_SAMPLES and self.ratio >= _SLOW_RATIO
 
     def eject(self, now: clock.Ms) -> None:
-        """Put it out of service for a while; it is judged afresh after.
+        """Eject it for a while and reset its samples.
 
         :param now: monotonic ms.
         """
@@ -69,16 +69,15 @@
     share: float,
     now: clock.Ms,
 ) -> bool:
-    """Tell whether a slow upstream may go out of service.
+    """Return whether a slow upstream may be ejected.
 
-    Made for one upstream that turned slow: callers who get it are late.
-    When all are slow the load is the cause, and ejecting would put the same
-    load on fewer of them; hence the comparison with the middle one, and the
-    floor that always leaves most of them in service.
+    When all upstreams are slow, load is the cause, and ejecting some would
+    put the same load on fewer of them.  So the ratio has to stand out from
+    the median, and ``share`` limits how many are ejected at once.
 
-    :param pace: the one in question.
-    :param others: all of the same model, it included.
-    :param share: most of them that may be out at once.
+    :param ratio: the slow upstream's.
+    :param others: those of all upstreams of the model, this one included.
+    :param share: largest share of them that may be ejected at once.
     :param now: monotonic ms.
     """
     ejected = sum(other.ejected_until > now for other in others)
--- a/src/citronvalve/policy/placement.py
+++ b/src/citronvalve/policy/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request."""
+"""Selection of the upstream for a request."""
 
 import abc
 import collections.abc
@@ -9,29 +9,29 @@
 from citronvalve.policy import candidate
 from citronvalve.policy import freeslots
 
-#: Draws in one tier before all of it is looked through; only upstreams
-#: that this request may not use make a draw fail.
+#: Draws in one tier before all of it is searched.  A draw fails only for
+#: upstreams that the request may not use.
 _MAX_DRAWS = 6
 
-#: Likely holders of the prompt's prefix that are weighed as well.
+#: Likely holders of the prompt's prefix that are compared as well.
 _MAX_HOLDERS = 2
 
-#: Time in ms to read one token of a prompt that is not cached: what a
-#: wrong guess costs, so it only has to be of the right size.
+#: Time to prefill one token that is not cached.  It only has to be of the
+#: right order of magnitude.
 _PREFILL_MS_PER_TOKEN = 0.1
 
 
-#: Times in ms there and back, by tier, until they are measured: the data
-#: centres of one region are about a millisecond apart one way.
+#: Assumed round-trip times by tier.  The data centres of one region are
+#: about a millisecond apart one way.
 ROUND_TRIP_BY_TIER: tuple[clock.Ms, ...] = (0, 2, 60)
 
 
 class PlacementRequest(NamedTuple):
-    """What placement needs to know of a request.
+    """The properties of a request that placement depends on.
 
-    ``allows`` tells whether limits, earlier attempts and suspects let it
-    go to a candidate; ``belief_by_name`` are likely holders of its prefix;
-    ``service`` is its expected service time in ms.
+    ``allows`` returns whether limits, earlier attempts and suspects permit
+    a candidate.  ``cache_probability_by_name`` has the likely holders of
+    the request's prefix, and ``service`` is its expected service time in ms.
     """
 
     allows: collections.abc.Callable[[candidate.Candidate], bool]
@@ -41,7 +41,7 @@
 
 
 class Placement(abc.ABC):
-    """A way to choose; it sees loads that are seconds old."""
+    """A placement strategy; the loads it uses are seconds old."""
 
     @abc.abstractmethod
     def pick(
@@ -51,27 +51,27 @@
         request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
-        """Return an upstream with room, or None.
+        """Return an upstream with a free slot, or None.
 
-        :param index: who may have room.
+        :param index: the upstreams that may have free slots.
         :param holders: likely holders of the prompt's prefix.
-        :param wish: the request.
-        :param rng: source of chance.
+        :param request: the request.
+        :param rng: random source.
         """
 
 
 def placement_cost(
     item: candidate.Candidate, request: PlacementRequest, round_trip: clock.Ms
 ) -> float:
-    """Return what an upstream would cost the caller, as ms.
+    """Return the estimated delay of a request at an upstream in ms.
 
-    The load counts as a part of the service time, since an engine that
-    batches more gives each request less; the weight of the table divides
-    it, so that twice the weight draws about twice the work.
+    The load adds a part of the service time, since requests in a larger
+    batch are slower.  It is divided by the declared weight, so that twice
+    the weight attracts about twice the requests.
 
     :param item: the upstream.
-    :param wish: the request.
-    :param distance: ms there and back.
+    :param request: the request.
+    :param round_trip: round-trip time in ms.
     """
     upstream = item.upstream
     load = (item.running + 1) / (upstream.slots * upstream.weight)
@@ -85,13 +85,13 @@
 
 
 class TwoChoices(Placement):
-    """The better of two drawn by chance, and of likely holders.
+    """The power of two choices, with likely prefix holders added.
 
-    Made for reports that are seconds old and many daemons that decide on
-    the same ones: the best of all would be the same for each of them, and
-    they would all send there until the next report.
+    Many daemons decide on the same reports, which are seconds old.  If each
+    took the best of all upstreams, they would all send their requests there
+    until the next report.
 
-    :param distance_by_tier: ms there and back, by tier.
+    :param round_trip_by_tier: round-trip times in ms, by tier.
     """
 
     def __init__(self, round_trip_by_tier: tuple[clock.Ms, ...]) -> None:
@@ -104,7 +104,7 @@
         request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
-        """Return the cheapest of a few, or None when nobody has room."""
+        """Return the cheapest of a few, or None without a free slot."""
         drawn: list[candidate.Candidate] = []
         for tier in range(freeslots.TIERS):
             drawn = self._draw(index, tier, request, rng)
@@ -145,8 +145,8 @@
                 return found
         if found:
             return found
-        # Limits or earlier attempts rule most of them out: look at each,
-        # since "nobody has room" would be told to the caller.
+        # Limits or earlier attempts exclude most of them.  Check each one,
+        # since the caller is rejected if none is found.
         return [
             item
             for item in index.in_tier(tier)
--- a/src/citronvalve/policy/ramp.py
+++ b/src/citronvalve/policy/ramp.py
@@ -1,4 +1,4 @@
-"""How much an upstream in a cold start may hold, over all daemons."""
+"""The slots of an upstream during a cold start, over all daemons."""
 
 from citronvalve.model import clock
 from citronvalve.model import declared
@@ -8,10 +8,10 @@
 class Ramp:
     """The cold start of one upstream.
 
-    Made for upstreams that fall over when they get full load right after a
-    start.  The bound is one for all daemons together: a keeper lends parts
-    of it, and a daemon without a loan sends nothing, since several daemons
-    that each trusted a share of their own would together exceed it.
+    Upstreams crash when they get full load right after a start.  The bound
+    applies to all daemons together: the coordinator lends parts of it, and
+    a daemon without a loan sends nothing, since daemons that each assumed a
+    share of their own would exceed it together.
 
     :param upstream: the declared slots and ramp.
     """
@@ -23,7 +23,7 @@
         self._cold_since: clock.Ms | None = None
 
     def observe(self, report: load.LoadReport) -> None:
-        """Take in a report and notice a new start.
+        """Apply a load report and detect a new start.
 
         :param report: the newest report of this upstream.
         """
@@ -33,17 +33,17 @@
         self._capacity = report.capacity
 
     def mark_cold(self, now: clock.Ms) -> None:
-        """Take the upstream for cold, though it did not say so.
+        """Treat the upstream as cold although it did not report a start.
 
-        For an upstream whose service times jumped and for one whose data
-        centre comes back: its caches are empty.
+        Used when its service times jumped, when it was lost, and when its
+        data centre returns with caches that are empty or outdated.
 
         :param now: monotonic ms.
         """
         self._cold_since = now
 
     def is_cold(self, now: clock.Ms) -> bool:
-        """Tell whether work needs a loan.
+        """Return whether the upstream is cold, so that requests need a loan.
 
         :param now: monotonic ms.
         """
@@ -55,10 +55,11 @@
         return self._cold_since is not None
 
     def bound(self, now: clock.Ms) -> int:
-        """Return how many requests all daemons together may have there.
+        """Return how many requests all daemons together may run there.
 
-        The least of what it says it bears and of a line from ``cold_slots``
-        to ``slots``: the first is late, the second can't see a slow start.
+        The minimum of the reported capacity, which arrives late, and of a
+        linear ramp from ``cold_slots`` to ``slots``, which does not notice
+        a start that is slower than declared.
 
         :param now: monotonic ms.
         """
@@ -76,7 +77,7 @@
             return weak
         if report.start_id != self._start_id:
             return True
-        # It fell back under the same start id: it now bears no more than a
-        # cold one, and it bore more before.
+        # It became cold again under the same start id: its capacity fell to
+        # that of a cold upstream.
         fell = report.capacity <= self.upstream.cold_slots < self._capacity
         return weak and fell and self._cold_since is None
--- a/src/citronvalve/policy/refusals.py
+++ b/src/citronvalve/policy/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals that the decisions give, with their remedies."""
+"""Refusals of requests, with their details and remedies."""
 
 import random
 
@@ -28,9 +28,9 @@
 
 
 class Refusals:
-    """Builds refusals; each tells when to come back, spread by chance.
+    """Builds refusals, each with a randomized retry delay.
 
-    :param rng: source of chance.
+    :param rng: random source.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -43,12 +43,12 @@
         excess: clock.Ms = 0,
         has_run: ran.Ran = ran.Ran.NO,
     ) -> refusal.Refusal:
-        """Return a refusal.
+        """Return a refusal of any kind.
 
-        :param kind: why.
-        :param detail: what was seen.
-        :param excess: ms by which the work would have been late.
-        :param has_run: whether it was run.
+        :param kind: its kind.
+        :param detail: the cause.
+        :param excess: ms by which the request would have been late.
+        :param has_run: whether the request ran.
         """
         return refusal.Refusal(
             kind,
@@ -65,12 +65,12 @@
         wait: clock.Ms = 0,
         kind: refusal.RefusalKind = refusal.RefusalKind.NO_TIME,
     ) -> refusal.Refusal:
-        """Return the refusal of work that can't be done in time.
+        """Return the refusal of a request that would miss its deadline.
 
         :param entry: the request.
         :param now: monotonic ms.
-        :param wait: ms that it would wait first.
-        :param kind: why it can't.
+        :param wait: predicted wait in ms.
+        :param kind: the cause, unless the deadline has passed.
         """
         deadline = entry.work.deadline
         late = now + wait + entry.expected.bound - deadline
@@ -86,16 +86,15 @@
         fenced: bool,
         now: clock.Ms,
     ) -> refusal.Refusal:
-        """Return the refusal of work whose last attempt failed.
+        """Return the refusal of a request whose last attempt failed.
 
         :param entry: the request.
         :param how: how the attempt ended.
-        :param fenced: whether it has cost too many upstreams.
+        :param fenced: whether the request has crashed too many upstreams.
         :param now: monotonic ms.
         """
         if not fenced and entry.would_be_late(now):
-            # Another try would end after the deadline, so that this is
-            # already known to be the end.
+            # No further attempt can finish before the deadline.
             passed = refusal.RefusalKind.DEADLINE_PASSED
             return self.late(entry, now, 0, passed)
         kind = refusal.RefusalKind.UPSTREAM_FAILED
@@ -110,10 +109,10 @@
         return self.build(refusal.RefusalKind.FENCED_OFF, detail)
 
     def no_upstream(self, entry: attempt.Entry, why: str) -> refusal.Refusal:
-        """Return the refusal of work that no upstream can take.
+        """Return the refusal of a request that no upstream can serve.
 
         :param entry: the request.
-        :param why: what keeps the upstreams away.
+        :param why: why no upstream is available.
         """
         model = entry.work.model
         detail = f"no upstream of {model} is in service: {why}"
--- a/src/citronvalve/policy/requests.py
+++ b/src/citronvalve/policy/requests.py
@@ -1,4 +1,4 @@
-"""Requests from their arrival to their one end."""
+"""The lifecycle of requests, from arrival to their end."""
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
@@ -18,20 +18,21 @@
 
 _Kind = refusal.RefusalKind
 
-#: Places of a team's line that are looked at for work that may start now.
+#: Entries at the head of a team's queue that are checked for a request that
+#: can start now.
 _MAX_SCANNED = 4
 
 
 class Requests:
-    """Accepts requests, queues them, and gives each exactly one end.
+    """Accepts and queues requests, and ends each of them exactly once.
 
     :param upstreams: the fleet.
     :param caps: limits by team, model and data centre.
-    :param wise: knows service times, caches and crashes.
-    :param starts: starts attempts.
-    :param answers: builds refusals.
-    :param invariants: asserts the promises.
-    :ivar weight_by_team: from the table.
+    :param monitor: tracks service times, caches and crashes.
+    :param attempt_starter: starts attempts.
+    :param refusal_builder: builds refusals.
+    :param invariants: checks the invariants.
+    :ivar weight_by_team: the declared weights.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         return len(self._entry_by_request)
 
     def submit(self, item: work.Work, now: clock.Ms) -> decision.Verdict:
-        """Start, queue or refuse a request at once.
+        """Start, queue or reject a request at once.
 
         :param item: the request.
         :param now: monotonic ms.
@@ -82,7 +83,7 @@
     def handle_end(
         self, ended: attempt.Attempt, how: outcome.Outcome, now: clock.Ms
     ) -> None:
-        """Decide what an attempt's end means for its request.
+        """Finish, retry or reject a request whose attempt ended.
 
         :param ended: the attempt.
         :param how: its outcome.
@@ -109,7 +110,7 @@
             self._give_up(entry, how, now)
 
     def cancel(self, request: str, now: clock.Ms) -> None:
-        """Forget a request whose caller has left.
+        """End a request whose caller has left.
 
         :param request: its id; one that has ended is ignored.
         :param now: monotonic ms.
@@ -120,9 +121,9 @@
             self.start_queued(entry.work.model, now)
 
     def start_queued(self, model: str, now: clock.Ms) -> None:
-        """Start what waits, as far as there is room.
+        """Start queued requests while there are free slots.
 
-        :param model: whose queue.
+        :param model: the model or plain service.
         :param now: monotonic ms.
         """
         model_backlog = self._backlog(model)
@@ -130,12 +131,12 @@
             pass
 
     def tick(self, now: clock.Ms) -> None:
-        """Give up what can't be in time any more, and start what can.
+        """Reject queued requests that would be late, and start others.
 
         :param now: monotonic ms.
         """
         for model, model_backlog in self._backlog_by_model.items():
-            # Without any slot nothing tells how long the wait would be.
+            # Without slots the wait can't be predicted.
             no_slots = model_backlog.queue and self._fleet.slots(model) <= 0
             for item in list(model_backlog.queue.items()):
                 entry = self._entry_by_request[item.request]
@@ -146,11 +147,11 @@
             self.start_queued(model, now)
 
     def hedge(self, late: attempt.Attempt, now: clock.Ms) -> None:
-        """Run a second copy of an overdue request, within the budget.
+        """Start a second copy of an overdue request, within the budget.
 
-        Made for an upstream that turned slow with requests on it.  Off
-        unless the table gives it a share, since under saturation each copy
-        takes a slot from another caller.
+        It rescues requests on an upstream that became slow.  Hedging is off
+        unless a share is declared, since under saturation each copy takes a
+        slot from another caller.
 
         :param late: the attempt that is overdue.
         :param now: monotonic ms.
@@ -170,7 +171,7 @@
             self._decisions.append(started)
 
     def take_decisions(self) -> tuple[decision.Decision, ...]:
-        """Return what was decided since the last call."""
+        """Return the decisions made since the last call."""
         decisions, self._decisions = tuple(self._decisions), []
         return decisions
 
@@ -216,8 +217,8 @@
     def _take_start(
         self, entry: attempt.Entry, wait: clock.Ms
     ) -> decision.Verdict:
-        # Other work waits for another reason, such as its limit, and this
-        # one may have started past it.
+        # The queued requests may have to wait for another reason, such as
+        # a limit, so that the new one starts before them.
         for index, decided in enumerate(self._decisions):
             if (
                 isinstance(decided, decision.Start)
@@ -283,7 +284,7 @@
         if self._monitor.is_fenced(fingerprint, now):
             return False
         if self._fleet.slots(entry.work.model) <= 0:
-            # Nobody is left to ask, and nothing tells for how long.
+            # No upstream is left, and the wait can't be predicted.
             return False
         if entry.would_be_late(now) or not self._retries.spend(now):
             return False
--- a/src/citronvalve/policy/retries.py
+++ b/src/citronvalve/policy/retries.py
@@ -1,31 +1,31 @@
-"""How many attempts may follow failed ones."""
+"""Budgets for retries and hedges."""
 
 from citronvalve.model import clock
 from citronvalve.model import invariant
 from citronvalve.model import ran
 from citronvalve.policy import outcome
 
-#: Second attempts that need not be earned, refilled with time.  A quiet
-#: daemon has too few first tries to earn one before it is needed, and so
-#: few more attempts can overload nobody.
+#: Attempts in the budget that need not be earned, refilled with time.  A
+#: daemon with few requests could not earn a retry before it needs one, and
+#: so few extra attempts overload no upstream.
 RESERVE = 10.0
 
-#: Refill of the reserve, in attempts a second.
+#: Refill of the reserve, in attempts per second.
 _REFILL_PER_SECOND = 2.0
 
-#: Most that idle time may save up.  When every upstream fails at once, more
-#: would let a long quiet spell pay for a storm of retries.
+#: Largest balance.  With more, a long quiet period would pay for a retry
+#: storm when every upstream fails at once.
 _MAX_BALANCE = 20.0
 
 
 class AttemptBudget:
-    """Second attempts as a share of first tries.
+    """Limits additional attempts to a share of the first attempts.
 
-    Made for the moment when upstreams fail because they are overloaded:
-    retries without a budget multiply the load and keep them down.
+    When upstreams fail because they are overloaded, retries without a
+    budget multiply the load and keep them down.
 
-    :param name: which budget, for the invariant.
-    :param invariants: asserts that the budget holds.
+    :param name: kind of attempts, part of the invariant's name.
+    :param invariants: checks that the budget is kept.
     """
 
     def __init__(self, name: str, invariants: invariant.Invariants) -> None:
@@ -37,15 +37,15 @@
         self._refilled_at: clock.Ms | None = None
 
     def earn(self, share: float) -> None:
-        """Count a first try.
+        """Add to the budget for a first attempt.
 
-        :param share: second attempts that it pays for.
+        :param share: additional attempts that it pays for.
         """
         self._earned += share
         self._balance = min(self._balance + share, _MAX_BALANCE)
 
     def spend(self, now: clock.Ms) -> bool:
-        """Take one second attempt, or return False.
+        """Take one attempt from the budget, or return False if it is empty.
 
         :param now: monotonic ms.
         """
@@ -73,13 +73,13 @@
 
 
 def may_retry(ended: outcome.Outcome, repeatable: bool) -> bool:
-    """Tell whether another attempt can do no harm.
+    """Return whether a request may be retried after an attempt.
 
-    Work that may have run and may not be repeated is never retried: a
-    second run would be a second certificate or confirmation.
+    A request that may have run and is not repeatable is never retried,
+    since it could run twice and, for example, issue two certificates.
 
     :param ended: how the attempt ended.
-    :param repeatable: whether the work may run more than once.
+    :param repeatable: whether the request may run more than once.
     """
     if ended not in outcome.UNANSWERED:
         return False
--- a/src/citronvalve/policy/retrybudget.py
+++ b/src/citronvalve/policy/retrybudget.py
@@ -1,20 +1,21 @@
-"""How many requests may be sent to a second upstream."""
+"""The retry budget of a service within a sliding window."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.policy import slidingcount
 
-#: Part of the declared budget that is used.  Daemons cut their windows at
-#: other moments than whoever checks them, and count a repeat when they send
-#: it, not when it arrives.
+#: Part of the declared budget that is used.  Whoever checks the bound uses
+#: other window boundaries, and counts a retry when it arrives rather than
+#: when it is sent.
 _USABLE_SHARE = 0.8
 
 
 class RetryLimits(NamedTuple):
-    """The bound on repeats of a service, over all daemons together.
+    """The bound on the retries of a service, over all daemons together.
 
-    In any ``window`` ms it may get ``share`` a request, and ``slack`` more.
+    In any ``window`` ms there may be ``share`` retries per request, and
+    ``slack`` more.
     """
 
     share: float
@@ -23,16 +24,15 @@
 
 
 class RetryBudget:
-    """One daemon's part of a service's repeats.
+    """One daemon's part of a service's retry budget.
 
-    Made for upstreams that fail because they are overloaded: repeats without
-    a bound would keep them down.  The share is taken of this daemon's own
-    requests and the slack is divided by the daemons, so that the sum keeps
-    the bound without a message between them, also when they are cut off
-    from each other.
+    Retries without a bound would keep overloaded upstreams down.  Each
+    daemon applies the share to its own requests and divides the slack by
+    the number of daemons, so that the sum keeps the bound without messages
+    between them, also during a network partition.
 
-    :param terms: the declared bound.
-    :ivar terms: the same; share and slack may be replaced.
+    :param limits: the declared bound.
+    :ivar limits: the same; share and slack may be replaced.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -48,9 +48,9 @@
         self._requests.add(now)
 
     def allows(self, daemons: int, now: clock.Ms) -> bool:
-        """Tell whether the window holds one more repeat.
+        """Return whether one more retry is within the budget.
 
-        :param daemons: how many share the slack.
+        :param daemons: number of daemons that share the slack.
         :param now: monotonic ms.
         """
         earned = self.limits.share * self._requests.count(now)
@@ -58,9 +58,9 @@
         return self._retries.count(now) + 1 <= _USABLE_SHARE * (earned + slack)
 
     def spend(self, daemons: int, now: clock.Ms) -> bool:
-        """Take one repeat, or return False when the window holds no more.
+        """Take one retry, or return False if the budget is used up.
 
-        :param daemons: how many share the slack.
+        :param daemons: number of daemons that share the slack.
         :param now: monotonic ms.
         """
         if not self.allows(daemons, now):
--- a/src/citronvalve/policy/slidingcount.py
+++ b/src/citronvalve/policy/slidingcount.py
@@ -1,4 +1,4 @@
-"""How many things happened within the last span of time."""
+"""A count of events within a sliding window of time."""
 
 import collections
 
@@ -6,9 +6,9 @@
 
 
 class SlidingCount:
-    """Counts over a window that moves with time, exact to the ms.
+    """Counts events in a sliding window, exact to the ms.
 
-    :param span: ms of the window.
+    :param window: its length in ms.
     """
 
     __slots__ = ("_times", "_window")
@@ -18,14 +18,14 @@
         self._times: collections.deque[clock.Ms] = collections.deque()
 
     def add(self, now: clock.Ms) -> None:
-        """Count one.
+        """Count an event.
 
-        :param now: monotonic ms, never before an earlier one.
+        :param now: monotonic ms, never less than in an earlier call.
         """
         self._times.append(now)
 
     def count(self, now: clock.Ms) -> int:
-        """Return how many lie within the window that ends now.
+        """Return the number of events in the window that ends now.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/policy/starter.py
+++ b/src/citronvalve/policy/starter.py
@@ -1,4 +1,4 @@
-"""Starts attempts and ends them, and keeps those in progress."""
+"""Starts and ends attempts, and tracks those in progress."""
 
 import collections
 import heapq
@@ -15,20 +15,20 @@
 from citronvalve.policy import limits
 from citronvalve.policy import placement
 
-#: An attempt is overdue after this many times its bound, and again after
-#: each doubling.
+#: An attempt is overdue after this many times its expected bound, and again
+#: each time its duration has doubled.
 _OVERDUE_RATIO = 2
 
 
 class Starter:
-    """Carries each attempt from its place to its end.
+    """Places requests, and accounts for their attempts until they end.
 
     :param upstreams: the fleet.
     :param caps: limits by team, model and data centre.
-    :param wise: knows service times, caches and crashes.
-    :param chooser: how to place.
-    :param rng: source of chance.
-    :param invariants: asserts the promises.
+    :param monitor: tracks service times, caches and crashes.
+    :param chooser: the placement strategy.
+    :param rng: random source.
+    :param invariants: checks the invariants.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
     def start(
         self, entry: attempt.Entry, now: clock.Ms, hedge: bool = False
     ) -> decision.Start | None:
-        """Place a request and start it, or return None without room.
+        """Place and start a request; return None without a free slot.
 
         :param entry: the request.
         :param now: monotonic ms.
-        :param hedge: whether it runs beside another attempt.
+        :param hedge: whether it runs in parallel with another attempt.
         """
         target = self._place(entry, now)
         if target is None:
@@ -87,7 +87,7 @@
     def end(
         self, ticket: decision.Ticket, now: clock.Ms
     ) -> attempt.Attempt | None:
-        """Give back what an attempt held; None when it already ended.
+        """Release an attempt's slots; return None if it ended before.
 
         :param ticket: the attempt.
         :param now: monotonic ms.
@@ -107,7 +107,7 @@
         return ended
 
     def refresh_upstream(self, ended: attempt.Attempt, now: clock.Ms) -> None:
-        """Offer the room of an attempt that ended and was judged.
+        """Make the slot of an attempt that ended available again.
 
         :param ended: the attempt.
         :param now: monotonic ms.
@@ -117,7 +117,7 @@
             self._fleet.refresh(ended.candidate, now)
 
     def overdue(self, now: clock.Ms) -> list[attempt.Attempt]:
-        """Return the attempts that should have ended long ago.
+        """Return the attempts that have become overdue.
 
         :param now: monotonic ms.
         """
@@ -132,7 +132,7 @@
         return late
 
     def is_only_copy(self, fingerprint: str) -> bool:
-        """Tell whether no other copy of a suspect is in progress.
+        """Return whether no other copy of a request is in progress.
 
         :param fingerprint: the request's.
         """
@@ -147,9 +147,9 @@
         if index is None:
             return None
         fingerprint = item.fingerprint
-        # Two copies at once could cost two more upstreams before the first
-        # is known to have cost one.  The second waits: most suspects turn
-        # out to be harmless, and then all copies run.
+        # Two copies at once could crash two more upstreams before the first
+        # crash is known.  The second copy waits: most suspects turn out to
+        # be harmless, and then all copies run.
         if entry.suspect and not self.is_only_copy(fingerprint):
             return None
         if self._monitor.must_wait(fingerprint, now):
@@ -160,8 +160,8 @@
             and entry.failed_upstreams
             and not self._has_alternative(entry, now)
         ):
-            # The only one left may be better by now, and a broken
-            # connection to it need not mean that the next one breaks.
+            # No alternative is left.  The upstream may have recovered, and
+            # the next connection to it need not break.
             chosen = self._pick(entry, index, entry.excluded_upstreams, now)
         return chosen
 
@@ -202,15 +202,15 @@
         excluded: set[str],
         now: clock.Ms,
     ) -> bool:
-        # Time may have closed it since the last look: a loan or a group's
-        # state ran out.
+        # Its allowance may be outdated, for example after a loan or a
+        # group's state has expired.
         self._fleet.refresh(target, now)
         if not target.has_free_slot() or target.name in excluded:
             return False
         if entry.work.model not in target.upstream.serves:
             return False
-        # Two suspects side by side would both be marked by one crash, and
-        # the harmless one would be refused with the other.
+        # One crash would mark two suspects on the same upstream, and the
+        # harmless one would be fenced with the other.
         if entry.suspect and target.suspects:
             return False
         return self._limits.has_free_slot(_key(entry, target), now)
--- a/src/citronvalve/policy/upstreamchoice.py
+++ b/src/citronvalve/policy/upstreamchoice.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a request, or says when there will be room."""
+"""Choice of the upstream for a request by its predicted latency."""
 
 from collections.abc import Iterable
 import random
@@ -9,17 +9,17 @@
 from citronvalve.policy import enginepace
 from citronvalve.policy import upstreamload
 
-#: Spread in ms that is added by chance: daemons that choose at the same
-#: moment from the same news would otherwise all choose the same upstream.
+#: Random spread in ms.  Otherwise all daemons that choose at the same time
+#: from the same loads would choose the same upstream.
 _JITTER = 8.0
 
-#: An upstream of another data centre is taken when it is this many ms
-#: better: bytes between data centres are paid for, and a cut takes it away.
+#: Penalty in ms for an upstream of another data centre: traffic between data
+#: centres costs money, and a network partition cuts the upstream off.
 _REMOTE_PENALTY = 40.0
 
 
 class Candidate(NamedTuple):
-    """An upstream that may take the request; ``far`` is ms one way."""
+    """A possible upstream; ``latency`` is the one-way time in ms."""
 
     upstream: str
     slots: int
@@ -28,10 +28,10 @@
 
 
 class Chosen(NamedTuple):
-    """The upstream and what is expected of it.
+    """The chosen upstream and its forecast.
 
-    ``late`` tells that the first event will miss its objective: the request
-    then takes only a place that none which can be in time waits for.
+    ``late`` means that the first event will miss its objective; the request
+    then takes only a slot that no request that can be in time waits for.
     """
 
     upstream: str
@@ -40,17 +40,17 @@
 
 
 class Full(NamedTuple):
-    """No upstream takes it in time; there may be room in ``back_in`` ms."""
+    """No upstream is in time; there may be a free slot in ``retry_in`` ms."""
 
     retry_in: clock.Ms
     candidates: int
 
 
 class Job(NamedTuple):
-    """What is known of a request's size.
+    """The size of a request and its time limits.
 
-    ``objective`` is the ms within which its first event is in time,
-    ``patience`` the most at which it is still worth starting.
+    ``objective`` is the target for the first event in ms, and ``patience``
+    the longest time to the first event at which it is still started.
     """
 
     prompt: int
@@ -62,7 +62,7 @@
 class LoadTable:
     """The loads of all upstreams, by id.
 
-    :ivar load_by_upstream: made at the first use.
+    :ivar load_by_upstream: the loads; each is created on first use.
     """
 
     def __init__(self) -> None:
@@ -80,9 +80,9 @@
         return upstream_load
 
     def retain(self, upstreams: set[str]) -> None:
-        """Drop upstreams that are gone and have no request of ours.
+        """Drop all other upstreams without requests of this daemon.
 
-        :param upstreams: the ids that are still there.
+        :param upstreams: the ids to keep.
         """
         for upstream, held in list(self.load_by_upstream.items()):
             if upstream not in upstreams and not held.own:
@@ -90,15 +90,15 @@
 
 
 class UpstreamChoice:
-    """Takes the upstream with the earliest expected first event.
+    """Chooses the upstream with the earliest predicted first event.
 
-    Made for more load than the replicas bear.  Who can be in time goes
-    first; who can't takes places that are left, since a late answer is worth
-    a part of one in time, and each that went ahead would make another late.
-    Who could not even begin within its patience is refused at once.
+    Under overload, requests that can meet their objective go first.  Late
+    ones take the slots that are left: a late answer is worth less than one
+    in time, and each late request that went first would delay another.  A
+    request that can't even start within its patience is rejected at once.
 
-    :param book: the loads.
-    :param chance: breaks ties.
+    :param loads: the loads.
+    :param rng: random source of the spread.
     """
 
     def __init__(self, loads: LoadTable, rng: random.Random) -> None:
@@ -112,11 +112,11 @@
         pace: enginepace.EnginePace,
         now: clock.Ms,
     ) -> Chosen | Full:
-        """Choose for a request of an engine.
+        """Choose an engine for a request.
 
-        :param job: the request's size and patience.
+        :param job: the request's size and time limits.
         :param candidates: the open replicas of its model.
-        :param pace: predicts for the model.
+        :param pace: predicts the model's latency.
         :param now: monotonic ms.
         """
         best: tuple[tuple[bool, float], Chosen] | None = None
@@ -134,7 +134,8 @@
             first = forecast.first + 2 * candidate.latency
             late = first > job.objective
             if late:
-                # Behind all that is there, those who are late too.
+                # A late request waits behind all others, including the
+                # late ones.
                 forecast = pace.forecast(
                     load.total(now), job.prompt, job.answer
                 )
@@ -154,7 +155,7 @@
     def least_loaded(
         self, candidates: Iterable[Candidate], now: clock.Ms
     ) -> str | None:
-        """Choose for a request of a plain service, by free places.
+        """Choose an upstream of a plain service by its free slots.
 
         :param candidates: the service's upstreams.
         :param now: monotonic ms.
@@ -167,8 +168,8 @@
                 continue
             rank = (load.total(now) + 1) / max(1, candidate.slots)
             rank += self._rng.uniform(0, 0.05)
-            # A free place here is better than a freer one far away, but
-            # not than waiting for one.
+            # A local upstream is preferred to a remote one with somewhat
+            # less load, but not when it is full.
             rank += 0.0 if candidate.is_local else 0.25
             if best is None or rank < best[0]:
                 best = rank, candidate.upstream
@@ -178,5 +179,5 @@
 def _is_unavailable(load: upstreamload.UpstreamLoad) -> bool:
     if load.circuit.state is circuit.State.OPEN:
         return True
-    # One probe at a time goes to an upstream that failed.
+    # A half-open circuit admits one probe at a time.
     return load.circuit.state is circuit.State.HALF_OPEN and load.own > 0
--- a/src/citronvalve/policy/upstreamload.py
+++ b/src/citronvalve/policy/upstreamload.py
@@ -1,23 +1,24 @@
-"""What one daemon knows of one upstream's load."""
+"""One daemon's view of the load of one upstream."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.policy import circuit
 
-#: What an upstream said of others' requests loses half its weight in this
-#: time: about the time that a request of them runs.
+#: Half-life of an upstream's report of other daemons' requests: about the
+#: duration of such a request.
 _HALF_LIFE: clock.Ms = 800
 
-#: What another daemon said of its own requests counts for so long; it says
-#: so several times within it.
+#: How long another daemon's statement of its own load is valid.  It repeats
+#: the statement several times within this time.
 _REMOTE_LOAD_TTL: clock.Ms = 700
 
 
 class RemoteLoad(NamedTuple):
-    """One daemon's requests at an upstream.
+    """Another daemon's requests at an upstream.
 
-    ``late`` of the ``count`` wait for places that nobody else wants.
+    ``late`` of the ``count`` are predicted to miss their objective and are
+    served after all others.
     """
 
     count: int
@@ -26,17 +27,19 @@
 
 
 class UpstreamLoad:
-    """Own requests counted exactly, those of others as they tell.
-
-    Made for a load near what the replicas bear: by the upstream's own word,
-    which comes with an answer, a replica with 17 requests looks like one
-    with 10, and gets more than it can serve in time.
-
-    :ivar mine: requests of this daemon that are there now.
-    :ivar late: those of them that wait for places nobody else wants.
-    :ivar circuit: whether failures keep it out of service.
-    :ivar heard_at: monotonic ms of the last sign of life, 0 for none.
-    :ivar avoid_until: monotonic ms until which it gets no new work.
+    """The load of one upstream.
+
+    Own requests are counted exactly, and those of other daemons by their
+    messages.  The upstream's own report, which comes with an answer, is too
+    old near saturation: a replica with 17 requests looks like one with 10,
+    and gets more than it can serve in time.
+
+    :ivar own: requests of this daemon at the upstream.
+    :ivar late: those of them that are predicted to miss their objective.
+    :ivar remote_load_by_daemon: the requests of other daemons.
+    :ivar circuit: its circuit breaker.
+    :ivar last_heard_at: when it last sent something, in monotonic ms, or 0.
+    :ivar avoid_until: when it may get new requests, in monotonic ms.
     """
 
     __slots__ = (
@@ -61,22 +64,22 @@
         self._reported_at: clock.Ms = 0
 
     def reset_failures(self) -> None:
-        """Forget failures and silences of an earlier start or group."""
+        """Reset failures and stalls of an earlier start or group."""
         self.circuit = circuit.Circuit()
         self.avoid_until = 0
 
     def record_report(self, running: int, waiting: int, now: clock.Ms) -> None:
-        """Take in what the upstream said with an answer.
+        """Apply the load that the upstream reported with an answer.
 
-        :param running: requests of all callers that run.
-        :param waiting: requests of all callers that wait.
+        :param running: number of running requests of all callers.
+        :param waiting: number of queued requests of all callers.
         :param now: monotonic ms.
         """
         self._others = max(0.0, float(running + waiting - self.own))
         self._reported_at = now
 
     def total(self, now: clock.Ms) -> float:
-        """Return the requests that are there, as far as can be known.
+        """Return the estimated number of requests at the upstream.
 
         :param now: monotonic ms.
         """
@@ -86,12 +89,12 @@
         if not self._reported_at:
             return 2.0 * self.own
         weight = 0.5 ** ((now - self._reported_at) / _HALF_LIFE)
-        # The other daemons of the data centre choose as this one does, so
-        # without news they are taken to have as much there.
+        # The other daemons of the data centre choose as this one does.
+        # Without information they are assumed to have as many requests.
         return self.own + weight * self._others + (1 - weight) * self.own
 
     def total_on_time(self, now: clock.Ms) -> float:
-        """Return the requests that are not behind one that is in time.
+        """Return the requests without the late ones, which are served last.
 
         :param now: monotonic ms.
         """
--- a/src/citronvalve/policy/usage.py
+++ b/src/citronvalve/policy/usage.py
@@ -1,31 +1,31 @@
-"""How many slots each team has used of late."""
+"""The number of slots that each team has recently used."""
 
 import collections.abc
 
 from citronvalve.model import clock
 
-#: Half of an old use is forgotten after this time: long enough to smooth
-#: single requests, short enough to free the share of a team that stopped.
+#: Half-life of recorded use: long enough to smooth single requests, short
+#: enough to free the share of a team that has stopped.
 _HALF_LIFE: clock.Ms = 2_000
 
-#: A decayed sum of use divided by this is a mean number of slots.
+#: The decayed sum of service time divided by this is a number of slots.
 _MEAN_LIFE = _HALF_LIFE / 0.693
 
-#: Slots below which a team counts as gone.
+#: Number of slots below which a team is dropped.
 _IDLE_SLOTS = 0.01
 
 
 class Usage:
-    """The decayed service time that teams were given, as slots."""
+    """Tracks the decayed service time of each team, as slots."""
 
     def __init__(self) -> None:
         self._sum_by_team: dict[str, float] = {}
         self._decayed_at: clock.Ms = 0
 
     def add(self, team: str, cost: clock.Ms, now: clock.Ms) -> None:
-        """Count work that starts.
+        """Count a request that starts.
 
-        :param team: whose work.
+        :param team: the request's team.
         :param cost: expected service time in ms.
         :param now: monotonic ms.
         """
@@ -40,17 +40,17 @@
         waiting: collections.abc.Collection[str],
         now: clock.Ms,
     ) -> float:
-        """Return the slots that a team can count on.
+        """Return the number of slots that a team can rely on.
 
-        What the others use, each up to its fair share, is not to be had;
-        all else is, since fair queueing takes it back from who has it.  A
-        team with work waiting will use its whole share: its use of late
-        swings by chance, and counting it would promise slots twice.
+        These are all slots but those that other teams use within their fair
+        shares, since fair queueing takes back what they use beyond them.  A
+        team with queued requests counts with its whole share: its recent
+        use fluctuates, and with it the same slots would be promised twice.
 
-        :param team: who asks.
-        :param slots: slots in all.
-        :param weight_of: gives a team's weight.
-        :param waiting: teams with work in the queue.
+        :param team: the team.
+        :param slots: total number of slots.
+        :param weight_of: returns a team's weight.
+        :param waiting: teams with queued requests.
         :param now: monotonic ms.
         """
         self._decay(now)
--- a/src/citronvalve/policy/waiterror.py
+++ b/src/citronvalve/policy/waiterror.py
@@ -1,24 +1,25 @@
-"""How much longer work waited than was predicted."""
+"""The error of predicted waits."""
 
 from citronvalve.model import clock
 
-#: Gain of one wait: about the last ten count.
+#: Weight of one sample: about the last ten count.
 _GAIN = 0.1
 
-#: Half of what was learned is gone after this time.  Without it a bad
-#: while would refuse all that has to wait, and never be seen to be over.
+#: Half-life of the error.  Without a decay, the error of a bad period would
+#: reject all requests that have to wait, and no new sample would correct it.
 _HALF_LIFE: clock.Ms = 5_000
 
-#: Deviations of the error that are added to a prediction.
+#: Number of mean deviations added to a prediction.
 _DEVIATIONS = 2.0
 
 
 class WaitError:
-    """The error of predicted waits, which prediction then adds.
+    """Tracks the error of predicted waits, as a margin for new ones.
 
-    Made for loads that no formula foresees: long work on every slot, teams
-    that start at once, slots that other causes take away.  Work accepted on
-    too short a prediction is given up later, when its caller has lost time.
+    Covers what the prediction does not model: long requests on every slot,
+    teams that start at once, slots that become unavailable.  A request
+    accepted on too short a prediction is rejected only later, when its
+    caller has lost time.
     """
 
     def __init__(self) -> None:
@@ -27,9 +28,9 @@
         self._decayed_at: clock.Ms = 0
 
     def record(self, error: clock.Ms, now: clock.Ms) -> None:
-        """Take in one wait that is over.
+        """Record a wait that is over.
 
-        :param error: ms that it lasted longer than predicted.
+        :param error: actual minus predicted wait in ms.
         :param now: monotonic ms.
         """
         self._decay(now)
--- a/src/citronvalve/policy/work.py
+++ b/src/citronvalve/policy/work.py
@@ -1,4 +1,4 @@
-"""One request as the decisions see it."""
+"""The properties of a request that decisions depend on."""
 
 from typing import NamedTuple
 
@@ -6,17 +6,18 @@
 
 
 class Work(NamedTuple):
-    """A request to decide on.
+    """One request.
 
     :param request: its id, unique in this daemon.
     :param team: the caller's team.
     :param model: the model, or the plain service.
-    :param deadline: monotonic moment in ms by which the whole answer is due.
+    :param deadline: when the whole answer is due, in monotonic ms.
     :param prompt_tokens: length of the prompt.
-    :param output_tokens: length that the answer is likely to have; the most
-        it may have when nothing better is known.
+    :param output_tokens: expected length of the answer, or its maximum when
+        no estimate is available.
     :param prefixes: keys of the prompt's prefixes, the longest first.
-    :param fingerprint: digest of the whole request, equal when it is resent.
+    :param fingerprint: digest of the whole request, the same when it is
+        sent again.
     :param repeatable: whether it may run more than once.
     """
 
