--- a/src/citronvalve/policy/starter.py
+++ b/src/citronvalve/policy/starter.py
@@ -131,7 +131,7 @@
                 late.append(running)
         return late
 
-    def is_only_copy(self, fingerprint: str) -> bool:
+    def has_no_running_copy(self, fingerprint: str) -> bool:
         """Return whether no other copy of a request is in progress.
 
         :param fingerprint: the request's.
@@ -150,7 +150,7 @@
         # Two copies at once could crash two more upstreams before the first
         # crash is known.  The second copy waits: most suspects turn out to
         # be harmless, and then all copies run.
-        if entry.suspect and not self.is_only_copy(fingerprint):
+        if entry.suspect and not self.has_no_running_copy(fingerprint):
             return None
         if self._monitor.must_wait(fingerprint, now):
             return None
--- a/tests/placing/placing.feature
+++ b/tests/placing/placing.feature
@@ -1,13 +1,14 @@
-Feature: Who waits, who is refused, and where work goes
-  Replicas of 13 places that slow down as they fill, behind six daemons that
-  know their own requests at once and the others' from answers. One replica
-  of the small model bears about 11 requests/s of 31 events (13 places over
-  1.2 s each, worked out from its engine's figures), so six bear 65.
+Feature: Placement of requests by predicted latency
+  Replicas of 13 slots, which slow down as they fill, serve six daemons that
+  know their own requests immediately and those of the others from messages
+  and answers.  The capacity of one replica of the small model is about 11
+  requests/s of 31 events (13 slots, each taken for 1.2 s, as calculated from
+  its engine's figures), and that of six replicas is 65 requests/s.
 
   Scenario Outline: <load>
-    When callers bring "<load>"
-    Then the answers are worth at least <worth> of all in time
-    And at least <on_time> of all requests get their first event in time
+    When callers send "<load>"
+    Then the mean worth of the requests is at least <worth>
+    And at least <on_time> of the requests get their first event in time
     And at most <refused> of them are refused
 
     Examples:
@@ -18,34 +19,36 @@
       | a burst of 1.7x for 3 s            | 0.80  | 0.75    | 0.02    |
       | 66 a second on three replicas      | 0.33  | 0.25    | 0.50    |
 
-  Scenario: a load that tells of the replicas only would send most too late
-    The replica's own word comes with an answer and is a second old; each
-    daemon believes places to be free that the others have taken. This load
-    is the one that the daemons' own word was measured by.
+  Scenario: loads reported by replicas alone make most requests late
+    A replica's report comes with an answer and is a second old, so that each
+    daemon assumes slots to be free that the others have taken.  Guards
+    against daemons that do not use each other's messages.
 
-    When callers bring "44 a second on four replicas"
-    And callers bring it to daemons that tell each other nothing
-    Then the telling daemons have at least 0.05 more in time
+    When callers send "44 a second on four replicas"
+    And callers send it to daemons that do not broadcast their loads
+    Then the broadcasting daemons have at least 0.05 more in time
 
-  Scenario: near saturation the daemons tell more often
-    A replica gets a request each 25 ms or so; news of 150 ms ago show up to
-    six too few, which is more than a request in time may find before it.
+  Scenario: near saturation daemons broadcast their loads more often
+    A replica gets a request about every 25 ms.  Loads that are 150 ms old
+    miss up to six requests, which is more than may be ahead of a request
+    that is to be in time.
 
-    When callers bring "44 a second on four replicas"
-    And callers bring it to daemons that tell every 50 ms
-    Then those have at least 0.06 more in time
+    When callers send "44 a second on four replicas"
+    And callers send it to daemons that broadcast their loads every 50 ms
+    Then the shorter interval has at least 0.06 more in time
 
-  Scenario: who was refused and comes back is hardly refused again
-    A caller comes back once. Refused a second time it has lost its time for
-    nothing, so it may wait longer for a place than the first time.
+  Scenario: a request that was refused once is rarely refused again
+    A caller retries once.  A second rejection would waste the time that it
+    has spent, so that a retried request may wait longer for a slot.
 
-    When callers bring "66 a second on three replicas"
-    And callers bring it to daemons that have no more patience with who returns
-    Then fewer are refused twice, by at least 0.04
+    When callers send "66 a second on three replicas"
+    And callers send it to daemons with equal patience for retried requests
+    Then the share that is refused twice is lower by at least 0.04
 
-  Scenario: placing by load is better for callers than by chance
-    Chance fills one replica while another is idle, and refuses nobody.
+  Scenario: placement by load is better for callers than random placement
+    Random placement fills one replica while another is idle, and rejects no
+    request.
 
-    When callers bring "44 a second, one replica 4x slow"
-    And callers bring it to daemons that place by chance
-    Then the placing by load has at least 0.10 more in time
+    When callers send "44 a second, one replica 4x slow"
+    And callers send it to daemons that place at random
+    Then placement by load has at least 0.10 more in time
--- a/tests/placing/steps/placing_steps.py
+++ b/tests/placing/steps/placing_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring load to the placing of requests."""
+"""Steps that send load to daemons that place requests."""
 
 import behave
 
@@ -22,83 +22,87 @@
 }
 
 
-def _run(load, naive=False, **options):
-    replicas, rate, slow = _LOADS[load]
-    world = worlds.World(replicas, naive=naive, **options)
-    world.replicas["r0"].slow = slow
+def _run(load, random_placement=False, **options):
+    replicas, rate, slowdown = _LOADS[load]
+    world = worlds.World(
+        replicas, random_placement=random_placement, **options
+    )
+    world.replicas["r0"].slowdown = slowdown
     world.run(12, rate)
     return world
 
 
-@behave.when('callers bring "{load}"')
-def step_bring(context, load):
+@behave.when('callers send "{load}"')
+def step_send(context, load):
     context.load = load
-    context.world = _run(load, naive=False)
+    context.world = _run(load, random_placement=False)
 
 
-@behave.when("callers bring it to daemons that place by chance")
-def step_chance(context):
-    context.naive = _run(context.load, naive=True)
+@behave.when("callers send it to daemons that place at random")
+def step_random(context):
+    context.other = _run(context.load, random_placement=True)
 
 
 @behave.then(
-    "at least {share:g} of all requests get their first event in time"
+    "at least {share:g} of the requests get their first event in time"
 )
 def step_on_time(context, share):
-    seen = context.world.share_on_time()
-    assert seen >= share, f"{seen:.3f} in time"
+    measured = context.world.share_on_time()
+    assert measured >= share, f"{measured:.3f} in time"
 
 
 @behave.then("at most {share:g} of them are refused")
 def step_refused(context, share):
-    seen = context.world.share_refused()
-    assert seen <= share, f"{seen:.3f} refused"
+    measured = context.world.share_refused()
+    assert measured <= share, f"{measured:.3f} refused"
 
 
-@behave.then("the answers are worth at least {share:g} of all in time")
+@behave.then("the mean worth of the requests is at least {share:g}")
 def step_worth(context, share):
-    seen = context.world.worth()
-    assert seen >= share, f"{seen:.3f} worth"
+    measured = context.world.mean_worth()
+    assert measured >= share, f"{measured:.3f} worth"
 
 
-@behave.when("callers bring it to daemons that tell each other nothing")
-def step_silent(context):
-    context.naive = _run(context.load, naive=False, tell=False)
+@behave.when("callers send it to daemons that do not broadcast their loads")
+def step_no_broadcast(context):
+    context.other = _run(context.load, random_placement=False, broadcast=False)
 
 
-@behave.then("the telling daemons have at least {more:g} more in time")
-def step_telling(context, more):
+@behave.then("the broadcasting daemons have at least {more:g} more in time")
+def step_broadcasting(context, more):
     step_more(context, more)
 
 
-@behave.then("the placing by load has at least {more:g} more in time")
+@behave.then("placement by load has at least {more:g} more in time")
 def step_more(context, more):
-    ours = context.world.share_on_time()
-    theirs = context.naive.share_on_time()
-    assert ours - theirs >= more, f"{ours:.3f} against {theirs:.3f}"
+    this = context.world.share_on_time()
+    other = context.other.share_on_time()
+    assert this - other >= more, f"{this:.3f} against {other:.3f}"
 
 
 @behave.when(
-    "callers bring it to daemons that have no more patience with who returns"
+    "callers send it to daemons with equal patience for retried requests"
 )
-def step_impatient(context):
-    context.naive = _run(context.load, patient=False)
+def step_equal_patience(context):
+    context.other = _run(context.load, more_patience=False)
 
 
-@behave.then("fewer are refused twice, by at least {less:g}")
+@behave.then("the share that is refused twice is lower by at least {less:g}")
 def step_twice(context, less):
-    ours = context.world.share_refused_twice()
-    theirs = context.naive.share_refused_twice()
-    assert theirs - ours >= less, f"{ours:.3f} against {theirs:.3f}"
+    this = context.world.share_refused_twice()
+    other = context.other.share_refused_twice()
+    assert other - this >= less, f"{this:.3f} against {other:.3f}"
 
 
-@behave.when("callers bring it to daemons that tell every {span:d} ms")
-def step_often(context, span):
-    context.often = _run(context.load, told_every=span)
+@behave.when(
+    "callers send it to daemons that broadcast their loads every {span:d} ms"
+)
+def step_frequent(context, span):
+    context.frequent = _run(context.load, broadcast_interval=span)
 
 
-@behave.then("those have at least {more:g} more in time")
-def step_those(context, more):
-    ours = context.often.share_on_time()
-    theirs = context.world.share_on_time()
-    assert ours - theirs >= more, f"{ours:.3f} against {theirs:.3f}"
+@behave.then("the shorter interval has at least {more:g} more in time")
+def step_shorter(context, more):
+    this = context.frequent.share_on_time()
+    other = context.world.share_on_time()
+    assert this - other >= more, f"{this:.3f} against {other:.3f}"
--- a/tests/placing/world.py
+++ b/tests/placing/world.py
@@ -1,9 +1,9 @@
-"""Replicas in memory under the placing of several daemons.
+"""Simulated replicas of one model and the daemons that place requests.
 
-A replica keeps its engine's own figures: steps slow down with the requests
-that write, a request waits for a place, prompts are read in between.  Six
-daemons place on what they know: their own requests exactly, the others' from
-the load that came with an answer.
+A replica follows its engine's figures: steps slow down with the number of
+decoding requests, requests wait for a slot, and prompts are prefilled in
+between.  Each of six daemons knows its own requests exactly, and those of
+the others from their messages and from the load reported with an answer.
 """
 
 import random
@@ -15,232 +15,240 @@
 
 TICK = 5
 DAEMONS = 6
-TOLD_EVERY = 150
-LEAVES_AFTER = 2_000
-LATE = 900.0
-LATE_RETURN = 1_500.0
-SOONEST = 250
+BROADCAST_INTERVAL = 150
+#: A caller leaves after this time without a first event.
+CALLER_TIMEOUT = 2_000
+PATIENCE = 900.0
+PATIENCE_AFTER_RETRY = 1_500.0
+MIN_RETRY_DELAY = 250
 
 
 class Request:
-    """One request on its way."""
+    """One request and its progress."""
 
     def __init__(self, at, objective, answer, prompt):
-        self.at = at
+        self.arrived_at = at
         self.objective = objective
         self.answer = answer
         self.prompt = prompt
-        self.first = None
-        self.end = None
-        self.refused = 0
+        self.first_event_at = None
+        self.ended_at = None
+        self.refusals = 0
         self.late = False
         self.placed_at = at
-        self.left = 0
-        self.gone = False
+        self.events_left = 0
+        self.abandoned = False
 
     @property
     def on_time(self):
-        """Tell whether its first event came within the objective."""
-        return self.first is not None and (
-            self.first - self.at <= self.objective
+        """Return whether its first event met the objective."""
+        return self.first_event_at is not None and (
+            self.first_event_at - self.arrived_at <= self.objective
         )
 
 
 class Replica:
-    """One replica; ``slow`` is a factor on its times."""
+    """One replica; ``slowdown`` is a factor on its times."""
 
     def __init__(self, name, pace):
         self.name = name
         self.pace = pace
-        self.slow = 1.0
-        self.waiting = []
+        self.slowdown = 1.0
+        self.queued = []
         self.running = []
 
     def load(self):
-        """Return running and waiting."""
-        return len(self.running), len(self.waiting)
-
-    def step(self, now, slots, told):
-        """Pass some time."""
-        # The engine admits by rank, and those of one rank as they came.
-        self.waiting.sort(key=lambda one: (one.late, one.at))
-        while self.waiting and len(self.running) < slots:
-            one = self.waiting.pop(0)
-            reading = self.pace.prefill_time(one.prompt) * self.slow
-            gap = self.pace.event_gap(len(self.running) + 1) * self.slow
-            self.running.append([one, now + reading + 1.5 * gap])
+        """Return the numbers of running and queued requests."""
+        return len(self.running), len(self.queued)
+
+    def step(self, now, slots, on_first_event):
+        """Admit requests and send the events that are due."""
+        # The engine admits by rank, and within a rank by arrival.
+        self.queued.sort(
+            key=lambda request: (request.late, request.arrived_at)
+        )
+        while self.queued and len(self.running) < slots:
+            request = self.queued.pop(0)
+            prefill = self.pace.prefill_time(request.prompt) * self.slowdown
+            gap = self.pace.event_gap(len(self.running) + 1) * self.slowdown
+            self.running.append([request, now + prefill + 1.5 * gap])
         for entry in list(self.running):
-            one, due = entry
+            request, due = entry
             if now < due:
                 continue
-            gap = self.pace.event_gap(len(self.running)) * self.slow
-            if one.first is None:
-                one.first = now
-                told(one, self)
-                one.left = max(0, one.answer // 6 - 1)
+            gap = self.pace.event_gap(len(self.running)) * self.slowdown
+            if request.first_event_at is None:
+                request.first_event_at = now
+                on_first_event(request, self)
+                request.events_left = max(0, request.answer // 6 - 1)
             else:
-                one.left -= 1
-            if one.left <= 0:
-                one.end = now
+                request.events_left -= 1
+            if request.events_left <= 0:
+                request.ended_at = now
                 self.running.remove(entry)
             else:
                 entry[1] = due + gap
 
 
 class World:
-    """A model's replicas, the daemons before them, and their callers."""
+    """A model's replicas, the daemons that place requests, and callers."""
 
     def __init__(
         self,
         replicas,
         model="small",
         seed=11,
-        naive=False,
-        tell=True,
-        patient=True,
-        told_every=TOLD_EVERY,
+        random_placement=False,
+        broadcast=True,
+        more_patience=True,
+        broadcast_interval=BROADCAST_INTERVAL,
     ):
         spec = engines.spec()
         self.spec = spec
         self.pace = enginepace.EnginePace(
             spec, spec.model_by_name[model].time_factor
         )
-        self.chance = random.Random(seed)
-        self.callers = random.Random(seed)
-        self.naive = naive
-        self.tell = tell
-        self.patient = patient
-        self.told_every = told_every
-        self.back = []
+        self.rng = random.Random(seed)
+        self.caller_rng = random.Random(seed)
+        self.random_placement = random_placement
+        self.broadcast = broadcast
+        self.more_patience = more_patience
+        self.broadcast_interval = broadcast_interval
+        self.returning = []
         self.now = 10_000
         self.replicas = {
             f"r{n}": Replica(f"r{n}", self.pace) for n in range(replicas)
         }
-        self.books = [upstreamchoice.LoadTable() for _ in range(DAEMONS)]
-        self.choices = [
-            upstreamchoice.UpstreamChoice(book, self.chance)
-            for book in self.books
+        self.load_tables = [upstreamchoice.LoadTable() for _ in range(DAEMONS)]
+        self.choosers = [
+            upstreamchoice.UpstreamChoice(load_table, self.rng)
+            for load_table in self.load_tables
         ]
-        self.placed = {}
+        self.daemon_by_request = {}
         self.requests = []
 
     def run(self, seconds, rate, objective=250, answer=186, prompt=674):
-        """Bring callers for some seconds; ``rate`` may depend on time."""
-        until = self.now + seconds * 1_000
-        began = self.now
-        while self.now < until:
-            per_s = rate((self.now - began) / 1_000)
+        """Generate requests for some seconds; ``rate`` depends on time."""
+        end = self.now + seconds * 1_000
+        start = self.now
+        while self.now < end:
+            per_s = rate((self.now - start) / 1_000)
             for _ in range(self._arrivals(per_s)):
-                size = max(6, round(self.callers.gauss(answer, answer / 2)))
-                one = Request(self.now, objective, size, prompt)
-                self.requests.append(one)
-                self._place(one)
+                size = max(6, round(self.caller_rng.gauss(answer, answer / 2)))
+                request = Request(self.now, objective, size, prompt)
+                self.requests.append(request)
+                self._place(request)
             self._step()
         for _ in range(4_000 // TICK):
             self._step()
 
     def share_on_time(self):
-        """Return the part of all requests that were in time."""
-        good = sum(one.on_time for one in self.requests)
-        return good / len(self.requests)
+        """Return the share of requests with their first event in time."""
+        on_time = sum(request.on_time for request in self.requests)
+        return on_time / len(self.requests)
 
     def share_refused(self):
-        """Return the part that was refused."""
-        refused = sum(one.refused > 0 for one in self.requests)
+        """Return the share of requests that were rejected."""
+        refused = sum(request.refusals > 0 for request in self.requests)
         return refused / len(self.requests)
 
     def share_refused_twice(self):
-        """Return the part that came back and was refused again."""
-        again = sum(one.refused > 1 for one in self.requests)
-        return again / len(self.requests)
+        """Return the share of requests that were rejected on a retry."""
+        twice = sum(request.refusals > 1 for request in self.requests)
+        return twice / len(self.requests)
 
-    def worth(self):
+    def mean_worth(self):
         """Return the mean worth: 1 in time, a quarter late, else nothing."""
         late = sum(
-            one.end is not None and not one.on_time for one in self.requests
+            request.ended_at is not None and not request.on_time
+            for request in self.requests
         )
         return self.share_on_time() + 0.25 * late / len(self.requests)
 
     def _arrivals(self, per_s):
         mean = per_s * TICK / 1_000
         count = 0
-        while self.callers.random() < mean - count:
+        while self.caller_rng.random() < mean - count:
             count += 1
         return count
 
-    def _place(self, one):
-        daemon = self.callers.randrange(DAEMONS)
-        if self.naive:
-            name = self.chance.choice(list(self.replicas))
+    def _place(self, request):
+        daemon = self.caller_rng.randrange(DAEMONS)
+        if self.random_placement:
+            name = self.rng.choice(list(self.replicas))
         else:
-            found = [
+            candidates = [
                 upstreamchoice.Candidate(name, self.spec.slots, 0.5, True)
                 for name in self.replicas
             ]
             job = upstreamchoice.Job(
-                one.prompt,
-                one.answer,
-                0.8 * one.objective - (self.now - one.at),
-                LATE_RETURN if one.refused and self.patient else LATE,
+                request.prompt,
+                request.answer,
+                0.8 * request.objective - (self.now - request.arrived_at),
+                PATIENCE_AFTER_RETRY
+                if request.refusals and self.more_patience
+                else PATIENCE,
             )
-            chosen = self.choices[daemon].choose(
-                job, found, self.pace, self.now
+            chosen = self.choosers[daemon].choose(
+                job, candidates, self.pace, self.now
             )
             if isinstance(chosen, upstreamchoice.Full):
-                one.refused += 1
-                if one.refused == 1:
-                    spread = self.chance.uniform(1.0, 1.5)
-                    stay = max(SOONEST, chosen.retry_in) * spread
-                    self.back.append((self.now + stay, one))
+                request.refusals += 1
+                if request.refusals == 1:
+                    spread = self.rng.uniform(1.0, 1.5)
+                    delay = max(MIN_RETRY_DELAY, chosen.retry_in) * spread
+                    self.returning.append((self.now + delay, request))
                 return
             name = chosen.upstream
-            one.late = chosen.late
-        self.books[daemon].of(name).late += one.late
-        self.placed[one] = daemon
-        one.placed_at = self.now
-        self.books[daemon].of(name).own += 1
-        self.replicas[name].waiting.append(one)
-
-    def _tell(self):
-        for sender, book in enumerate(self.books):
-            for other in self.books:
-                if other is book:
+            request.late = chosen.late
+        self.load_tables[daemon].of(name).late += request.late
+        self.daemon_by_request[request] = daemon
+        request.placed_at = self.now
+        self.load_tables[daemon].of(name).own += 1
+        self.replicas[name].queued.append(request)
+
+    def _broadcast_loads(self):
+        for sender, load_table in enumerate(self.load_tables):
+            for other in self.load_tables:
+                if other is load_table:
                     continue
                 for name in self.replicas:
-                    held = book.of(name)
+                    load = load_table.of(name)
                     other.of(name).remote_load_by_daemon[str(sender)] = (
-                        upstreamload.RemoteLoad(held.own, held.late, self.now)
+                        upstreamload.RemoteLoad(load.own, load.late, self.now)
                     )
 
-    def _leave(self, replica):
-        # A caller leaves after two seconds without a first event.
-        for one in list(replica.waiting):
-            if self.now - one.placed_at > LEAVES_AFTER:
-                replica.waiting.remove(one)
-                one.gone = True
-                held = self.books[self.placed[one]].of(replica.name)
-                held.own -= 1
-                held.late -= one.late
+    def _abandon_requests(self, replica):
+        for request in list(replica.queued):
+            if self.now - request.placed_at > CALLER_TIMEOUT:
+                replica.queued.remove(request)
+                request.abandoned = True
+                load_table = self.load_tables[self.daemon_by_request[request]]
+                load = load_table.of(replica.name)
+                load.own -= 1
+                load.late -= request.late
 
     def _step(self):
-        for due, one in [entry for entry in self.back if entry[0] <= self.now]:
-            self.back.remove((due, one))
-            self._place(one)
-        if self.tell and self.now % self.told_every < TICK:
-            self._tell()
+        for due, request in [
+            entry for entry in self.returning if entry[0] <= self.now
+        ]:
+            self.returning.remove((due, request))
+            self._place(request)
+        if self.broadcast and self.now % self.broadcast_interval < TICK:
+            self._broadcast_loads()
         for replica in self.replicas.values():
-            self._leave(replica)
+            self._abandon_requests(replica)
             before = {entry[0] for entry in replica.running}
-            replica.step(self.now, self.spec.slots, self._told)
+            replica.step(self.now, self.spec.slots, self._record_first_event)
             after = {entry[0] for entry in replica.running}
-            for one in before - after:
-                if one.end is not None:
-                    book = self.books[self.placed[one]]
-                    book.of(replica.name).own -= 1
+            for request in before - after:
+                if request.ended_at is not None:
+                    daemon = self.daemon_by_request[request]
+                    self.load_tables[daemon].of(replica.name).own -= 1
         self.now += TICK
 
-    def _told(self, one, replica):
-        book = self.books[self.placed[one]]
-        book.of(replica.name).late -= one.late
-        running, waiting = replica.load()
-        book.of(replica.name).record_report(running, waiting, self.now)
+    def _record_first_event(self, request, replica):
+        load_table = self.load_tables[self.daemon_by_request[request]]
+        load_table.of(replica.name).late -= request.late
+        running, queued = replica.load()
+        load_table.of(replica.name).record_report(running, queued, self.now)
--- a/tests/policy/callers.feature
+++ b/tests/policy/callers.feature
@@ -1,15 +1,15 @@
-Feature: What callers see under load
-  Small fake upstreams (slots, service time, ramp, lagging reports) serve six
-  daemons in three data centres.  Callers send their work once and can't
-  wait: an answer in time, or a refusal at once, is all that helps them.
+Feature: Service quality under load
+  Six daemons in three data centres send requests to simulated upstreams with
+  slots, service times, ramps and delayed reports.  Callers do not retry, so
+  that only an answer in time or an immediate rejection is useful to them.
 
   Scenario Outline: on-time answers and fairness under <load>
-    When callers bring "<load>" to the dispatcher
-    Then at least <on_time> of the requests are answered whole and on time
-    And the answers on time are worth at least <goodput> of the capacity
+    When callers send the load "<load>" to the dispatcher
+    Then at least <on_time> of the requests are answered completely and on time
+    And the goodput is at least <goodput> of the capacity
     And at least <light> of the light teams' requests are on time
     And at most 0.01 of the accepted requests finish late
-    And every invariant was looked at and held
+    And the invariants were checked and held
 
     Examples:
       | load                        | on_time | goodput | light |
@@ -25,11 +25,11 @@
       | lag 3 s at 0.9              | 0.95    | 0.87    | 0.95  |
 
   Scenario Outline: <load> is better for callers than the plain way
-    The plain way places by chance, queues first in first out, refuses
-    nothing and retries without end.
+    The baseline places requests at random, queues them first in, first out,
+    rejects none and retries without a limit.
 
-    When callers bring "<load>" to the dispatcher
-    And callers bring "<load>" to the plain baseline
+    When callers send the load "<load>" to the dispatcher
+    And callers send the load "<load>" to the baseline
     Then the dispatcher answers more on time, by at least <more>
 
     Examples:
--- a/tests/policy/failures.feature
+++ b/tests/policy/failures.feature
@@ -1,49 +1,51 @@
-Feature: What callers see when something fails
-  Upstreams turn slow, die, come back cold or leave with their data centre
-  while callers go on sending.
+Feature: Service quality during failures
+  Upstreams become slow, crash, restart cold or are taken out of service with
+  their data centre while callers continue to send requests.
 
-  Scenario: one upstream turns ten times slower
-    Its answers come too late for callers.  The daemons see answers overdue,
-    eject it, and the others carry its share; only what was already there
-    is late.
+  Scenario: one upstream becomes ten times slower
+    Guards against an upstream whose requests all miss their deadlines.  The
+    daemons detect overdue attempts and eject it, so that only the requests
+    already there are late.
 
-    When callers bring "one upstream 10x slow" to the dispatcher
-    Then at least 0.98 of the requests are answered whole and on time
+    When callers send the load "one upstream 10x slow" to the dispatcher
+    Then at least 0.98 of the requests are answered completely and on time
     And at most 0.01 of the accepted requests finish late
-    And upstream "a0" gets less than 0.02 of the work from second 20 on
+    And upstream "a0" gets less than 0.02 of the requests from second 20 on
 
   Scenario: a data centre leaves and returns under load
-    Operators take it out at second 10 and back in at 30, its engines cold.
-    Were work sent before they are warm, they would fall over one by one.
+    Operators take it out of service at second 10 and return it at second 30
+    with cold engines.  Guards against full load on cold engines, which would
+    crash one after the other.
 
-    When callers bring "data centre leaves and returns" to the dispatcher
-    Then at least 0.96 of the requests are answered whole and on time
-    And data centre "a" gets nothing new from second 12.1 to 30
-    And data centre "a" gets work again from second 31 to 60
-    And no upstream fell over
+    When callers send the load "data centre leaves and returns" to the dispatcher
+    Then at least 0.96 of the requests are answered completely and on time
+    And data centre "a" gets no new requests from second 12.1 to 30
+    And data centre "a" gets requests again from second 31 to 60
+    And no upstream crashed
 
   Scenario: a request that crashes each upstream is sent ten times
-    Its caller sends it again after each crash.  Two different upstreams are
-    lost, then it is refused in every data centre; the callers whose work
-    was beside it are answered by others.
+    Guards against a request that its caller sends again after each crash.
+    After the loss of two different upstreams it is rejected in every data
+    centre; the other requests on the lost upstreams are retried elsewhere.
 
-    When callers bring "killer sent ten times" to the dispatcher
-    Then at least 0.98 of the other requests are answered whole and on time
-    And the killer ran on at most 2 upstreams
-    And its last 8 sendings were refused as "fenced-off"
-    And no upstream that came back held more than it could bear
+    When callers send the load "killer sent ten times" to the dispatcher
+    Then at least 0.98 of the other requests are answered completely and on time
+    And the crashing request ran on at most 2 upstreams
+    And its last 8 submissions were refused as "fenced-off"
+    And no restarted upstream exceeded its capacity
 
-  Scenario: an upstream falls back into a cold start without warning
-    All that ran there is lost, and its last report still shows it warm and
-    free.  The daemons that lost work there tell the others, and it gets no
-    more than its keeper lends.
+  Scenario: an upstream restarts cold without a report
+    All requests on it are lost, while its last report shows it as warm with
+    free slots.  Guards against daemons that overload it: those that lost
+    requests inform the others, so that it gets no more than its coordinator
+    lends.
 
-    When callers bring "upstream falls back cold" to the dispatcher
-    Then at least 0.98 of the requests are answered whole and on time
-    And no upstream fell over
+    When callers send the load "upstream falls back cold" to the dispatcher
+    Then at least 0.98 of the requests are answered completely and on time
+    And no upstream crashed
 
-  Scenario Outline: a failed attempt at <kind> work that <ended>
-    Given one upstream and <kind> work in progress
+  Scenario Outline: an attempt at a <kind> request that ended as <ended>
+    Given one upstream with a <kind> request in progress
     When the attempt ends as "<ended>"
     Then the caller <sees>
 
@@ -57,10 +59,10 @@
       | one-time   | silent   | is told that it may have run    |
       | one-time   | crashed  | is told that it may have run    |
 
-  Scenario Outline: an upstream that must not get work
+  Scenario Outline: an upstream that must not get requests
     Given one upstream that <reason>
     When a caller sends a request
-    Then it is refused at once as "no-upstream", naming "<named>"
+    Then it is refused at once as "no-upstream" with "<named>" in its detail
 
     Examples:
       | reason                      | named                            |
@@ -69,19 +71,19 @@
       | lacks a VM                  | a VM of its group is missing     |
       | is out                      | it is out of service             |
       | is in a data centre out     | its data centre is out           |
-      | started afresh, without loan | no slots of it are lent         |
-      | died, as a peer told         | no slots of it are lent         |
+      | restarted, without a loan   | no slots of it are lent          |
+      | died, as a peer reported    | no slots of it are lent          |
 
-  Scenario: work that waits is given up at the latest at its deadline
-    Given one upstream with all slots taken for ever
-    When a caller's queued work reaches the time at which it can't finish
-    Then it is refused at that tick, and not run
+  Scenario: a queued request is refused at the latest at its deadline
+    Given one upstream with all slots taken permanently
+    When a queued request can no longer finish by its deadline
+    Then it is refused by its deadline without being run
 
-  Scenario: retries stay within their share when everything fails
-    Given one upstream whose every attempt is never sent
-    When 500 callers send a request each within a second
+  Scenario: retries stay within their budget when every attempt fails
+    Given 9 upstreams that reject every attempt as full
+    When 500 requests are sent within a second
     Then at most 62 retries are started
 
-  Scenario: any order of events keeps the promises
+  Scenario: any order of events keeps the invariants
     When the dispatcher's state machine runs
-    Then each of its promises was looked at
+    Then each of its invariants was checked
--- a/tests/policy/small.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher over a few upstreams, with time set by hand."""
+"""A dispatcher with a few upstreams and a manual clock."""
 
 import random
 
@@ -11,21 +11,21 @@
 from citronvalve.policy import outcome
 from citronvalve.policy import work
 
-PLACES = ("a", "b")
+DATACENTRES = ("a", "b")
 
 
-class Small:
-    """Carries out nothing by itself; keeps what was decided.
+class Harness:
+    """Drives a dispatcher and records its decisions.
 
     :param names: upstreams; the first letter is the data centre.
-    :param checks: where promises are counted.
+    :param invariants: counts the checks of invariants.
     """
 
-    def __init__(self, names, checks=None, seed=1):
+    def __init__(self, names, invariants=None, seed=1):
         self.now = 1_000
-        self.checks = checks or invariant.Invariants()
+        self.invariants = invariants or invariant.Invariants()
         self.dispatcher = dispatcher.Dispatcher(
-            "a", random.Random(seed), self.checks
+            "a", random.Random(seed), self.invariants
         )
         rows = [
             declared.Upstream(
@@ -41,56 +41,62 @@
         ]
         self.table = scenario.table()._replace(
             upstream_by_name={row.name: row for row in rows},
-            datacentre_by_name={n: declared.Datacentre(n) for n in PLACES},
+            datacentre_by_name={
+                n: declared.Datacentre(n) for n in DATACENTRES
+            },
         )
         self.starts = {}
         self.refused = {}
         self.count = 0
         self.dispatcher.apply_table(self.table, self.now)
 
-    def state(self, place, service):
+    def set_datacentre_state(self, datacentre, state):
         rows = dict(self.table.datacentre_by_name)
-        rows[place] = rows[place]._replace(state=service)
+        rows[datacentre] = rows[datacentre]._replace(state=state)
         self.table = self.table._replace(datacentre_by_name=rows)
         self.dispatcher.apply_table(self.table, self.now)
 
-    def report(self, name, start_id="1", bears=4, held=0, missing=()):
+    def report(self, name, start_id="1", capacity=4, running=0, missing=()):
         self.dispatcher.observe(
             load.LoadReport(
-                name, start_id, held, 0, bears, self.now, tuple(missing)
+                name, start_id, running, 0, capacity, self.now, tuple(missing)
             ),
             self.now,
         )
 
-    def submit(self, repeatable=True, within=5_000, fingerprint="", team="t1"):
+    def submit(
+        self, repeatable=True, time_left=5_000, fingerprint="", team="t1"
+    ):
         self.count += 1
         item = work.Work(
             f"r{self.count}",
             team,
             "m",
-            self.now + within,
+            self.now + time_left,
             fingerprint=fingerprint,
             repeatable=repeatable,
         )
         verdict = self.dispatcher.submit(item, self.now)
         if isinstance(verdict, decision.Start):
-            self.take((verdict,))
+            self.apply((verdict,))
         return verdict
 
-    def end(self, ticket, how):
+    def end(self, ticket, result):
         del self.starts[ticket]
-        made = self.dispatcher.finished(ticket, outcome.Outcome(how), self.now)
-        self.take(made)
+        decisions = self.dispatcher.finished(
+            ticket, outcome.Outcome(result), self.now
+        )
+        self.apply(decisions)
 
     def tick(self, span=0):
         self.now += span
-        self.take(self.dispatcher.tick(self.now))
+        self.apply(self.dispatcher.tick(self.now))
 
-    def take(self, decisions):
-        for made in decisions:
-            if isinstance(made, decision.Start):
-                assert made.ticket not in self.starts, made
-                self.starts[made.ticket] = made
-            elif isinstance(made, decision.Refuse):
-                assert made.request not in self.refused, made
-                self.refused[made.request] = made.refusal
+    def apply(self, decisions):
+        for decided in decisions:
+            if isinstance(decided, decision.Start):
+                assert decided.ticket not in self.starts, decided
+                self.starts[decided.ticket] = decided
+            elif isinstance(decided, decision.Refuse):
+                assert decided.request not in self.refused, decided
+                self.refused[decided.request] = decided.refusal
