--- a/tests/placing/world.py
+++ b/tests/placing/world.py
@@ -223,8 +223,9 @@
             if self.now - request.placed_at > CALLER_TIMEOUT:
                 replica.queued.remove(request)
                 request.abandoned = True
-                load_table = self.load_tables[self.daemon_by_request[request]]
-                load = load_table.of(replica.name)
+                load = self.load_tables[self.daemon_by_request[request]].of(
+                    replica.name
+                )
                 load.own -= 1
                 load.late -= request.late
 
@@ -243,8 +244,10 @@
             after = {entry[0] for entry in replica.running}
             for request in before - after:
                 if request.ended_at is not None:
-                    daemon = self.daemon_by_request[request]
-                    self.load_tables[daemon].of(replica.name).own -= 1
+                    load_table = self.load_tables[
+                        self.daemon_by_request[request]
+                    ]
+                    load_table.of(replica.name).own -= 1
         self.now += TICK
 
     def _record_first_event(self, request, replica):
