--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -77,7 +77,7 @@
             ports.dialect,
         )
         self.directory = directories.Directory(settings.datacentre)
-        self._book = upstreamchoice.LoadBook()
+        self._book = upstreamchoice.LoadTable()
         self._stop = eventlet.event.Event()
         self._make_forwarding()
         self._make_leading()
@@ -215,7 +215,7 @@
     def _tidy(self) -> None:
         while True:
             here = set(self.directory.runner_by_id)
-            self._book.forget(here)
+            self._book.retain(here)
             self._show()
             eventlet.sleep(_TIDY / clock.SECOND)
 
--- a/src/citronvalve/policy/candidate.py
+++ b/src/citronvalve/policy/candidate.py
@@ -1,4 +1,4 @@
-"""One upstream as placement sees it."""
+"""The state of one upstream for placement."""
 
 import collections
 import enum
@@ -9,25 +9,25 @@
 from citronvalve.model import declared
 from citronvalve.model import load
 from citronvalve.policy import circuit
+from citronvalve.policy import datacentrestate
 from citronvalve.policy import limits
 from citronvalve.policy import outlier
 from citronvalve.policy import ramp
-from citronvalve.policy import shift
 
-#: An upstream gets work only while its reports are fresh.  A group may have
-#: lost a VM since an old one, and an upstream that fell over may be back,
-#: cold: its daemons would go on with their warm parts until they heard.  No
-#: engine starts within this time, and reports come every second and up to
-#: three late.
-FRESH: clock.Ms = 5_000
+#: An upstream gets requests only while its last report is younger than this.
+#: After an older one, a group may have lost a VM, or an upstream may have
+#: crashed and come back cold, while daemons go on using their warm parts.
+#: No engine starts within this time, and reports come every second with a
+#: delay of up to three seconds.
+MAX_REPORT_AGE: clock.Ms = 5_000
 
-#: Moments of the past at which this daemon's own work is remembered, so
-#: that a late report can be compared with what was there at its time.
-_MOST_HISTORY = 256
+#: Entries in the history of this daemon's own requests.  A late report is
+#: compared with the number at the time of the report.
+_MAX_HISTORY = 256
 
 
-class Bar(enum.Enum):
-    """Why an upstream gets nothing new."""
+class BlockReason(enum.Enum):
+    """Why an upstream gets no new requests."""
 
     UNSEEN = "it has not reported yet"
     OUT = "it is out of service"
@@ -39,48 +39,48 @@
 
 
 class Loan(NamedTuple):
-    """Slots of a cold upstream lent to this daemon up to a moment."""
+    """Slots of a cold upstream that are lent to this daemon."""
 
     slots: int = 0
-    until: clock.Ms = 0
+    expires_at: clock.Ms = 0
 
 
 class Candidate:
     """The state of one upstream.
 
-    :param upstream: its row, or the one its group made for it.
-    :param place: its data centre.
+    :param upstream: its row, declared or made by its replica group.
+    :param datacentre: the state of its data centre.
     :param tier: 0 in this daemon's data centre, 1 in its region, else 2.
     """
 
     def __init__(
         self,
         upstream: declared.Upstream,
-        place: shift.Shift,
+        datacentre: datacentrestate.DatacentreState,
         tier: int,
     ) -> None:
         self.upstream = upstream
-        self.place = place
+        self.datacentre = datacentre
         self.tier = tier
         self.ramp = ramp.Ramp(upstream)
         self.circuit = circuit.Circuit()
-        self.pace = outlier.Pace()
+        self.latency_ratio = outlier.LatencyRatio()
         self.loan = Loan()
         self.report: load.LoadReport | None = None
-        #: Requests that this daemon has there, and that it may have there.
+        #: This daemon's requests there, and how many it may have there.
         self.own = 0
         self.allowance = 0
-        #: Requests there that have already cost another upstream.
+        #: Requests there that may have crashed an upstream.
         self.suspects = 0
-        #: Whether a report with a new start id has yet to be acted on.
-        self.started_afresh = False
+        #: Whether a report with a new start id is not yet handled.
+        self.restart_pending = False
         #: When a connection to it last broke.
-        self.doubted_at: clock.Ms = 0
-        #: When it last died, as far as this daemon knows.
+        self.connection_broke_at: clock.Ms = 0
+        #: When it last died, as known to this daemon.
         self.lost_at: clock.Ms = 0
         self._others = 0
-        self._most = 0
-        self._offset = zlib.crc32(upstream.name.encode())
+        self._capacity = 0
+        self._rank_offset = zlib.crc32(upstream.name.encode())
         self._history = collections.deque([(0, 0)])
 
     @property
@@ -90,10 +90,10 @@
 
     @property
     def running(self) -> int:
-        """Return the estimated requests there, of all daemons."""
+        """Return the estimated number of requests there, of all daemons."""
         return self._others + self.own
 
-    def declare(self, upstream: declared.Upstream) -> None:
+    def update_upstream(self, upstream: declared.Upstream) -> None:
         """Apply a changed row.
 
         :param upstream: the row.
@@ -102,7 +102,7 @@
         self.ramp.upstream = upstream
 
     def observe(self, report: load.LoadReport) -> None:
-        """Take in a report; one older than the last is dropped.
+        """Apply a load report; one older than the last is ignored.
 
         :param report: the report.
         """
@@ -113,114 +113,117 @@
             return
         old, self.report = self.report, report
         if old is not None and old.start_id != report.start_id:
-            self.started_afresh = True
-        self.ramp.see(report)
-        mine = self._own_at(report.measured_at)
-        self._others = max(0, report.running + report.queued - mine)
-        self._most = report.capacity
+            self.restart_pending = True
+        self.ramp.observe(report)
+        own = self._own_at(report.measured_at)
+        self._others = max(0, report.running + report.queued - own)
+        self._capacity = report.capacity
 
-    def start(self, now: clock.Ms) -> None:
+    def record_start(self, now: clock.Ms) -> None:
         """Count a request sent there.
 
         :param now: monotonic ms.
         """
-        self._count(1, now)
+        self._record_change(1, now)
 
-    def end(self, now: clock.Ms) -> None:
+    def record_end(self, now: clock.Ms) -> None:
         """Count a request that ended.
 
         :param now: monotonic ms.
         """
-        self._count(-1, now)
+        self._record_change(-1, now)
 
-    def lost(self, moment: clock.Ms) -> None:
-        """Note that it died; a report from before says nothing of it now.
+    def record_loss(self, at: clock.Ms) -> None:
+        """Record that it died; its last report is no longer valid.
 
-        :param moment: when, in monotonic ms.
+        :param at: when it died, in monotonic ms.
         """
-        self.lost_at = moment
-        self.ramp.restart(moment)
+        self.lost_at = at
+        self.ramp.mark_cold(at)
 
-    def filled(self) -> None:
-        """Note that it refused work: hardly more until a report.
+    def record_busy(self) -> None:
+        """Record that it rejected a request as full.
 
-        One is left, since it may have refused for another reason, and with
-        none there would be nobody to ask when all refused once.
+        Its capacity is limited to the current requests until the next
+        report, but to no less than one: it may have rejected the request
+        for another reason, and with none left there would be no upstream to
+        use after each has rejected once.
         """
-        self._most = min(self._most, max(1, self.own))
+        self._capacity = min(self._capacity, max(1, self.own))
 
-    def bar(self, now: clock.Ms) -> Bar | None:
-        """Return why it gets nothing new, or None.
+    def block_reason(self, now: clock.Ms) -> BlockReason | None:
+        """Return why it gets no new requests, or None.
 
         :param now: monotonic ms.
         """
         report = self.report
         if report is None:
-            return Bar.UNSEEN
+            return BlockReason.UNSEEN
         reasons = {
-            Bar.OUT: self.upstream.state is declared.ServiceState.OUT,
-            Bar.DATACENTRE_OUT: self.place.phase is shift.Phase.OUT,
-            Bar.VMS_MISSING: bool(report.vms_missing),
-            Bar.STALE: now - report.measured_at > FRESH,
-            Bar.EJECTED: now < self.pace.until,
-            Bar.CIRCUIT: self.circuit.state is circuit.State.OPEN,
+            BlockReason.OUT: self.upstream.state is declared.ServiceState.OUT,
+            BlockReason.DATACENTRE_OUT: self.datacentre.phase
+            is datacentrestate.Phase.OUT,
+            BlockReason.VMS_MISSING: bool(report.vms_missing),
+            BlockReason.STALE: now - report.measured_at > MAX_REPORT_AGE,
+            BlockReason.EJECTED: now < self.latency_ratio.ejected_until,
+            BlockReason.CIRCUIT: self.circuit.state is circuit.State.OPEN,
         }
-        return next((bar for bar, holds in reasons.items() if holds), None)
+        return next((why for why, holds in reasons.items() if holds), None)
 
     def refresh(self, now: clock.Ms, share: limits.Share) -> int:
-        """Work out the allowance anew; return by how much it changed.
+        """Recompute the allowance; return its change.
 
         :param now: monotonic ms.
-        :param share: this daemon's place among those that use it.
+        :param share: this daemon's rank among those that use it.
         """
         old, self.allowance = self.allowance, self._allowed(now, share)
         return self.allowance - old
 
-    def has_room(self) -> bool:
-        """Tell whether one more request may go there."""
-        return self.own < self.allowance and self.place.has_room()
+    def has_free_slot(self) -> bool:
+        """Return whether one more request may be sent there."""
+        return self.own < self.allowance and self.datacentre.has_free_slot()
 
-    def lent(self, now: clock.Ms) -> int:
-        """Return the slots that a loan allows now.
+    def loan_slots(self, now: clock.Ms) -> int:
+        """Return the number of slots that are lent now.
 
         :param now: monotonic ms.
         """
-        return self.loan.slots if now < self.loan.until else 0
+        return self.loan.slots if now < self.loan.expires_at else 0
 
-    def part(self, share: limits.Share) -> int:
+    def fixed_part(self, share: limits.Share) -> int:
         """Return this daemon's fixed part of a warm upstream.
 
-        Made for reports that are seconds old when many daemons read them:
-        were each to fill the free slots it sees, they would fill them many
-        times.  The parts of all daemons add up to the whole whatever they
-        know.  Who gets the odd slots differs from upstream to upstream.
+        Reports are seconds old when many daemons read them; if each filled
+        the free slots that it sees, they would be filled many times over.
+        The parts of all daemons add up to the slots whatever each of them
+        knows.  The remainder goes to different daemons for each upstream.
 
-        :param share: this daemon's place among those that use it.
+        :param share: this daemon's rank among those that use it.
         """
-        rank = (share.rank + self._offset) % share.members
+        rank = (share.rank + self._rank_offset) % share.members
         part = limits.Share(rank, share.members).of(self.upstream.slots)
-        return min(part, self._most)
+        return min(part, self._capacity)
 
     def _allowed(self, now: clock.Ms, share: limits.Share) -> int:
-        if self.upstream.weight <= 0 or self.bar(now) is not None:
+        if self.upstream.weight <= 0 or self.block_reason(now) is not None:
             return 0
         if self.ramp.is_cold(now):
-            most = min(self.lent(now), self.ramp.bound(now))
+            allowed = min(self.loan_slots(now), self.ramp.bound(now))
         else:
-            most = self.part(share)
+            allowed = self.fixed_part(share)
         half_open = self.circuit.state is circuit.State.HALF_OPEN
-        return min(1, most) if half_open else most
+        return min(1, allowed) if half_open else allowed
 
-    def _count(self, step: int, now: clock.Ms) -> None:
+    def _record_change(self, step: int, now: clock.Ms) -> None:
         self.own += step
         self._history.append((now, self.own))
-        if len(self._history) > _MOST_HISTORY:
+        if len(self._history) > _MAX_HISTORY:
             self._history.popleft()
 
-    def _own_at(self, moment: clock.Ms) -> int:
-        # The last value up to that moment stays: it holds for the next
-        # report too, when nothing was sent or ended in between.
+    def _own_at(self, at: clock.Ms) -> int:
+        # The last value up to that time stays, since it also applies to the
+        # next report when no request started or ended in between.
         history = self._history
-        while len(history) > 1 and history[1][0] <= moment:
+        while len(history) > 1 and history[1][0] <= at:
             history.popleft()
         return history[0][1]
--- a/src/citronvalve/policy/crashfence.py
+++ b/src/citronvalve/policy/crashfence.py
@@ -1,23 +1,24 @@
-"""Requests that crash the upstreams which run them."""
+"""Detection of requests that crash the upstreams they run on."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 
-#: Fingerprints remembered.  One crash marks all that ran there, a few
-#: dozen; this holds hundreds of crashes.
-_MOST_FINGERPRINTS = 10_000
+#: Fingerprints kept.  One crash marks all requests that ran there, a few
+#: dozen, so that this holds hundreds of crashes.
+_MAX_FINGERPRINTS = 10_000
 
 
-#: A sound upstream reports within this time after a connection to it broke.
-#: One that doesn't is taken for dead.
-_DOUBT: clock.Ms = 5_000
+#: A healthy upstream reports within this time after a connection to it
+#: broke.  One that doesn't is considered dead.
+_REPORT_TIMEOUT: clock.Ms = 5_000
 
 
 class Loss(NamedTuple):
-    """An upstream died with a request on it.
+    """The loss of an upstream while it ran a request.
 
-    Travels between daemons, so it carries an ``age`` in ms and no moment.
+    It is sent between daemons, whose clocks differ, so that it has an
+    ``age`` in ms instead of a time.
     """
 
     fingerprint: str
@@ -26,87 +27,95 @@
 
 
 class CrashFence:
-    """Refuses a request after it has cost several upstreams.
+    """Counts the upstreams that were lost with each request.
 
-    Made for the request whose caller sends it again after each crash: with
-    no fence it takes the upstreams down one by one.  Different upstreams
-    must be lost, since one that keeps dying by itself proves nothing.  A
-    connection that broke is only a doubt: the request waits until the
-    upstream's next report, or its absence, tells which it was.
+    A request that crashes upstreams takes them down one by one when its
+    caller sends it again after each crash.  Only different upstreams count,
+    since one that keeps crashing may do so by itself.  A broken connection
+    is only a suspicion, until the upstream's next report clears it or the
+    lack of one confirms the loss.
     """
 
     def __init__(self) -> None:
-        self._lost_by_print: dict[str, dict[str, clock.Ms]] = {}
-        self._doubts: dict[str, dict[str, clock.Ms]] = {}
+        self._losses_by_fingerprint: dict[str, dict[str, clock.Ms]] = {}
+        self._suspicions_by_upstream: dict[str, dict[str, clock.Ms]] = {}
 
-    def lose(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
-        """Note that an upstream died with a request on it.
+    def record_loss(
+        self, fingerprint: str, upstream: str, now: clock.Ms
+    ) -> None:
+        """Record that an upstream died while it ran a request.
 
-        :param fingerprint: the request's; an empty one is never refused,
-            but tells peers that the upstream was lost.
-        :param upstream: who died.
+        :param fingerprint: the request's; an empty one is never fenced, but
+            informs peers of the lost upstream.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
         """
-        self._doubts.get(upstream, {}).pop(fingerprint, None)
-        lost = self._lost_by_print.setdefault(fingerprint, {})
+        self._suspicions_by_upstream.get(upstream, {}).pop(fingerprint, None)
+        lost = self._losses_by_fingerprint.setdefault(fingerprint, {})
         lost[upstream] = max(now, lost.get(upstream, now))
-        if len(self._lost_by_print) > _MOST_FINGERPRINTS:
-            del self._lost_by_print[next(iter(self._lost_by_print))]
+        if len(self._losses_by_fingerprint) > _MAX_FINGERPRINTS:
+            del self._losses_by_fingerprint[
+                next(iter(self._losses_by_fingerprint))
+            ]
 
-    def doubt(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
-        """Note that a connection broke, which a death would explain.
+    def suspect(self, fingerprint: str, upstream: str, now: clock.Ms) -> None:
+        """Record a broken connection, which a crash may have caused.
 
         :param fingerprint: the request's.
-        :param upstream: whose connection it was.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
         """
-        self._doubts.setdefault(upstream, {})[fingerprint] = now
+        self._suspicions_by_upstream.setdefault(upstream, {})[fingerprint] = (
+            now
+        )
 
-    def confirm(self, upstream: str, now: clock.Ms) -> bool:
-        """Turn doubts into losses: it is gone, or started afresh.
+    def confirm_loss(self, upstream: str, now: clock.Ms) -> bool:
+        """Turn suspicions into losses, as the upstream is gone or restarted.
 
-        :param upstream: who died.
+        :param upstream: name of the upstream.
         :param now: monotonic ms.
-        :return: whether there was a doubt.
+        :return: whether there was a suspicion.
         """
-        doubts = self._doubts.pop(upstream, {})
-        for fingerprint in doubts:
-            self.lose(fingerprint, upstream, now)
-        return bool(doubts)
+        suspicions = self._suspicions_by_upstream.pop(upstream, {})
+        for fingerprint in suspicions:
+            self.record_loss(fingerprint, upstream, now)
+        return bool(suspicions)
 
     def overdue(self, now: clock.Ms) -> list[str]:
-        """Return upstreams that have been silent since they were doubted.
+        """Return suspected upstreams whose report is overdue.
 
         :param now: monotonic ms.
         """
         return [
             name
-            for name, doubts in self._doubts.items()
-            if any(now - at >= _DOUBT for at in doubts.values())
+            for name, suspicions in self._suspicions_by_upstream.items()
+            if any(now - at >= _REPORT_TIMEOUT for at in suspicions.values())
         ]
 
-    def trust(self, upstream: str) -> None:
-        """Drop doubts: it reported after them, and is the same as before.
+    def clear_suspicions(self, upstream: str) -> None:
+        """Drop suspicions, as the upstream reported and did not restart.
 
-        :param upstream: who reported.
+        :param upstream: name of the upstream.
         """
-        self._doubts.pop(upstream, None)
+        self._suspicions_by_upstream.pop(upstream, None)
 
     def clear(self, fingerprint: str) -> None:
-        """Drop all that speaks against a request: it has just been done.
+        """Drop all losses and suspicions of a request that succeeded.
 
-        One that crashes upstreams is never done.  One that only ran beside
-        it is, and must not be refused for it.
+        A request that crashes upstreams never succeeds, but one that ran
+        beside it may, and must not be fenced.
 
         :param fingerprint: the request's.
         """
         if fingerprint:
-            self._lost_by_print.pop(fingerprint, None)
-            for doubts in self._doubts.values():
-                doubts.pop(fingerprint, None)
+            self._losses_by_fingerprint.pop(fingerprint, None)
+            for suspicions in self._suspicions_by_upstream.values():
+                suspicions.pop(fingerprint, None)
 
-    def losses(self, fingerprint: str, now: clock.Ms, span: clock.Ms) -> int:
-        """Return how many different upstreams were lost.
+    def loss_count(
+        self, fingerprint: str, now: clock.Ms, span: clock.Ms
+    ) -> int:
+        """Return the number of different upstreams that were lost.
 
         :param fingerprint: the request's.
         :param now: monotonic ms.
@@ -114,38 +123,41 @@
         """
         if not fingerprint:
             return 0
-        lost = self._lost_by_print.get(fingerprint, {})
+        lost = self._losses_by_fingerprint.get(fingerprint, {})
         return sum(now - at < span for at in lost.values())
 
-    def doubts(self, fingerprint: str) -> int:
-        """Return how many upstreams may have been lost, and may not.
+    def suspicion_count(self, fingerprint: str) -> int:
+        """Return the number of upstreams that are suspected to be lost.
 
         :param fingerprint: the request's.
         """
-        if not fingerprint or not self._doubts:
+        if not fingerprint or not self._suspicions_by_upstream:
             return 0
-        return sum(fingerprint in seen for seen in self._doubts.values())
+        return sum(
+            fingerprint in seen
+            for seen in self._suspicions_by_upstream.values()
+        )
 
-    def learn(self, loss: Loss, now: clock.Ms) -> None:
-        """Take in a loss that a peer saw.
+    def record_remote_loss(self, loss: Loss, now: clock.Ms) -> None:
+        """Record a loss that a peer reported.
 
-        :param loss: what the peer told.
+        :param loss: the peer's report.
         :param now: monotonic ms.
         """
-        self.lose(loss.fingerprint, loss.upstream, now - loss.age)
+        self.record_loss(loss.fingerprint, loss.upstream, now - loss.age)
 
-    def tell(self, now: clock.Ms, span: clock.Ms) -> tuple[Loss, ...]:
-        """Return the losses that peers should know, and drop old ones.
+    def recent_losses(self, now: clock.Ms, span: clock.Ms) -> tuple[Loss, ...]:
+        """Return the losses to send to peers, and drop expired ones.
 
         :param now: monotonic ms.
         :param span: how long a loss counts, in ms.
         """
-        for fingerprint in list(self._lost_by_print):
-            lost = self._lost_by_print[fingerprint]
+        for fingerprint in list(self._losses_by_fingerprint):
+            lost = self._losses_by_fingerprint[fingerprint]
             if all(now - at >= span for at in lost.values()):
-                del self._lost_by_print[fingerprint]
+                del self._losses_by_fingerprint[fingerprint]
         return tuple(
             Loss(fingerprint, upstream, now - at)
-            for fingerprint, lost in self._lost_by_print.items()
+            for fingerprint, lost in self._losses_by_fingerprint.items()
             for upstream, at in lost.items()
         )
--- a/src/citronvalve/policy/dispatcher.py
+++ b/src/citronvalve/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one object that the daemon asks for every decision under load."""
+"""The entry point for all load-dependent decisions of a daemon."""
 
 import collections.abc
 import random
@@ -10,7 +10,7 @@
 from citronvalve.policy import crashfence
 from citronvalve.policy import decision
 from citronvalve.policy import fleet
-from citronvalve.policy import judge
+from citronvalve.policy import health
 from citronvalve.policy import limits
 from citronvalve.policy import outcome
 from citronvalve.policy import placement
@@ -23,18 +23,19 @@
 
 
 class Dispatcher:
-    """Admits, queues, refuses, places and retries; carries out nothing.
+    """Decides on admission, queueing, placement and retries.
 
     The daemon calls ``submit`` for each request, ``finished`` for each
-    attempt that ended, ``tick`` every 50 ms or so, and carries out what
-    these return.  ``declare``, ``observe``, ``lend`` and ``divide`` bring
-    the table, load reports, loans, and the number of daemons; work that
-    these make possible starts at the next tick.
+    attempt that ended and ``tick`` every 50 ms or so, and carries out the
+    decisions that these return.  ``apply_table``, ``observe``,
+    ``accept_loan`` and ``set_share`` update the table, load reports, loans
+    and the number of daemons; requests that can start as a result do so at
+    the next tick.
 
     :param home: this daemon's data centre.
-    :param rng: source of chance.
-    :param invariants: asserts and counts the promises.
-    :param chooser: how to place; two choices when left out.
+    :param rng: random source.
+    :param invariants: checks the invariants and counts the checks.
+    :param chooser: the placement strategy; ``TwoChoices`` by default.
     """
 
     def __init__(
@@ -46,25 +47,25 @@
     ) -> None:
         self.fleet = fleet.Fleet(home)
         self.limits = limits.Limits()
-        self.judge = judge.Judge(self.fleet)
+        self.monitor = health.HealthMonitor(self.fleet)
         self._starter = starter.Starter(
             self.fleet,
             self.limits,
-            self.judge,
-            chooser or placement.TwoChoices(placement.DISTANCES),
+            self.monitor,
+            chooser or placement.TwoChoices(placement.ROUND_TRIP_BY_TIER),
             rng,
             invariants,
         )
         self._requests = requests.Requests(
             self.fleet,
             self.limits,
-            self.judge,
+            self.monitor,
             self._starter,
             refusals.Refusals(rng),
             invariants,
         )
 
-    def declare(
+    def apply_table(
         self,
         table: declared.Declared,
         now: clock.Ms,
@@ -72,28 +73,28 @@
     ) -> None:
         """Apply the table.
 
-        :param table: the whole table at its newest version.
+        :param table: the whole table.
         :param now: monotonic ms.
-        :param grouped: upstreams that replica groups made.
+        :param grouped: upstreams of replica groups.
         """
-        self.judge.switches = table.switches
+        self.monitor.switches = table.switches
         self._requests.weight_by_team = {
             name: team.weight for name, team in table.team_by_name.items()
         }
-        self.limits.declare(table.limit_by_key)
-        self.fleet.declare(table, grouped, now)
+        self.limits.set_limits(table.limit_by_key)
+        self.fleet.apply_table(table, grouped, now)
 
-    def divide(self, share: limits.Share, now: clock.Ms) -> None:
-        """Set this daemon's place among those that use the same upstreams.
+    def set_share(self, share: limits.Share, now: clock.Ms) -> None:
+        """Set this daemon's rank among those that use the same upstreams.
 
         :param share: its rank and their number.
         :param now: monotonic ms.
         """
-        self.limits.divide(share)
-        self.fleet.divide(share, now)
+        self.limits.set_share(share)
+        self.fleet.set_share(share, now)
 
     def submit(self, item: work.Work, now: clock.Ms) -> decision.Verdict:
-        """Decide on a request that has just arrived.
+        """Decide on a new request.
 
         :param item: the request.
         :param now: monotonic ms.
@@ -103,7 +104,7 @@
     def finished(
         self, ticket: decision.Ticket, how: outcome.Outcome, now: clock.Ms
     ) -> _Decisions:
-        """Take in the end of an attempt; each ticket must get one.
+        """Record the end of an attempt; required once for each ticket.
 
         :param ticket: the attempt.
         :param how: its outcome.
@@ -111,87 +112,89 @@
         """
         ended = self._starter.end(ticket, now)
         if ended is not None:
-            self.judge.ended(ended, how, now)
-            self._starter.freed(ended, now)
-            self._requests.conclude(ended, how, now)
+            self.monitor.record_end(ended, how, now)
+            self._starter.refresh_upstream(ended, now)
+            self._requests.handle_end(ended, how, now)
             for model in ended.candidate.upstream.serves:
-                self._requests.pump(model, now)
-        return self._requests.drain()
+                self._requests.start_queued(model, now)
+        return self._requests.take_decisions()
 
     def cancel(self, request: str, now: clock.Ms) -> _Decisions:
-        """Drop a request whose caller has left.
+        """End a request whose caller has left.
 
         :param request: its id; one that has ended is ignored.
         :param now: monotonic ms.
         """
-        self._requests.drop(request, now)
-        return self._requests.drain()
+        self._requests.cancel(request, now)
+        return self._requests.take_decisions()
 
     def tick(self, now: clock.Ms) -> _Decisions:
-        """Let time pass.
+        """Do what is due at a time.
 
         :param now: monotonic ms.
         """
-        self.judge.tick(now)
+        self.monitor.tick(now)
         self.fleet.tick(now)
         for late in self._starter.overdue(now):
-            self.judge.overdue(late, now)
+            self.monitor.record_overdue(late, now)
             self._requests.hedge(late, now)
         self._requests.tick(now)
-        return self._requests.drain()
+        return self._requests.take_decisions()
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
-        """Take in a load report.
+        """Apply a load report.
 
         :param report: the report.
         :param now: monotonic ms.
         """
         self.fleet.observe(report, now)
-        self.judge.observed(report.upstream, now)
+        self.monitor.handle_report(report.upstream, now)
 
-    def lend(
-        self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
+    def accept_loan(
+        self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
-        """Take a loan of a cold upstream's slots.
+        """Use a loan of a cold upstream's slots.
 
         :param upstream: its name.
         :param slots: requests in progress that it allows here.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         :param now: monotonic ms.
         """
-        self.fleet.lend(upstream, slots, until, now)
+        self.fleet.accept_loan(upstream, slots, expires_at, now)
 
-    def wants(self, now: clock.Ms) -> tuple[fleet.Want, ...]:
-        """Return the cold upstreams that this daemon needs loans of.
+    def needed_loans(self, now: clock.Ms) -> tuple[fleet.LoanRequest, ...]:
+        """Return the cold upstreams that need a loan.
 
         :param now: monotonic ms.
         """
-        return self.fleet.wants(now)
+        return self.fleet.needed_loans(now)
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
-        """Return the slots of an upstream that is warm, as seen here; else 0.
+        """Return an upstream's slots if this daemon sees it as warm, or 0.
 
         :param upstream: its name.
-        :param start_id: the start that is asked for.
+        :param start_id: the start in question.
         :param now: monotonic ms.
         """
         return self.fleet.warm_slots(upstream, start_id, now)
 
-    def open_requests(self) -> int:
-        """Return how many accepted requests have not ended."""
+    def open_request_count(self) -> int:
+        """Return the number of accepted requests that have not ended."""
         return len(self._requests)
 
-    def tell(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
-        """Return what peers should know of lost upstreams.
+    def recent_losses(self, now: clock.Ms) -> tuple[crashfence.Loss, ...]:
+        """Return the losses of upstreams to send to peers.
 
         :param now: monotonic ms.
         """
-        return self.judge.fence.tell(now, self.judge.switches.fence_for)
+        return self.monitor.fence.recent_losses(
+            now, self.monitor.switches.fence_for
+        )
 
-    def learn(self, loss: crashfence.Loss, now: clock.Ms) -> None:
-        """Take in a loss that a peer saw.
+    def record_remote_loss(self, loss: crashfence.Loss, now: clock.Ms) -> None:
+        """Record a loss that a peer reported.
 
-        :param loss: what it told.
+        :param loss: the peer's report.
         :param now: monotonic ms.
         """
-        self.judge.learn(loss, now)
+        self.monitor.record_remote_loss(loss, now)
--- a/src/citronvalve/policy/enginepace.py
+++ b/src/citronvalve/policy/enginepace.py
@@ -1,4 +1,4 @@
-"""How long an engine takes, worked out from its declared figures."""
+"""Latency predictions from an engine's declared figures."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Forecast(NamedTuple):
-    """Spans in ms: to the first event, between events, to the end."""
+    """Times in ms: to the first event, between events, to the end."""
 
     first: float
     gap: float
@@ -16,10 +16,10 @@
 
 
 class EnginePace:
-    """Predicts for one model of a service.
+    """Predicts the latency of one model of a service.
 
-    The figures are the engine's own: a pass reads waiting prompts in
-    pieces and then executes some steps for all that are writing.
+    A pass of the engine prefills waiting prompts in chunks, and then
+    executes a number of steps for all requests that are decoding.
 
     :param spec: the engine's declared figures.
     :param pace: the model's factor on all times.
@@ -29,10 +29,10 @@
         self._spec = spec
         self._pace = pace
 
-    def step(self, writers: int) -> float:
-        """Return ms of one step.
+    def step_time(self, decoding: int) -> float:
+        """Return the duration of one step in ms.
 
-        :param writers: requests that are writing.
+        :param decoding: number of requests that are decoding.
         """
         spec = self._spec
         context = (
@@ -42,12 +42,12 @@
             spec.step_time_per_request
             + spec.step_time_per_1k_context * context
         )
-        return self._pace * (spec.step_time + each * writers)
+        return self._pace * (spec.step_time + each * decoding)
 
-    def reading(self, prompt: int) -> float:
-        """Return ms to read a prompt.
+    def prefill_time(self, prompt: int) -> float:
+        """Return the time to prefill a prompt in ms.
 
-        :param prompt: tokens.
+        :param prompt: length in tokens.
         """
         spec = self._spec
         pairs = prompt * prompt / 2 / _MILLION
@@ -56,36 +56,39 @@
             + spec.prefill_time_per_million_pairs * pairs
         )
 
-    def gap(self, writers: int) -> float:
-        """Return ms between two events, with the usual prompts between.
+    def event_gap(self, decoding: int) -> float:
+        """Return the time between two events in ms, prefill included.
 
-        Each request that ends is followed by one that is read, so of each
-        pass a part goes to reading: one usual prompt a request's passes.
+        Each request that ends is followed by one that is prefilled, which
+        adds one typical prefill per request, spread over its passes.
 
-        :param writers: requests that are writing.
+        :param decoding: number of requests that are decoding.
         """
         spec = self._spec
-        steps = spec.steps_per_pass * self.step(writers)
+        steps = spec.steps_per_pass * self.step_time(decoding)
         passes = max(1.0, spec.typical_response_tokens / spec.steps_per_pass)
-        return steps + writers / passes * self.reading(
+        return steps + decoding / passes * self.prefill_time(
             spec.typical_prompt_tokens
         )
 
     def forecast(self, load: float, prompt: int, answer: int) -> Forecast:
-        """Predict one request that is sent now.
+        """Predict the latency of a request that is sent now.
 
-        :param load: requests at the replica before it, running or waiting.
-        :param prompt: its tokens.
-        :param answer: tokens that it is expected to write.
+        :param load: requests at the replica before it, running or queued.
+        :param prompt: length of its prompt in tokens.
+        :param answer: expected length of the answer in tokens.
         """
         spec = self._spec
         running = min(round(load) + 1, spec.slots)
-        gap = self.gap(running)
+        gap = self.event_gap(running)
         passes = max(1.0, spec.typical_response_tokens / spec.steps_per_pass)
-        # Each place becomes free once in a usual answer's time.
-        freed_every = gap * passes / spec.slots
+        # Each slot becomes free once per typical answer.
+        free_interval = gap * passes / spec.slots
         queue = max(0.0, load + 1 - spec.slots)
-        # It comes in the middle of a pass, is read, and written by the next.
-        first = 0.5 * gap + self.reading(prompt) + gap + queue * freed_every
+        # It arrives in the middle of a pass, is prefilled, and gets its first
+        # event from the next pass.
+        first = (
+            0.5 * gap + self.prefill_time(prompt) + gap + queue * free_interval
+        )
         events = max(1.0, answer / spec.steps_per_pass)
         return Forecast(first, gap, first + gap * (events - 1))
--- a/src/citronvalve/policy/fleet.py
+++ b/src/citronvalve/policy/fleet.py
@@ -8,23 +8,23 @@
 from citronvalve.model import declared
 from citronvalve.model import load
 from citronvalve.policy import candidate
+from citronvalve.policy import datacentrestate
+from citronvalve.policy import freeslots
 from citronvalve.policy import limits
-from citronvalve.policy import room
-from citronvalve.policy import shift
 
-#: Ticks in which the whole fleet is looked at once.
-_TICKS_A_ROUND = 8
+#: Ticks in which the whole fleet is refreshed once.
+_TICKS_PER_ROUND = 8
 
 _NO_SLOTS: collections.Counter = collections.Counter()
 
 
-class Want(NamedTuple):
-    """A cold upstream that this daemon wants slots of.
+class LoanRequest(NamedTuple):
+    """A request for a loan of a cold upstream's slots.
 
-    ``bound`` is what all daemons together may have there now, as this one
-    sees it; the keeper lends parts of it.  ``slots`` are asked for: no more
-    than this daemon would have of it warm, so that its loan fits beside the
-    parts of those that take the upstream for warm.
+    ``bound`` is the number of requests that all daemons together may run
+    there, as known here; the coordinator lends parts of it.  ``slots`` is
+    the requested number, at most this daemon's part when warm, so that the
+    loan fits beside the parts of daemons that see the upstream as warm.
     """
 
     upstream: str
@@ -35,56 +35,58 @@
 
 
 class Fleet:
-    """Keeps candidates, their allowances, and sums of these by model.
+    """All candidates, and the sums of their allowances by model.
 
     :param home: this daemon's data centre.
     """
 
     def __init__(self, home: str) -> None:
         self.candidate_by_name: dict[str, candidate.Candidate] = {}
-        self.index_by_model: dict[str, room.RoomIndex] = {}
-        self.shift_by_datacentre: dict[str, shift.Shift] = {}
+        self.index_by_model: dict[str, freeslots.FreeSlotIndex] = {}
+        self.state_by_datacentre: dict[
+            str, datacentrestate.DatacentreState
+        ] = {}
         self._home = home
         self._share = limits.Share(0, 1)
-        self._looked_at = 0
+        self._next_index = 0
         self._slots_by_model: dict[str, collections.Counter] = {}
 
-    def divide(self, share: limits.Share, now: clock.Ms) -> None:
-        """Set the number of daemons that use the same upstreams.
+    def set_share(self, share: limits.Share, now: clock.Ms) -> None:
+        """Set this daemon's rank among those that use the same upstreams.
 
-        :param share: this daemon's place among them.
+        :param share: its rank and their number.
         :param now: monotonic ms.
         """
         self._share = share
-        self._refresh(self.candidate_by_name.values(), now)
+        self._refresh_all(self.candidate_by_name.values(), now)
 
-    def declare(
+    def apply_table(
         self,
         table: declared.Declared,
         grouped: collections.abc.Iterable[declared.Upstream],
         now: clock.Ms,
     ) -> None:
-        """Apply the table and the upstreams that groups made.
+        """Apply the table and the upstreams of replica groups.
 
         :param table: the whole table.
         :param grouped: upstreams of replica groups.
         :param now: monotonic ms.
         """
-        made = {upstream.name: upstream for upstream in grouped}
-        wanted = {**table.upstream_by_name, **made}
-        for name in self.candidate_by_name.keys() - wanted.keys():
+        grouped_by_name = {upstream.name: upstream for upstream in grouped}
+        upstream_by_name = {**table.upstream_by_name, **grouped_by_name}
+        for name in self.candidate_by_name.keys() - upstream_by_name.keys():
             self._remove(self.candidate_by_name.pop(name))
-        back = self._declare_places(table, wanted)
-        for upstream in wanted.values():
-            self._declare_one(table, upstream)
+        returning = self._apply_datacentres(table, upstream_by_name)
+        for upstream in upstream_by_name.values():
+            self._apply_upstream(table, upstream)
         for item in self.candidate_by_name.values():
-            if item.upstream.datacentre in back:
-                # What its engines had cached is old or gone.
-                item.ramp.restart(now)
-        self._refresh(self.candidate_by_name.values(), now)
+            if item.upstream.datacentre in returning:
+                # The caches of its engines are outdated or empty.
+                item.ramp.mark_cold(now)
+        self._refresh_all(self.candidate_by_name.values(), now)
 
     def observe(self, report: load.LoadReport, now: clock.Ms) -> None:
-        """Take in a load report; one of an unknown upstream is dropped.
+        """Apply a load report; one of an unknown upstream is ignored.
 
         :param report: the report.
         :param now: monotonic ms.
@@ -92,42 +94,42 @@
         item = self.candidate_by_name.get(report.upstream)
         if item is not None:
             item.observe(report)
-            self.changed(item, now)
+            self.refresh(item, now)
 
-    def lend(
-        self, upstream: str, slots: int, until: clock.Ms, now: clock.Ms
+    def accept_loan(
+        self, upstream: str, slots: int, expires_at: clock.Ms, now: clock.Ms
     ) -> None:
-        """Take a loan of a cold upstream's slots.
+        """Use a loan of a cold upstream's slots.
 
         :param upstream: its name.
         :param slots: requests in progress that the loan allows.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         :param now: monotonic ms.
         """
         item = self.candidate_by_name.get(upstream)
         if item is not None:
-            item.loan = candidate.Loan(slots, until)
-            self.changed(item, now)
+            item.loan = candidate.Loan(slots, expires_at)
+            self.refresh(item, now)
 
     def tick(self, now: clock.Ms) -> None:
-        """Let time change what it changes: loans, circuits, ramps, age.
+        """Refresh part of the fleet after loans, circuits, ramps and age.
 
-        A part of the fleet each time: what an upstream may get is worked
-        out again before each start, so a late look only delays room that
-        opens, and a look at thousands every tick would cost a core.
+        An allowance is recomputed before each start, so that a late refresh
+        only delays the use of new slots, and a refresh of thousands of
+        upstreams at every tick would use up a core.
 
         :param now: monotonic ms.
         """
         names = list(self.candidate_by_name)
-        part = len(names) // _TICKS_A_ROUND + 1
-        for at in range(self._looked_at, self._looked_at + part):
+        count = len(names) // _TICKS_PER_ROUND + 1
+        for index in range(self._next_index, self._next_index + count):
             if names:
-                name = names[at % len(names)]
-                self.changed(self.candidate_by_name[name], now)
-        self._looked_at = (self._looked_at + part) % max(1, len(names))
+                name = names[index % len(names)]
+                self.refresh(self.candidate_by_name[name], now)
+        self._next_index = (self._next_index + count) % max(1, len(names))
 
-    def changed(self, item: candidate.Candidate, now: clock.Ms) -> None:
-        """Work out what an upstream may get, after any change of it.
+    def refresh(self, item: candidate.Candidate, now: clock.Ms) -> None:
+        """Recompute an upstream's allowance after any change.
 
         :param item: the upstream.
         :param now: monotonic ms.
@@ -137,18 +139,18 @@
         for model in item.upstream.serves if delta else ():
             slots = self._slots_by_model[model]
             slots[item.upstream.datacentre] += delta
-        if item.has_room():
+        if item.has_free_slot():
             for model in item.upstream.serves:
                 self.index_by_model[model].add(item)
 
     def slots(self, model: str) -> float:
-        """Return the requests of a model this daemon may have in progress.
+        """Return how many requests of a model this daemon may run.
 
         :param model: the model or plain service.
         """
         slots = self._slots_by_model.get(model, _NO_SLOTS)
         return sum(
-            min(number, self.shift_by_datacentre[name].bound)
+            min(number, self.state_by_datacentre[name].bound)
             for name, number in slots.items()
         )
 
@@ -163,111 +165,114 @@
             if model in item.upstream.serves
         ]
 
-    def why_none(self, model: str, now: clock.Ms) -> str:
-        """Tell in words why a model has no slots.
+    def no_slots_reason(self, model: str, now: clock.Ms) -> str:
+        """Return a description of why a model has no slots.
 
         :param model: the model or plain service.
         :param now: monotonic ms.
         """
         counts: collections.Counter = collections.Counter()
         for item in self.serving(model):
-            bar = item.bar(now)
+            reason = item.block_reason(now)
             cold = "it is cold, and no slots of it are lent to this daemon"
-            full = "it bears no more"
-            open_ = cold if item.ramp.is_cold(now) else full
-            counts[bar.value if bar else open_] += 1
-        told = (f"{many} since {why}" for why, many in counts.items())
-        return "; ".join(told) or "none is declared"
+            full = "it has no slots for this daemon"
+            not_blocked = cold if item.ramp.is_cold(now) else full
+            counts[reason.value if reason else not_blocked] += 1
+        parts = (f"{many} since {why}" for why, many in counts.items())
+        return "; ".join(parts) or "none is declared"
 
     def start_id(self, upstream: str) -> str:
-        """Return the start of an upstream that was seen last.
+        """Return the last known start id of an upstream.
 
         :param upstream: its name.
         """
         item = self.candidate_by_name.get(upstream)
         return item.report.start_id if item and item.report else ""
 
-    def wants(self, now: clock.Ms) -> tuple[Want, ...]:
+    def needed_loans(self, now: clock.Ms) -> tuple[LoanRequest, ...]:
         """Return the cold upstreams that need a loan.
 
         :param now: monotonic ms.
         """
         return tuple(
-            Want(
+            LoanRequest(
                 item.name,
                 item.ramp.bound(now),
-                min(item.ramp.bound(now), item.part(self._share)),
+                min(item.ramp.bound(now), item.fixed_part(self._share)),
                 item.upstream.datacentre,
                 item.report.start_id,
             )
             for item in self.candidate_by_name.values()
-            if item.bar(now) is None and item.ramp.is_cold(now)
+            if item.block_reason(now) is None and item.ramp.is_cold(now)
         )
 
     def warm_slots(self, upstream: str, start_id: str, now: clock.Ms) -> int:
-        """Return the slots of an upstream that is warm, as seen here; else 0.
+        """Return an upstream's slots if this daemon sees it as warm, or 0.
 
         :param upstream: its name.
-        :param start_id: the start that is asked for.
+        :param start_id: the start in question.
         :param now: monotonic ms.
         """
         item = self.candidate_by_name.get(upstream)
-        if item is None or item.bar(now) is not None:
+        if item is None or item.block_reason(now) is not None:
             return 0
         if item.report.start_id != start_id or item.ramp.is_cold(now):
             return 0
         return item.upstream.slots
 
-    def _refresh(
+    def _refresh_all(
         self,
         items: collections.abc.Iterable[candidate.Candidate],
         now: clock.Ms,
     ) -> None:
         for item in items:
-            self.changed(item, now)
+            self.refresh(item, now)
 
-    def _declare_places(
+    def _apply_datacentres(
         self,
         table: declared.Declared,
-        wanted: dict[str, declared.Upstream],
+        upstream_by_name: dict[str, declared.Upstream],
     ) -> set[str]:
-        most = collections.Counter()
-        for upstream in wanted.values():
-            most[upstream.datacentre] += upstream.slots
-        back = set()
+        slots = collections.Counter()
+        for upstream in upstream_by_name.values():
+            slots[upstream.datacentre] += upstream.slots
+        returning = set()
         for name, row in table.datacentre_by_name.items():
-            place = self.shift_by_datacentre.get(name)
-            if place is None:
-                place = shift.Shift(row.state)
-                self.shift_by_datacentre[name] = place
-            if place.declare(row.state, most[name] // self._share.members):
-                back.add(name)
-        return back
-
-    def _declare_one(
+            state = self.state_by_datacentre.get(name)
+            if state is None:
+                state = datacentrestate.DatacentreState(row.state)
+                self.state_by_datacentre[name] = state
+            if state.apply_state(
+                row.state, slots[name] // self._share.members
+            ):
+                returning.add(name)
+        return returning
+
+    def _apply_upstream(
         self,
         table: declared.Declared,
         upstream: declared.Upstream,
     ) -> None:
         old = self.candidate_by_name.get(upstream.name)
-        if old is not None and _is_same_place(old, upstream):
-            old.declare(upstream)
+        if old is not None and _is_same_upstream(old, upstream):
+            old.update_upstream(upstream)
             return
         if old is not None:
             self._remove(old)
-        place = self.shift_by_datacentre.setdefault(
-            upstream.datacentre, shift.Shift(declared.ServiceState.OUT)
+        state = self.state_by_datacentre.setdefault(
+            upstream.datacentre,
+            datacentrestate.DatacentreState(declared.ServiceState.OUT),
         )
         tier = self._tier(table, upstream.datacentre)
-        item = candidate.Candidate(upstream, place, tier)
+        item = candidate.Candidate(upstream, state, tier)
         self.candidate_by_name[upstream.name] = item
         for model in upstream.serves:
-            self.index_by_model.setdefault(model, room.RoomIndex())
+            self.index_by_model.setdefault(model, freeslots.FreeSlotIndex())
             self._slots_by_model.setdefault(model, collections.Counter())
 
     def _remove(self, item: candidate.Candidate) -> None:
         for model in item.upstream.serves:
-            self.index_by_model[model].drop(item)
+            self.index_by_model[model].remove(item)
             slots = self._slots_by_model[model]
             slots[item.upstream.datacentre] -= item.allowance
         item.allowance = 0
@@ -281,13 +286,13 @@
         return 1 if near else 2
 
 
-def _is_same_place(
+def _is_same_upstream(
     old: candidate.Candidate, upstream: declared.Upstream
 ) -> bool:
-    # An upstream at another address or with other models is another one:
-    # what is known of the old one says nothing about it.
-    now = old.upstream
-    return (now.address, now.datacentre, now.serves) == (
+    # An upstream at another address or with other models is a different
+    # one, to which the state of the old one does not apply.
+    current = old.upstream
+    return (current.address, current.datacentre, current.serves) == (
         upstream.address,
         upstream.datacentre,
         upstream.serves,
--- a/src/citronvalve/policy/limits.py
+++ b/src/citronvalve/policy/limits.py
@@ -1,4 +1,4 @@
-"""Requests in progress by team, model and data centre."""
+"""Limits on requests in progress by team, model and data centre."""
 
 import collections.abc
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Key(NamedTuple):
-    """What a limit is set on; equal to the key of its row."""
+    """What a limit applies to; equal to the key of its row."""
 
     team: str
     model: str
@@ -16,15 +16,15 @@
 
 
 class Share(NamedTuple):
-    """This daemon's place among those that share every limit."""
+    """This daemon's rank among those that share every limit."""
 
     rank: int
     members: int
 
     def of(self, slots: int) -> int:
-        """Return its fixed part; the parts of all add up to the whole.
+        """Return its fixed part; the parts of all members add up.
 
-        :param slots: the whole.
+        :param slots: the number of slots to divide.
         """
         whole, rest = divmod(slots, self.members)
         return whole + (self.rank < rest)
@@ -32,15 +32,16 @@
 
 class _Loan(NamedTuple):
     slots: int
-    until: clock.Ms
+    expires_at: clock.Ms
 
 
 class Limits:
-    """Counts what this daemon has in progress against its part of limits.
+    """Counts requests in progress against this daemon's part of the limits.
 
-    Made for a team whose burst must not take what operators set aside for
-    others.  The limit holds over all daemons: without a loan from its
-    keeper each uses a fixed part, so that no message is needed for safety.
+    The limits keep a team's burst from taking slots that are reserved for
+    others.  A limit applies to all daemons together: without a loan from
+    its coordinator each uses a fixed part, so that the limit is kept without
+    messages.
     """
 
     def __init__(self) -> None:
@@ -49,7 +50,7 @@
         self._loan_by_key: dict[Key, _Loan] = {}
         self._share = Share(0, 1)
 
-    def declare(
+    def set_limits(
         self, limit_by_key: dict[tuple[str, str, str], declared.Limit]
     ) -> None:
         """Apply the rows of the table.
@@ -58,24 +59,24 @@
         """
         self._limit_by_key = limit_by_key
 
-    def divide(self, share: Share) -> None:
-        """Set this daemon's place among the members.
+    def set_share(self, share: Share) -> None:
+        """Set this daemon's rank among the members.
 
         :param share: its rank and their number.
         """
         self._share = share
 
-    def lend(self, key: Key, slots: int, until: clock.Ms) -> None:
-        """Take a loan, in place of the fixed part.
+    def accept_loan(self, key: Key, slots: int, expires_at: clock.Ms) -> None:
+        """Use a loan instead of the fixed part.
 
         :param key: which limit.
         :param slots: requests in progress that it allows here.
-        :param until: monotonic ms at which it ends.
+        :param expires_at: when it expires, in monotonic ms.
         """
-        self._loan_by_key[key] = _Loan(slots, until)
+        self._loan_by_key[key] = _Loan(slots, expires_at)
 
     def allowed(self, key: Key, now: clock.Ms) -> float:
-        """Return the requests that may be in progress here.
+        """Return how many requests may be in progress here.
 
         :param key: which limit; infinite where there is none.
         :param now: monotonic ms.
@@ -84,12 +85,12 @@
         if limit is None:
             return float("inf")
         loan = self._loan_by_key.get(key)
-        if loan is not None and now < loan.until:
+        if loan is not None and now < loan.expires_at:
             return min(loan.slots, limit.slots)
         return self._share.of(limit.slots)
 
-    def has_room(self, key: Key, now: clock.Ms) -> bool:
-        """Tell whether one more may start.
+    def has_free_slot(self, key: Key, now: clock.Ms) -> bool:
+        """Return whether one more request may start.
 
         :param key: which limit.
         :param now: monotonic ms.
@@ -98,14 +99,14 @@
             return True
         return self._running_by_key.get(key, 0) < self.allowed(key, now)
 
-    def most(
+    def total_allowed(
         self,
         team: str,
         model: str,
         datacentres: collections.abc.Iterable[str],
         now: clock.Ms,
     ) -> float:
-        """Return what all limits together leave to a team.
+        """Return how many requests of a team all limits together allow.
 
         :param team: the team.
         :param model: the model.
@@ -116,15 +117,15 @@
             self.allowed(Key(team, model, name), now) for name in datacentres
         )
 
-    def start(self, key: Key) -> None:
-        """Count a start.
+    def acquire(self, key: Key) -> None:
+        """Count a request that starts.
 
         :param key: which limit.
         """
         self._running_by_key[key] = self._running_by_key.get(key, 0) + 1
 
-    def end(self, key: Key) -> None:
-        """Count an end.
+    def release(self, key: Key) -> None:
+        """Count a request that ended.
 
         :param key: which limit.
         """
--- a/src/citronvalve/policy/placement.py
+++ b/src/citronvalve/policy/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request."""
+"""Selection of the upstream for a request."""
 
 import abc
 import collections.abc
@@ -7,136 +7,148 @@
 
 from citronvalve.model import clock
 from citronvalve.policy import candidate
-from citronvalve.policy import room
+from citronvalve.policy import freeslots
 
-#: Draws in one tier before all of it is looked through; only upstreams
-#: that this request may not use make a draw fail.
-_DRAWS = 6
+#: Draws in one tier before all of it is searched.  A draw fails only for
+#: upstreams that the request may not use.
+_MAX_DRAWS = 6
 
-#: Likely holders of the prompt's prefix that are weighed as well.
-_HOLDERS = 2
+#: Likely holders of the prompt's prefix that are compared as well.
+_MAX_HOLDERS = 2
 
-#: Time in ms to read one token of a prompt that is not cached: what a
-#: wrong guess costs, so it only has to be of the right size.
-_READ = 0.1
+#: Time to prefill one token that is not cached.  It only has to be of the
+#: right order of magnitude.
+_PREFILL_MS_PER_TOKEN = 0.1
 
 
-#: Times in ms there and back, by tier, until they are measured: the data
-#: centres of one region are about a millisecond apart one way.
-DISTANCES: tuple[clock.Ms, ...] = (0, 2, 60)
+#: Assumed round-trip times by tier.  The data centres of one region are
+#: about a millisecond apart one way.
+ROUND_TRIP_BY_TIER: tuple[clock.Ms, ...] = (0, 2, 60)
 
 
-class Wish(NamedTuple):
-    """What placement needs to know of a request.
+class PlacementRequest(NamedTuple):
+    """The properties of a request that placement depends on.
 
-    ``allows`` tells whether limits, earlier attempts and suspects let it
-    go to a candidate; ``belief_by_name`` are likely holders of its prefix;
-    ``service`` is its expected service time in ms.
+    ``allows`` returns whether limits, earlier attempts and suspects permit
+    a candidate.  ``cache_probability_by_name`` has the likely holders of
+    the request's prefix, and ``service`` is its expected service time in ms.
     """
 
     allows: collections.abc.Callable[[candidate.Candidate], bool]
-    belief_by_name: dict[str, float]
+    cache_probability_by_name: dict[str, float]
     prompt_tokens: int
     service: clock.Ms
 
 
 class Placement(abc.ABC):
-    """A way to choose; it sees loads that are seconds old."""
+    """A placement strategy; the loads it uses are seconds old."""
 
     @abc.abstractmethod
     def pick(
         self,
-        index: room.RoomIndex,
+        index: freeslots.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: Wish,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
-        """Return an upstream with room, or None.
+        """Return an upstream with a free slot, or None.
 
-        :param index: who may have room.
+        :param index: the upstreams that may have free slots.
         :param holders: likely holders of the prompt's prefix.
-        :param wish: the request.
-        :param rng: source of chance.
+        :param request: the request.
+        :param rng: random source.
         """
 
 
-def price(item: candidate.Candidate, wish: Wish, distance: clock.Ms) -> float:
-    """Return what an upstream would cost the caller, as ms.
+def placement_cost(
+    item: candidate.Candidate, request: PlacementRequest, round_trip: clock.Ms
+) -> float:
+    """Return the estimated delay of a request at an upstream in ms.
 
-    The load counts as a part of the service time, since an engine that
-    batches more gives each request less; the weight of the table divides
-    it, so that twice the weight draws about twice the work.
+    The load adds a part of the service time, since requests in a larger
+    batch are slower.  It is divided by the declared weight, so that twice
+    the weight attracts about twice the requests.
 
     :param item: the upstream.
-    :param wish: the request.
-    :param distance: ms there and back.
+    :param request: the request.
+    :param round_trip: round-trip time in ms.
     """
     upstream = item.upstream
     load = (item.running + 1) / (upstream.slots * upstream.weight)
-    belief = wish.belief_by_name.get(item.name, 0.0)
-    reading = wish.prompt_tokens * _READ * (1.0 - belief)
-    return load * wish.service + reading + distance
+    cache_probability = request.cache_probability_by_name.get(item.name, 0.0)
+    prefill = (
+        request.prompt_tokens
+        * _PREFILL_MS_PER_TOKEN
+        * (1.0 - cache_probability)
+    )
+    return load * request.service + prefill + round_trip
 
 
 class TwoChoices(Placement):
-    """The better of two drawn by chance, and of likely holders.
+    """The power of two choices, with likely prefix holders added.
 
-    Made for reports that are seconds old and many daemons that decide on
-    the same ones: the best of all would be the same for each of them, and
-    they would all send there until the next report.
+    Many daemons decide on the same reports, which are seconds old.  If each
+    took the best of all upstreams, they would all send their requests there
+    until the next report.
 
-    :param distance_by_tier: ms there and back, by tier.
+    :param round_trip_by_tier: round-trip times in ms, by tier.
     """
 
-    def __init__(self, distance_by_tier: tuple[clock.Ms, ...]) -> None:
-        self._distance_by_tier = distance_by_tier
+    def __init__(self, round_trip_by_tier: tuple[clock.Ms, ...]) -> None:
+        self._round_trip_by_tier = round_trip_by_tier
 
     def pick(
         self,
-        index: room.RoomIndex,
+        index: freeslots.FreeSlotIndex,
         holders: collections.abc.Iterable[candidate.Candidate],
-        wish: Wish,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> candidate.Candidate | None:
-        """Return the cheapest of a few, or None when nobody has room."""
+        """Return the cheapest of a few, or None without a free slot."""
         drawn: list[candidate.Candidate] = []
-        for tier in range(room.TIERS):
-            drawn = self._draw(index, tier, wish, rng)
+        for tier in range(freeslots.TIERS):
+            drawn = self._draw(index, tier, request, rng)
             if drawn:
                 break
         likely = [
-            item for item in holders if item.has_room() and wish.allows(item)
+            item
+            for item in holders
+            if item.has_free_slot() and request.allows(item)
         ]
-        drawn += likely[:_HOLDERS]
+        drawn += likely[:_MAX_HOLDERS]
         if not drawn:
             return None
-        return min(drawn, key=lambda item: self._price(item, wish))
+        return min(drawn, key=lambda item: self._cost(item, request))
 
-    def _price(self, item: candidate.Candidate, wish: Wish) -> float:
-        return price(item, wish, self._distance_by_tier[item.tier])
+    def _cost(
+        self, item: candidate.Candidate, request: PlacementRequest
+    ) -> float:
+        return placement_cost(
+            item, request, self._round_trip_by_tier[item.tier]
+        )
 
     def _draw(
         self,
-        index: room.RoomIndex,
+        index: freeslots.FreeSlotIndex,
         tier: int,
-        wish: Wish,
+        request: PlacementRequest,
         rng: random.Random,
     ) -> list[candidate.Candidate]:
         found: list[candidate.Candidate] = []
-        for _ in range(_DRAWS):
+        for _ in range(_MAX_DRAWS):
             item = index.draw(tier, rng)
             if item is None:
                 return found
-            if wish.allows(item):
+            if request.allows(item):
                 found.append(item)
             if len(found) == 2:
                 return found
         if found:
             return found
-        # Limits or earlier attempts rule most of them out: look at each,
-        # since "nobody has room" would be told to the caller.
+        # Limits or earlier attempts exclude most of them.  Check each one,
+        # since the caller is rejected if none is found.
         return [
             item
-            for item in index.all(tier)
-            if item.has_room() and wish.allows(item)
+            for item in index.in_tier(tier)
+            if item.has_free_slot() and request.allows(item)
         ]
--- a/src/citronvalve/policy/refusals.py
+++ b/src/citronvalve/policy/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals that the decisions give, with their remedies."""
+"""Refusals of requests, with their details and remedies."""
 
 import random
 
@@ -6,8 +6,8 @@
 from citronvalve.model import ran
 from citronvalve.model import refusal
 from citronvalve.policy import attempt
-from citronvalve.policy import comeback
 from citronvalve.policy import outcome
+from citronvalve.policy import retryafter
 
 _REMEDY_BY_KIND: dict[refusal.RefusalKind, str] = {
     refusal.RefusalKind.NO_TIME: "come back later, or allow more time",
@@ -28,34 +28,34 @@
 
 
 class Refusals:
-    """Builds refusals; each tells when to come back, spread by chance.
+    """Builds refusals, each with a randomized retry delay.
 
-    :param rng: source of chance.
+    :param rng: random source.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def give(
+    def build(
         self,
         kind: refusal.RefusalKind,
         detail: str,
         excess: clock.Ms = 0,
         has_run: ran.Ran = ran.Ran.NO,
     ) -> refusal.Refusal:
-        """Return a refusal.
+        """Return a refusal of any kind.
 
-        :param kind: why.
-        :param detail: what was seen.
-        :param excess: ms by which the work would have been late.
-        :param has_run: whether it was run.
+        :param kind: its kind.
+        :param detail: the cause.
+        :param excess: ms by which the request would have been late.
+        :param has_run: whether the request ran.
         """
         return refusal.Refusal(
             kind,
             detail,
             _REMEDY_BY_KIND[kind],
             has_run,
-            comeback.after(excess, self._rng),
+            retryafter.retry_after(excess, self._rng),
         )
 
     def late(
@@ -65,19 +65,19 @@
         wait: clock.Ms = 0,
         kind: refusal.RefusalKind = refusal.RefusalKind.NO_TIME,
     ) -> refusal.Refusal:
-        """Return the refusal of work that can't be done in time.
+        """Return the refusal of a request that would miss its deadline.
 
         :param entry: the request.
         :param now: monotonic ms.
-        :param wait: ms that it would wait first.
-        :param kind: why it can't.
+        :param wait: predicted wait in ms.
+        :param kind: the cause, unless the deadline has passed.
         """
         deadline = entry.work.deadline
         late = now + wait + entry.expected.bound - deadline
         if deadline <= now:
             kind = refusal.RefusalKind.DEADLINE_PASSED
         detail = f"it would be done {late} ms after its deadline"
-        return self.give(kind, detail, late, entry.ran)
+        return self.build(kind, detail, late, entry.ran)
 
     def failed(
         self,
@@ -86,36 +86,35 @@
         fenced: bool,
         now: clock.Ms,
     ) -> refusal.Refusal:
-        """Return the refusal of work whose last attempt failed.
+        """Return the refusal of a request whose last attempt failed.
 
         :param entry: the request.
         :param how: how the attempt ended.
-        :param fenced: whether it has cost too many upstreams.
+        :param fenced: whether the request has crashed too many upstreams.
         :param now: monotonic ms.
         """
-        if not fenced and entry.is_hopeless(now):
-            # Another try would end after the deadline, so that this is
-            # already known to be the end.
+        if not fenced and entry.would_be_late(now):
+            # No further attempt can finish before the deadline.
             passed = refusal.RefusalKind.DEADLINE_PASSED
             return self.late(entry, now, 0, passed)
         kind = refusal.RefusalKind.UPSTREAM_FAILED
         if fenced:
             kind = refusal.RefusalKind.FENCED_OFF
         detail = f"attempt {entry.attempts} ended: {how.value}"
-        return self.give(kind, detail, has_run=entry.ran)
+        return self.build(kind, detail, has_run=entry.ran)
 
     def fenced(self) -> refusal.Refusal:
         """Return the refusal of a request that crashes upstreams."""
         detail = "upstreams were lost while running it"
-        return self.give(refusal.RefusalKind.FENCED_OFF, detail)
+        return self.build(refusal.RefusalKind.FENCED_OFF, detail)
 
-    def nowhere(self, entry: attempt.Entry, why: str) -> refusal.Refusal:
-        """Return the refusal of work that no upstream can take.
+    def no_upstream(self, entry: attempt.Entry, why: str) -> refusal.Refusal:
+        """Return the refusal of a request that no upstream can serve.
 
         :param entry: the request.
-        :param why: what keeps the upstreams away.
+        :param why: why no upstream is available.
         """
         model = entry.work.model
         detail = f"no upstream of {model} is in service: {why}"
         kind = refusal.RefusalKind.NO_UPSTREAM
-        return self.give(kind, detail, has_run=entry.ran)
+        return self.build(kind, detail, has_run=entry.ran)
--- a/src/citronvalve/policy/upstreamload.py
+++ b/src/citronvalve/policy/upstreamload.py
@@ -1,23 +1,24 @@
-"""What one daemon knows of one upstream's load."""
+"""One daemon's view of the load of one upstream."""
 
 from typing import NamedTuple
 
 from citronvalve.model import clock
 from citronvalve.policy import circuit
 
-#: What an upstream said of others' requests loses half its weight in this
-#: time: about the time that a request of them runs.
+#: Half-life of an upstream's report of other daemons' requests: about the
+#: duration of such a request.
 _HALF_LIFE: clock.Ms = 800
 
-#: What another daemon said of its own requests counts for so long; it says
-#: so several times within it.
-_TOLD: clock.Ms = 700
+#: How long another daemon's statement of its own load is valid.  It repeats
+#: the statement several times within this time.
+_REMOTE_LOAD_TTL: clock.Ms = 700
 
 
-class Share(NamedTuple):
-    """One daemon's requests at an upstream.
+class RemoteLoad(NamedTuple):
+    """Another daemon's requests at an upstream.
 
-    ``late`` of the ``count`` wait for places that nobody else wants.
+    ``late`` of the ``count`` are predicted to miss their objective and are
+    served after all others.
     """
 
     count: int
@@ -26,17 +27,19 @@
 
 
 class UpstreamLoad:
-    """Own requests counted exactly, those of others as they tell.
-
-    Made for a load near what the replicas bear: by the upstream's own word,
-    which comes with an answer, a replica with 17 requests looks like one
-    with 10, and gets more than it can serve in time.
-
-    :ivar mine: requests of this daemon that are there now.
-    :ivar late: those of them that wait for places nobody else wants.
-    :ivar circuit: whether failures keep it out of service.
-    :ivar heard_at: monotonic ms of the last sign of life, 0 for none.
-    :ivar avoid_until: monotonic ms until which it gets no new work.
+    """The load of one upstream.
+
+    Own requests are counted exactly, and those of other daemons by their
+    messages.  The upstream's own report, which comes with an answer, is too
+    old near saturation: a replica with 17 requests looks like one with 10,
+    and gets more than it can serve in time.
+
+    :ivar own: requests of this daemon at the upstream.
+    :ivar late: those of them that are predicted to miss their objective.
+    :ivar remote_load_by_daemon: the requests of other daemons.
+    :ivar circuit: its circuit breaker.
+    :ivar last_heard_at: when it last sent something, in monotonic ms, or 0.
+    :ivar avoid_until: when it may get new requests, in monotonic ms.
     """
 
     __slots__ = (
@@ -44,63 +47,65 @@
         "_reported_at",
         "avoid_until",
         "circuit",
-        "heard_at",
+        "last_heard_at",
         "late",
-        "mine",
-        "share_by_daemon",
+        "own",
+        "remote_load_by_daemon",
     )
 
     def __init__(self) -> None:
-        self.mine = 0
+        self.own = 0
         self.late = 0
-        self.share_by_daemon: dict[str, Share] = {}
+        self.remote_load_by_daemon: dict[str, RemoteLoad] = {}
         self.circuit = circuit.Circuit()
-        self.heard_at: clock.Ms = 0
+        self.last_heard_at: clock.Ms = 0
         self.avoid_until: clock.Ms = 0
         self._others = 0.0
         self._reported_at: clock.Ms = 0
 
-    def renew(self) -> None:
-        """Forget failures and silences of an earlier start or group."""
+    def reset_failures(self) -> None:
+        """Reset failures and stalls of an earlier start or group."""
         self.circuit = circuit.Circuit()
         self.avoid_until = 0
 
-    def reported(self, running: int, waiting: int, now: clock.Ms) -> None:
-        """Take in what the upstream said with an answer.
+    def record_report(self, running: int, waiting: int, now: clock.Ms) -> None:
+        """Apply the load that the upstream reported with an answer.
 
-        :param running: requests of all callers that run.
-        :param waiting: requests of all callers that wait.
+        :param running: number of running requests of all callers.
+        :param waiting: number of queued requests of all callers.
         :param now: monotonic ms.
         """
-        self._others = max(0.0, float(running + waiting - self.mine))
+        self._others = max(0.0, float(running + waiting - self.own))
         self._reported_at = now
 
     def total(self, now: clock.Ms) -> float:
-        """Return the requests that are there, as far as can be known.
+        """Return the estimated number of requests at the upstream.
 
         :param now: monotonic ms.
         """
-        told = self._told(now)
-        if told:
-            return self.mine + float(sum(share.count for share in told))
+        remote = self._fresh_remote_loads(now)
+        if remote:
+            return self.own + float(sum(share.count for share in remote))
         if not self._reported_at:
-            return 2.0 * self.mine
+            return 2.0 * self.own
         weight = 0.5 ** ((now - self._reported_at) / _HALF_LIFE)
-        # The other daemons of the data centre choose as this one does, so
-        # without news they are taken to have as much there.
-        return self.mine + weight * self._others + (1 - weight) * self.mine
+        # The other daemons of the data centre choose as this one does.
+        # Without information they are assumed to have as many requests.
+        return self.own + weight * self._others + (1 - weight) * self.own
 
-    def urgent(self, now: clock.Ms) -> float:
-        """Return the requests that are not behind one that is in time.
+    def total_on_time(self, now: clock.Ms) -> float:
+        """Return the requests without the late ones, which are served last.
 
         :param now: monotonic ms.
         """
-        late = self.late + sum(share.late for share in self._told(now))
+        late = self.late + sum(
+            share.late for share in self._fresh_remote_loads(now)
+        )
         return max(0.0, self.total(now) - late)
 
-    def _told(self, now: clock.Ms) -> list[Share]:
+    def _fresh_remote_loads(self, now: clock.Ms) -> list[RemoteLoad]:
         return [
             share
-            for share in self.share_by_daemon.values()
-            if now - share.at <= _TOLD
+            for share in self.remote_load_by_daemon.values()
+            if now - share.at <= _REMOTE_LOAD_TTL
         ]
