--- a/src/citronvalve/daemon/daemon.py
+++ b/src/citronvalve/daemon/daemon.py
@@ -23,7 +23,7 @@
 from citronvalve.entry import app
 from citronvalve.entry import chat
 from citronvalve.entry import environment as environments
-from citronvalve.entry import keyed
+from citronvalve.entry import keyedrunner
 from citronvalve.entry import metrics
 from citronvalve.entry import plain
 from citronvalve.entry import progress as progresses
@@ -61,7 +61,7 @@
         self._view = views.View(self._env.clock, self._env.invariants)
         self._peering = peertask.PeerTask(self._env, self._view, settings)
         self._dispatcher = dispatcher.Dispatcher(
-            settings.datacentre, self._env.chance, self._env.invariants
+            settings.datacentre, self._env.rng, self._env.invariants
         )
         self._decided = decided.Decided(
             self._env, self._view, self._dispatcher
@@ -172,12 +172,12 @@
         return app.App(
             self._env,
             self._view,
-            chat.Chat(self._env, self._decided, engines),
-            plain.Plain(
+            chat.ChatHandler(self._env, self._decided, engines),
+            plain.ServiceHandler(
                 self._env,
                 self._decided,
                 services,
-                keyed.Keyed(self._record.recorder),
+                keyedrunner.KeyedRunner(self._record.recorder),
             ),
             self._progress,
         )
@@ -192,5 +192,5 @@
         logbook.Logger("citronvalve"),
         metrics.Metrics(),
         invariant.Invariants(),
-        environments.Bounds(body=settings.body),
+        environments.RequestLimits(max_body_size=settings.body),
     )
--- a/src/citronvalve/daemon/decided.py
+++ b/src/citronvalve/daemon/decided.py
@@ -12,7 +12,7 @@
 from citronvalve.policy import dispatcher
 from citronvalve.policy import outcome
 from citronvalve.policy import work
-from citronvalve.upstreams import ask
+from citronvalve.upstreams import nextattempt
 
 _OUTCOME_BY_ENDING: dict[dispatches.Ending, outcome.Outcome] = {
     dispatches.Ending.WHOLE: outcome.Outcome.DONE,
@@ -64,7 +64,9 @@
         self._case_by_key: dict[str, _Case] = {}
 
     def place(
-        self, work: works.Work, after: ask.Ask = dispatches.FIRST
+        self,
+        work: works.Work,
+        after: nextattempt.NextAttempt = dispatches.FIRST_ATTEMPT,
     ) -> dispatches.Placement | refusal.Refusal:
         key = _key(work)
         case = self._case_by_key.get(key)
@@ -182,8 +184,8 @@
         item.team,
         item.target,
         item.deadline,
-        item.prompt,
-        item.output,
+        item.prompt_tokens,
+        item.max_tokens,
         tuple(reversed(item.prefixes)),
         f"{item.target}/{item.fingerprint}" if item.fingerprint else "",
         item.repeatable,
--- a/src/citronvalve/daemon/decisiontask.py
+++ b/src/citronvalve/daemon/decisiontask.py
@@ -71,7 +71,7 @@
         table = self._view.table
         if not table:
             return
-        known = (table.version, self._view.groups())
+        known = (table.version, self._view.serving_groups())
         if known == self._known:
             return
         self._known = known
--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -220,7 +220,7 @@
             eventlet.sleep(_TIDY / clock.SECOND)
 
     def _show(self) -> None:
-        show = self.env.metrics.show
+        show = self.env.metrics.set_gauge
         catalogue = self.directory.catalogue
         version = catalogue.version if catalogue else 0
         now = self.env.clock.now()
--- a/src/citronvalve/daemon/grouptask.py
+++ b/src/citronvalve/daemon/grouptask.py
@@ -59,7 +59,7 @@
         self._far_by_name: dict[str, rowcache.RowCache] = {}
         self._log = logbook.Logger("citronvalve.groups")
         pool = eventlet.GreenPool(_SIDE_BY_SIDE)
-        start = f"{env.chance.getrandbits(64):016x}"
+        start = f"{env.rng.getrandbits(64):016x}"
         self.leader = leader.Leader(
             dependencies.Dependencies(
                 datacentre=settings.datacentre,
--- a/src/citronvalve/daemon/health.py
+++ b/src/citronvalve/daemon/health.py
@@ -56,7 +56,7 @@
         return status, _JSON, msgspec.json.encode(body)
 
     def _metrics(self) -> tuple[str, str, bytes]:
-        return "200 OK", _TEXT, self._env.metrics.text()
+        return "200 OK", _TEXT, self._env.metrics.render()
 
     def _nothing(self) -> tuple[str, str, bytes]:
         paths = ", ".join(self._answer_by_path)
--- a/src/citronvalve/daemon/loadtask.py
+++ b/src/citronvalve/daemon/loadtask.py
@@ -66,4 +66,4 @@
         return [*table.upstream_by_name.values(), *made]
 
     def _ask(self, upstream: declared.Upstream) -> object:
-        return self._client.report(upstream.name, upstream.address)
+        return self._client.fetch_report(upstream.name, upstream.address)
--- a/src/citronvalve/daemon/operators.py
+++ b/src/citronvalve/daemon/operators.py
@@ -108,7 +108,7 @@
         return status
 
     def _metrics(self) -> tuple[str, str, bytes]:
-        show = self._env.metrics.show
+        show = self._env.metrics.set_gauge
         show("in_progress", "Requests in progress.", self._progress.count)
         show("table_version", "Table version in force.", self._view.version)
         show(
@@ -127,7 +127,7 @@
             "Messages of peers dropped, in and out.",
             sum(self._peering.dropped().values()),
         )
-        return "200 OK", _TEXT, self._env.metrics.text()
+        return "200 OK", _TEXT, self._env.metrics.render()
 
     def _nothing(self) -> tuple[str, str, bytes]:
         paths = b", ".join(path.encode() for path in self._answer_by_path)
--- a/src/citronvalve/daemon/peertask.py
+++ b/src/citronvalve/daemon/peertask.py
@@ -47,7 +47,7 @@
         self._view = view
         self._follower = followers.Follower(env.invariants)
         self.peer = peers.Peer(
-            _among_peers(settings), env.clock, env.chance, env.invariants, self
+            _among_peers(settings), env.clock, env.rng, env.invariants, self
         )
         self._task = task.PeerTask(self.peer, env.clock)
 
@@ -85,7 +85,7 @@
         self._follower.take(_opened_delta(delta))
         if self._follower.refused or not self._follower.table:
             return
-        if self._view.adopt(self._follower.table):
+        if self._view.update_table(self._follower.table):
             self._env.log.info(
                 "table in force", extra={"version": self._view.version}
             )
@@ -106,7 +106,7 @@
         table = self._follower.replace(_opened_delta(full))
         if table is None:
             return
-        if self._view.replace(table):
+        if self._view.replace_table(table):
             self.after_table()
             return
         self._env.log.error(
--- a/src/citronvalve/daemon/recordtask.py
+++ b/src/citronvalve/daemon/recordtask.py
@@ -45,7 +45,7 @@
         waiting = greenwaiting.GreenWaiting()
         # Two starts of one daemon must not share names of attempts: the
         # second would take the first one's rows for its own.
-        start = env.chance.getrandbits(_START_BITS)
+        start = env.rng.getrandbits(_START_BITS)
         name = f"{env.name}-{start:016x}"
         stores = recorders.Stores(
             httptable.HttpTable(platform), httpobjects.HttpObjects(platform)
@@ -56,7 +56,7 @@
             stores,
             env.clock,
             waiting,
-            env.chance,
+            env.rng,
             env.invariants,
             pacer.share(daemons()),
         )
--- a/src/citronvalve/daemon/sweeptask.py
+++ b/src/citronvalve/daemon/sweeptask.py
@@ -37,7 +37,7 @@
     def run(self) -> None:
         """Sweep until the daemon ends."""
         while True:
-            span = _APART + self._env.chance.randrange(_APART)
+            span = _APART + self._env.rng.randrange(_APART)
             eventlet.sleep(span / clock.SECOND)
             self._round()
 
--- a/src/citronvalve/daemon/tabletask.py
+++ b/src/citronvalve/daemon/tabletask.py
@@ -43,10 +43,10 @@
         self._view = view
         self._peering = peering
         self._watcher = watchers.Watcher(
-            watchers.Timing(), env.chance, env.invariants
+            watchers.Timing(), env.rng, env.invariants
         )
         self._poller = pollers.Poller(table, self._watcher, env.clock)
-        self._comparing = comparing.Comparing(env.chance)
+        self._comparing = comparing.Comparing(env.rng)
         self._looked_at: clock.Ms | None = None
         self._trouble = ""
 
@@ -68,7 +68,7 @@
             self._compare(now)
         confirmed_at = peer.table_confirmed_at()
         if confirmed_at is not None:
-            self._view.confirm(confirmed_at)
+            self._view.confirm_table(confirmed_at)
 
     def _is_due(self) -> bool:
         if self._looked_at is None or not self._view.table:
--- a/src/citronvalve/entry/app.py
+++ b/src/citronvalve/entry/app.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterator
 from typing import Any
 
+from citronvalve.entry import authentication
 from citronvalve.entry import call as calls
 from citronvalve.entry import environment as environments
 from citronvalve.entry import handler as handlers
-from citronvalve.entry import identity
 from citronvalve.entry import plain
 from citronvalve.entry import progress as progresses
 from citronvalve.entry import requestlog
@@ -63,7 +63,7 @@
         return streambody.StreamBody(response.body, log)
 
     def _call(self, environ: dict[str, Any]) -> calls.Call:
-        fresh = f"{self._env.chance.getrandbits(96):024x}"
+        fresh = f"{self._env.rng.getrandbits(96):024x}"
         request = calls.request_id(environ, fresh)
         return calls.Call(request, self._env.clock.now(), environ)
 
@@ -75,18 +75,18 @@
             return _unrecorded(self._unready(), call)
         handler = self._find(call)
         if handler is None:
-            return responses.refused(_no_path(call), call.request)
+            return responses.from_refusal(_no_path(call), call.request)
         log.path = handler.path
-        team = identity.team(call, self._view)
+        team = authentication.authenticate(call, self._view)
         if isinstance(team, refusal.Refusal):
             return _unrecorded(team, call)
         log.team = team.name
-        return handler.answer(call, team, table)
+        return handler.handle(call, team, table)
 
     def _find(self, call: calls.Call) -> handlers.Handler | None:
         if call.path == _CHAT and call.method == "POST":
             return self._chat
-        if call.path.startswith(plain.PREFIX):
+        if call.path.startswith(plain.PATH_PREFIX):
             return self._services
         return None
 
@@ -116,12 +116,14 @@
 def _unrecorded(
     refused: refusal.Refusal, call: calls.Call
 ) -> responses.Response:
-    return responses.refused(call.unrecorded(refused), call.request)
+    return responses.from_refusal(
+        call.before_key_lookup(refused), call.request
+    )
 
 
 def _no_path(call: calls.Call) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
         f"there is nothing at {call.method} {call.path[:80]}",
-        f"use POST {_CHAT} or {plain.PREFIX}NAME/...",
+        f"use POST {_CHAT} or {plain.PATH_PREFIX}NAME/...",
     )
--- a/src/citronvalve/entry/identity.py
+++ b/src/citronvalve/entry/authentication.py
@@ -10,7 +10,7 @@
 _SCHEME = "bearer "
 
 
-def team(
+def authenticate(
     call: calls.Call, view: views.View
 ) -> declared.Team | refusal.Refusal:
     """Find the team by the call's bearer token.
--- a/src/citronvalve/entry/call.py
+++ b/src/citronvalve/entry/call.py
@@ -15,7 +15,7 @@
     """One HTTP request; ``environ`` is as WSGI gives it."""
 
     request: str
-    arrived: clock.Ms
+    arrived_at: clock.Ms
     environ: dict[str, Any]
 
     @property
@@ -54,7 +54,7 @@
             return malformed("the body ended early")
         return read
 
-    def key(self) -> str | refusal.Refusal:
+    def idempotency_key(self) -> str | refusal.Refusal:
         """Return the idempotency key; empty for none."""
         given = self.header("Idempotency-Key")
         if len(given) > _KEY_LENGTH or not given.isprintable():
@@ -63,7 +63,7 @@
             )
         return given
 
-    def unrecorded(self, refused: refusal.Refusal) -> refusal.Refusal:
+    def before_key_lookup(self, refused: refusal.Refusal) -> refusal.Refusal:
         """Return a refusal made before the key's record was asked.
 
         This try was not run, but one with the same key may have been, at
@@ -86,13 +86,13 @@
         """
         given = self.header("X-Deadline-Ms")
         if not given:
-            return self.arrived + min(default, longest)
+            return self.arrived_at + min(default, longest)
         if not given.isdecimal() or not 0 < int(given) <= longest:
             return malformed(
                 f"X-Deadline-Ms is {given[:20]!r}; it takes a whole number "
                 f"of ms from 1 to {longest}"
             )
-        return self.arrived + int(given)
+        return self.arrived_at + int(given)
 
 
 def request_id(environ: dict[str, Any], fresh: str) -> str:
--- a/src/citronvalve/entry/chat.py
+++ b/src/citronvalve/entry/chat.py
@@ -24,7 +24,7 @@
 _DEFAULT_TOKENS = 256
 
 
-class Chat(handler.Handler):
+class ChatHandler(handler.Handler):
     """Checks the body, relays the answer, streamed or whole.
 
     :param env: the daemon's environment.
@@ -43,7 +43,7 @@
         super().__init__(env, dispatch)
         self._client = client
 
-    def answer(
+    def handle(
         self,
         call: calls.Call,
         team: declared.Team,
@@ -51,7 +51,7 @@
     ) -> responses.Response:
         understood = self._understand(call, team, table)
         if isinstance(understood, refusal.Refusal):
-            return responses.refused(understood, call.request)
+            return responses.from_refusal(understood, call.request)
         work, body = understood
         relay = relays.Relay(
             self._env, self._dispatch, self._client, work, body["messages"]
@@ -67,14 +67,14 @@
         table: declared.Declared,
     ) -> tuple[works.Work, chatbody.ChatBody] | refusal.Refusal:
         deadline = call.deadline(
-            table.switches.default_deadline, self._env.bounds.deadline
+            table.switches.default_deadline, self._env.limits.max_deadline
         )
         if isinstance(deadline, refusal.Refusal):
             return deadline
-        raw = call.body(self._env.bounds.body)
+        raw = call.body(self._env.limits.max_body_size)
         if isinstance(raw, refusal.Refusal):
             return raw
-        body = chatbody.read(raw)
+        body = chatbody.decode(raw)
         if isinstance(body, refusal.Refusal):
             return body
         model = table.model_by_name.get(body["model"])
@@ -90,11 +90,11 @@
         deadline: clock.Ms,
         body: chatbody.ChatBody,
     ) -> tuple[works.Work, chatbody.ChatBody] | refusal.Refusal:
-        prompt = chatbody.text(body)
-        if len(prompt) > self._env.bounds.prompt:
+        prompt = chatbody.prompt_text(body)
+        if len(prompt) > self._env.limits.max_prompt_length:
             return calls.malformed(
                 f"the messages have {len(prompt)} characters, the most is "
-                f"{self._env.bounds.prompt}"
+                f"{self._env.limits.max_prompt_length}"
             )
         asked = body.get("max_tokens", min(_DEFAULT_TOKENS, model.max_tokens))
         if asked > model.max_tokens:
@@ -105,9 +105,9 @@
             call.request,
             team.name,
             model.name,
-            call.arrived,
+            call.arrived_at,
             deadline,
-            len(prompt) // chatbody.CHARACTERS_A_TOKEN + 1,
+            len(prompt) // chatbody.CHARACTERS_PER_TOKEN + 1,
             asked,
             chatbody.fingerprint(body),
             chatbody.prefixes(prompt),
@@ -121,13 +121,13 @@
         items = iter(relay)
         for item in items:
             if isinstance(item, refusal.Refusal):
-                return responses.refused(item, call.request)
+                return responses.from_refusal(item, call.request)
             if isinstance(item, str):
                 parts.append(item)
-            elif presence.gone(call.environ):
+            elif presence.has_left(call.environ):
                 items.close()
-                return responses.refused(_left(), call.request)
-        self._env.metrics.relayed(len(parts))
+                return responses.from_refusal(_left(), call.request)
+        self._env.metrics.record_pieces(len(parts))
         body = chunk.whole(
             work.request,
             work.target,
@@ -135,7 +135,7 @@
             "".join(parts),
             relay.finish,
         )
-        return responses.whole(body)
+        return responses.from_body(body)
 
     def _stream(
         self, call: calls.Call, work: works.Work, relay: relays.Relay
@@ -143,7 +143,7 @@
         items = iter(relay)
         first = self._first(call, items)
         if isinstance(first, refusal.Refusal):
-            return responses.refused(first, call.request)
+            return responses.from_refusal(first, call.request)
         made = [
             ("Content-Type", responses.EVENTS),
             ("Cache-Control", "no-store"),
@@ -159,10 +159,10 @@
         for item in items:
             if item is not heartbeat.HEARTBEAT:
                 if isinstance(item, str):
-                    took = self._env.clock.now() - call.arrived
-                    self._env.metrics.first_token(took)
+                    took = self._env.clock.now() - call.arrived_at
+                    self._env.metrics.record_first_token(took)
                 return item
-            if presence.gone(call.environ):
+            if presence.has_left(call.environ):
                 items.close()
                 return _left()
         return ""
@@ -175,7 +175,7 @@
         items: Iterator[relays.Item],
     ) -> Iterator[bytes]:
         created = self._env.clock.wall() // clock.SECOND
-        chunks = chunk.Chunks(work.request, work.target, created)
+        chunks = chunk.ChunkEncoder(work.request, work.target, created)
         pieces = 1
         try:
             yield chunks.text(first)
@@ -195,7 +195,7 @@
             yield chunks.end(relay.finish)
         finally:
             items.close()
-            self._env.metrics.relayed(pieces)
+            self._env.metrics.record_pieces(pieces)
 
 
 def _no_model(name: str) -> refusal.Refusal:
--- a/src/citronvalve/entry/chatbody.py
+++ b/src/citronvalve/entry/chatbody.py
@@ -13,7 +13,7 @@
 
 #: Characters a token, roughly; lengths are measured in tokens only by the
 #: engines, and this is near enough to predict service times by.
-CHARACTERS_A_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 
 #: A prompt's beginning is digested at these many characters; engines cache
 #: prefixes in blocks of about this size.
@@ -37,7 +37,7 @@
 _DECODER = msgspec.json.Decoder(ChatBody)
 
 
-def read(raw: bytes) -> ChatBody | refusal.Refusal:
+def decode(raw: bytes) -> ChatBody | refusal.Refusal:
     """Decode and check a body.
 
     :param raw: as it arrived.
@@ -48,7 +48,7 @@
         return calls.malformed(f"the body is not a chat request: {error}")
 
 
-def text(body: ChatBody) -> str:
+def prompt_text(body: ChatBody) -> str:
     """Return all that the engine will read.
 
     :param body: a checked body.
@@ -61,7 +61,9 @@
 
     :param body: a checked body.
     """
-    return xxhash.xxh3_128_hexdigest(f"{body['model']}\0{text(body)}".encode())
+    return xxhash.xxh3_128_hexdigest(
+        f"{body['model']}\0{prompt_text(body)}".encode()
+    )
 
 
 def prefixes(prompt: str) -> tuple[str, ...]:
--- a/src/citronvalve/entry/chunk.py
+++ b/src/citronvalve/entry/chunk.py
@@ -8,7 +8,7 @@
 _encode = msgspec.json.encode
 
 
-class Chunks:
+class ChunkEncoder:
     """Encodes the chunks of one streamed answer.
 
     All but the text is encoded once: a token's share of a daemon's time
--- a/src/citronvalve/entry/dispatch.py
+++ b/src/citronvalve/entry/dispatch.py
@@ -6,10 +6,10 @@
 
 from citronvalve.entry import work as works
 from citronvalve.model import refusal
-from citronvalve.upstreams import ask
+from citronvalve.upstreams import nextattempt
 
 #: What a first try asks for.
-FIRST = ask.Ask(0)
+FIRST_ATTEMPT = nextattempt.NextAttempt(0)
 
 
 class Ending(enum.StrEnum):
@@ -47,7 +47,7 @@
 
     @abc.abstractmethod
     def place(
-        self, work: works.Work, after: ask.Ask = FIRST
+        self, work: works.Work, after: nextattempt.NextAttempt = FIRST_ATTEMPT
     ) -> Placement | refusal.Refusal:
         """Choose an upstream, after waiting in the queue if need be.
 
--- a/src/citronvalve/entry/environment.py
+++ b/src/citronvalve/entry/environment.py
@@ -10,16 +10,16 @@
 from citronvalve.model import invariant
 
 
-class Bounds(NamedTuple):
+class RequestLimits(NamedTuple):
     """Limits on what a caller may send.
 
     ``body``: bytes of a body.  ``deadline``: longest deadline in ms.
     ``prompt``: characters of all messages.
     """
 
-    body: int = 1_048_576
-    deadline: clock.Ms = 600_000
-    prompt: int = 524_288
+    max_body_size: int = 1_048_576
+    max_deadline: clock.Ms = 600_000
+    max_prompt_length: int = 524_288
 
 
 class Environment(NamedTuple):
@@ -28,8 +28,8 @@
     name: str
     datacentre: str
     clock: clock.Clock
-    chance: random.Random
+    rng: random.Random
     log: logbook.Logger
     metrics: metrics.Metrics
     invariants: invariant.Invariants
-    bounds: Bounds
+    limits: RequestLimits
--- a/src/citronvalve/entry/gauges.py
+++ b/src/citronvalve/entry/gauges.py
@@ -15,7 +15,7 @@
         self.registry = aioprometheus.Registry()
         self._gauge_by_name: dict[str, aioprometheus.Gauge] = {}
 
-    def show(self, name: str, doc: str, value: float) -> None:
+    def set_gauge(self, name: str, doc: str, value: float) -> None:
         """Set a gauge, made at its first use.
 
         :param name: with its unit, without the project's prefix.
@@ -30,6 +30,6 @@
             self._gauge_by_name[name] = gauge
         gauge.set({}, value)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the text format."""
         return aioprometheus.render(self.registry, _TEXT)[0]
--- a/src/citronvalve/entry/grouproute.py
+++ b/src/citronvalve/entry/grouproute.py
@@ -16,4 +16,4 @@
 
     upstream: declared.Upstream
     fence: int
-    seen_at: clock.Ms
+    observed_at: clock.Ms
--- a/src/citronvalve/entry/handler.py
+++ b/src/citronvalve/entry/handler.py
@@ -28,7 +28,7 @@
         self._dispatch = dispatch
 
     @abc.abstractmethod
-    def answer(
+    def handle(
         self,
         call: calls.Call,
         team: declared.Team,
--- a/src/citronvalve/entry/keyed.py
+++ b/src/citronvalve/entry/keyedrunner.py
@@ -10,10 +10,10 @@
 from citronvalve.once import call as oncecalls
 from citronvalve.once import outcome as outcomes
 from citronvalve.once import recorder as recorders
-from citronvalve.upstreams import plaincall
+from citronvalve.upstreams import plainrequest
 
 #: What comes of a call: the service's answer, or why there is none.
-Result = plaincall.PlainAnswer | refusal.Refusal
+Result = plainrequest.PlainResponse | refusal.Refusal
 
 #: A refusal says how much is known of the run.  One that broke off is told
 #: by its own words; for the record, all that is not proved is unknown.
@@ -24,7 +24,7 @@
 }
 
 
-class Keyed:
+class KeyedRunner:
     """Claims the key, dispatches, and records how it ended.
 
     The key is claimed before the call is placed.  A refusal for want of a
@@ -51,7 +51,7 @@
             return begun
         if isinstance(begun, attempts.Run):
             return self._dispatch(begun.attempt, dispatch)
-        return plaincall.PlainAnswer(*begun.answer)
+        return plainrequest.PlainResponse(*begun.answer)
 
     def _dispatch(
         self, attempt: attempts.Attempt, dispatch: Callable[[], Result]
@@ -70,7 +70,9 @@
         return result
 
 
-def call(work: works.Work, key: str, digest: str, now: int) -> oncecalls.Call:
+def make_call(
+    work: works.Work, key: str, digest: str, now: int
+) -> oncecalls.Call:
     """Return a call as the record needs to know it.
 
     :param work: as the decisions see it.
--- a/src/citronvalve/entry/metrics.py
+++ b/src/citronvalve/entry/metrics.py
@@ -53,7 +53,7 @@
             registry=self.registry,
         )
 
-    def ended(self, path: str, outcome: str, took: clock.Ms) -> None:
+    def record_request(self, path: str, outcome: str, took: clock.Ms) -> None:
         """Count a request that ended.
 
         :param path: ``chat`` or ``service``.
@@ -63,21 +63,21 @@
         self._requests.inc({"path": path, "outcome": outcome})
         self._seconds.observe({"path": path}, took / clock.SECOND)
 
-    def first_token(self, took: clock.Ms) -> None:
+    def record_first_token(self, took: clock.Ms) -> None:
         """Note the time to a first token.
 
         :param took: ms since the request's arrival.
         """
         self._first.observe({}, took / clock.SECOND)
 
-    def relayed(self, pieces: int) -> None:
+    def record_pieces(self, pieces: int) -> None:
         """Count the pieces of an answer, once at its end.
 
         :param pieces: how many.
         """
         self._pieces.add({}, pieces)
 
-    def resumed(self, kind: str) -> None:
+    def record_resume(self, kind: str) -> None:
         """Count a resume.
 
         :param kind: the trouble that broke the stream.
--- a/src/citronvalve/entry/plain.py
+++ b/src/citronvalve/entry/plain.py
@@ -9,7 +9,7 @@
 from citronvalve.entry import dispatch as dispatches
 from citronvalve.entry import environment as environments
 from citronvalve.entry import handler
-from citronvalve.entry import keyed as keying
+from citronvalve.entry import keyedrunner as keying
 from citronvalve.entry import response as responses
 from citronvalve.entry import work as works
 from citronvalve.model import clock
@@ -17,26 +17,26 @@
 from citronvalve.model import ran
 from citronvalve.model import refusal
 from citronvalve.once import fingerprint
-from citronvalve.upstreams import plaincall
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import plainclient
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import plainrequest
 
-PREFIX = "/v1/services/"
+PATH_PREFIX = "/v1/services/"
 
 #: A service that failed three times in a row is down for this caller;
 #: more tries would load those that are left.
-MOST_TRIES = 3
+MAX_ATTEMPTS = 3
 
 _RETRY_AFTER: clock.Ms = 1_000
 
 _ENDING_BY_KIND = {
-    trouble.TroubleKind.UNREACHED: dispatches.Ending.NOT_RUN,
-    trouble.TroubleKind.REFUSED: dispatches.Ending.REFUSED,
-    trouble.TroubleKind.SILENT: dispatches.Ending.SILENT,
+    failure.FailureKind.UNREACHED: dispatches.Ending.NOT_RUN,
+    failure.FailureKind.REFUSED: dispatches.Ending.REFUSED,
+    failure.FailureKind.SILENT: dispatches.Ending.SILENT,
 }
 
 
-class Plain(handler.Handler):
+class ServiceHandler(handler.Handler):
     """Passes a call on and its whole answer back.
 
     :param env: the daemon's environment.
@@ -52,29 +52,31 @@
         env: environments.Environment,
         dispatch: dispatches.Dispatch,
         client: plainclient.PlainClient,
-        keyed: keying.Keyed,
+        keyed: keying.KeyedRunner,
     ) -> None:
         super().__init__(env, dispatch)
         self._client = client
         self._keyed = keyed
 
-    def answer(
+    def handle(
         self,
         call: calls.Call,
         team: declared.Team,
         table: declared.Declared,
     ) -> responses.Response:
-        name, _, rest = call.path[len(PREFIX) :].partition("/")
-        key = call.key()
+        name, _, rest = call.path[len(PATH_PREFIX) :].partition("/")
+        key = call.idempotency_key()
         if isinstance(key, refusal.Refusal):
-            return responses.refused(key, call.request)
+            return responses.from_refusal(key, call.request)
         service = table.service_by_name.get(name)
         if service is None:
             return _unrecorded(_no_service(name), call)
-        deadline = call.deadline(service.deadline, self._env.bounds.deadline)
+        deadline = call.deadline(
+            service.deadline, self._env.limits.max_deadline
+        )
         if isinstance(deadline, refusal.Refusal):
             return _unrecorded(deadline, call)
-        body = call.body(self._env.bounds.body)
+        body = call.body(self._env.limits.max_body_size)
         if isinstance(body, refusal.Refusal):
             return _unrecorded(body, call)
         work = self._work(call, team, service, deadline, body)
@@ -92,10 +94,10 @@
             call.request,
             team.name,
             service.name,
-            call.arrived,
+            call.arrived_at,
             deadline,
-            prompt=0,
-            output=0,
+            prompt_tokens=0,
+            max_tokens=0,
             fingerprint=xxhash.xxh3_128_hexdigest(body),
             repeatable=call.method in service.repeatable,
         )
@@ -105,50 +107,50 @@
     ) -> responses.Response:
         result = self._once(call, work, path, body)
         if isinstance(result, refusal.Refusal):
-            return responses.refused(result, call.request)
+            return responses.from_refusal(result, call.request)
         line = f"{result.status} {_phrase(result.status)}"
-        return responses.whole(result.body, result.content_type, line)
+        return responses.from_body(result.body, result.content_type, line)
 
     def _once(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
-    ) -> plaincall.PlainAnswer | refusal.Refusal:
+    ) -> plainrequest.PlainResponse | refusal.Refusal:
         # Without a key nothing links a repeat to its first try: such a call
         # is dispatched once and never tried again after it may have run.
-        key = call.key()
+        key = call.idempotency_key()
         if work.repeatable or not key:
             return self._run(call, work, path, body)
         digest = fingerprint.digest(call.method, _target(call), body)
-        asked = keying.call(work, key, digest, self._env.clock.now())
+        asked = keying.make_call(work, key, digest, self._env.clock.now())
         return self._keyed.run(
             asked, lambda: self._run(call, work, path, body)
         )
 
     def _run(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
-    ) -> plaincall.PlainAnswer | refusal.Refusal:
-        after = dispatches.FIRST
+    ) -> plainrequest.PlainResponse | refusal.Refusal:
+        after = dispatches.FIRST_ATTEMPT
         outcome = ran.Ran.NO
         if self._remaining(work) <= 0:
             # The claim of the key took all the time there was.
             return _late(outcome)
-        for left in reversed(range(MOST_TRIES)):
+        for left in reversed(range(MAX_ATTEMPTS)):
             placed = self._dispatch.place(work, after)
             if isinstance(placed, refusal.Refusal):
                 return placed._replace(ran=outcome)
             span = self._span(work, left)
-            result = self._client.call(
+            result = self._client.send(
                 placed.address, _sent(call, work, path, body, span)
             )
             self._dispatch.release(placed, _ending(result))
-            if not isinstance(result, trouble.Trouble):
+            if not isinstance(result, failure.Failure):
                 return result
-            if result.kind not in trouble.NOT_RUN:
+            if result.kind not in failure.NOT_RUN:
                 outcome = ran.Ran.UNKNOWN
                 if not work.repeatable:
                     return _unknown(result)
             if self._remaining(work) <= 0:
                 return _late(outcome)
-            after = after._replace(avoid=(*after.avoid, placed.upstream))
+            after = after._replace(avoided=(*after.avoided, placed.upstream))
         return _failed(outcome, result)
 
     def _span(self, work: works.Work, left: int) -> clock.Ms:
@@ -169,7 +171,7 @@
     path: str,
     body: bytes,
     remaining: clock.Ms,
-) -> plaincall.PlainCall:
+) -> plainrequest.PlainRequest:
     query = call.environ.get("QUERY_STRING", "")
     quoted = urllib.parse.quote(path.encode("latin-1"))
     given = {
@@ -179,13 +181,13 @@
         "X-Request-Id": work.request,
         "X-Deadline-Ms": str(remaining),
     }
-    return plaincall.PlainCall(
+    return plainrequest.PlainRequest(
         call.method,
         f"{quoted}?{query}" if query else quoted,
         {name: value for name, value in given.items() if value},
         body,
         remaining,
-        fresh=not work.repeatable,
+        new_connection=not work.repeatable,
     )
 
 
@@ -194,9 +196,9 @@
 
 
 def _ending(
-    result: plaincall.PlainAnswer | trouble.Trouble,
+    result: plainrequest.PlainResponse | failure.Failure,
 ) -> dispatches.Ending:
-    if isinstance(result, trouble.Trouble):
+    if isinstance(result, failure.Failure):
         return _ENDING_BY_KIND.get(result.kind, dispatches.Ending.BROKEN)
     return dispatches.Ending.WHOLE
 
@@ -211,7 +213,9 @@
 def _unrecorded(
     refused: refusal.Refusal, call: calls.Call
 ) -> responses.Response:
-    return responses.refused(call.unrecorded(refused), call.request)
+    return responses.from_refusal(
+        call.before_key_lookup(refused), call.request
+    )
 
 
 def _no_service(name: str) -> refusal.Refusal:
@@ -231,17 +235,17 @@
     )
 
 
-def _failed(outcome: ran.Ran, met: trouble.Trouble) -> refusal.Refusal:
+def _failed(outcome: ran.Ran, met: failure.Failure) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.UPSTREAM_FAILED,
-        f"{MOST_TRIES} tries failed, the last one: {met.reason}",
+        f"{MAX_ATTEMPTS} tries failed, the last one: {met.reason}",
         "send it again later",
         outcome,
         _RETRY_AFTER,
     )
 
 
-def _unknown(met: trouble.Trouble) -> refusal.Refusal:
+def _unknown(met: failure.Failure) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.OUTCOME_UNKNOWN,
         f"the service was asked and did not answer: {met.reason}",
--- a/src/citronvalve/entry/presence.py
+++ b/src/citronvalve/entry/presence.py
@@ -11,7 +11,7 @@
 _FLAGS = _socket.MSG_PEEK | _socket.MSG_DONTWAIT
 
 
-def gone(environ: dict[str, Any]) -> bool:
+def has_left(environ: dict[str, Any]) -> bool:
     """Tell whether a caller has closed its connection.
 
     A caller that waits for an answer sends nothing, so that a readable
--- a/src/citronvalve/entry/relay.py
+++ b/src/citronvalve/entry/relay.py
@@ -9,25 +9,25 @@
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.upstreams import ask
 from citronvalve.upstreams import assembler as assemblers
 from citronvalve.upstreams import engineclient
 from citronvalve.upstreams import enginestream
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import heartbeat
+from citronvalve.upstreams import nextattempt
 from citronvalve.upstreams import order as orders
 from citronvalve.upstreams import resumption
-from citronvalve.upstreams import trouble
 
 #: Text to pass on, a sign of life, or why there is no whole answer; a
 #: refusal is the last item.
 Item = str | heartbeat.Heartbeat | refusal.Refusal
 
 _ENDING_BY_KIND = {
-    trouble.TroubleKind.BROKEN: dispatches.Ending.BROKEN,
-    trouble.TroubleKind.SILENT: dispatches.Ending.SILENT,
-    trouble.TroubleKind.DIVERGED: dispatches.Ending.DIVERGED,
-    trouble.TroubleKind.UNREACHED: dispatches.Ending.NOT_RUN,
-    trouble.TroubleKind.REFUSED: dispatches.Ending.REFUSED,
+    failure.FailureKind.BROKEN: dispatches.Ending.BROKEN,
+    failure.FailureKind.SILENT: dispatches.Ending.SILENT,
+    failure.FailureKind.DIVERGED: dispatches.Ending.DIVERGED,
+    failure.FailureKind.UNREACHED: dispatches.Ending.NOT_RUN,
+    failure.FailureKind.REFUSED: dispatches.Ending.REFUSED,
 }
 
 
@@ -65,9 +65,11 @@
         return self._answer.finish
 
     def __iter__(self) -> Iterator[Item]:
-        after: ask.Ask | refusal.Refusal = dispatches.FIRST
+        after: nextattempt.NextAttempt | refusal.Refusal = (
+            dispatches.FIRST_ATTEMPT
+        )
         tries = itertools.count(1)
-        while isinstance(after, ask.Ask):
+        while isinstance(after, nextattempt.NextAttempt):
             placed = self._dispatch.place(self._work, after)
             if isinstance(placed, refusal.Refusal):
                 after = placed
@@ -79,15 +81,15 @@
             met = yield from self._try(placed, after.offset)
             if met is None:
                 return
-            self._env.metrics.resumed(met.kind)
-            after = self._resumption.after(
+            self._env.metrics.record_resume(met.kind)
+            after = self._resumption.decide(
                 met, placed.upstream, self._env.clock.now()
             )
         yield after._replace(ran=self._ran)
 
     def _try(
         self, placed: dispatches.Placement, offset: int
-    ) -> Iterator[Item | trouble.Trouble]:
+    ) -> Iterator[Item | failure.Failure]:
         # A caller that leaves raises GeneratorExit in here, and must free
         # the upstream as surely as an answer that ends.
         ending = dispatches.Ending.ABANDONED
@@ -95,7 +97,7 @@
             stream = self._client.generate(
                 placed.address, self._order(placed, offset), self._remaining()
             )
-            if isinstance(stream, trouble.Trouble):
+            if isinstance(stream, failure.Failure):
                 met = stream
             else:
                 met = yield from self._read(stream, placed)
@@ -108,7 +110,7 @@
         self,
         stream: enginestream.EngineStream,
         placed: dispatches.Placement,
-    ) -> Iterator[Item | trouble.Trouble]:
+    ) -> Iterator[Item | failure.Failure]:
         if self._ran is ran.Ran.NO:
             self._ran = ran.Ran.UNKNOWN
         whole = False
@@ -119,28 +121,28 @@
                     continue
                 met = yield from self._accept(item)
                 if met is not None:
-                    return self._client.failed(met, placed.address)
+                    return self._client.handle_failure(met, placed.address)
                 if self._answer.finished:
                     whole = True
-                    stream.finish()
+                    stream.drain()
                     return None
         finally:
             stream.close()
             if not whole:
                 self._client.cancel(placed.address, self._answer.request)
 
-    def _accept(self, item) -> Iterator[Item | trouble.Trouble]:
-        if isinstance(item, trouble.Trouble):
+    def _accept(self, item) -> Iterator[Item | failure.Failure]:
+        if isinstance(item, failure.Failure):
             return item
         text = self._answer.accept(item)
-        if isinstance(text, trouble.Trouble):
-            return None if text.cure is trouble.Cure.IGNORE else text
+        if isinstance(text, failure.Failure):
+            return None if text.recovery is failure.Recovery.IGNORE else text
         if text:
             self._ran = ran.Ran.YES
             yield text
         return None
 
-    def _ending(self, met: trouble.Trouble | None) -> dispatches.Ending:
+    def _ending(self, met: failure.Failure | None) -> dispatches.Ending:
         if met is None:
             return dispatches.Ending.WHOLE
         if self._remaining() <= 0:
@@ -154,7 +156,7 @@
             request=self._answer.request,
             model=self._work.target,
             messages=self._messages,
-            max_tokens=self._work.output,
+            max_tokens=self._work.max_tokens,
             priority=placed.priority,
             offset=offset,
             fence=placed.fence,
--- a/src/citronvalve/entry/requestlog.py
+++ b/src/citronvalve/entry/requestlog.py
@@ -37,8 +37,8 @@
             return
         self._open = False
         self._progress.end()
-        took = self._env.clock.now() - self._call.arrived
-        self._env.metrics.ended(self.path, outcome, took)
+        took = self._env.clock.now() - self._call.arrived_at
+        self._env.metrics.record_request(self.path, outcome, took)
         self._env.log.info(
             "request ended",
             extra={
--- a/src/citronvalve/entry/response.py
+++ b/src/citronvalve/entry/response.py
@@ -27,7 +27,7 @@
     streamed: bool = False
 
 
-def refused(refused: refusal.Refusal, request: str) -> Response:
+def from_refusal(refused: refusal.Refusal, request: str) -> Response:
     """Return the answer that a refusal becomes.
 
     :param refused: the refusal.
@@ -40,7 +40,9 @@
     )
 
 
-def whole(body: bytes, content_type: str = JSON, status: str = OK) -> Response:
+def from_body(
+    body: bytes, content_type: str = JSON, status: str = OK
+) -> Response:
     """Return a whole answer.
 
     :param body: its content.
--- a/src/citronvalve/entry/view.py
+++ b/src/citronvalve/entry/view.py
@@ -23,15 +23,15 @@
     """
 
     def __init__(
-        self, now: clock.Clock, invariants: invariant.Invariants
+        self, time_source: clock.Clock, invariants: invariant.Invariants
     ) -> None:
-        self._clock = now
+        self._clock = time_source
         self._invariants = invariants
         self._declared: declared.Declared | missing.Stale = missing.Stale(
             "no version of the table has been received yet", "table"
         )
         self._team_by_digest: dict[str, declared.Team] = {}
-        self._confirmed_at: clock.Ms = now.now()
+        self._confirmed_at: clock.Ms = time_source.now()
         self.load_by_upstream: dict[str, load.LoadReport] = {}
         self.route_by_group: dict[str, grouproute.GroupRoute] = {}
 
@@ -57,15 +57,18 @@
         """
         if not self._declared:
             return []
-        return [*self._declared.upstream_by_name.values(), *self.groups()]
+        return [
+            *self._declared.upstream_by_name.values(),
+            *self.serving_groups(),
+        ]
 
-    def groups(self) -> tuple[declared.Upstream, ...]:
+    def serving_groups(self) -> tuple[declared.Upstream, ...]:
         """Return the groups that serve now, as upstreams, by name."""
         now = self._clock.now()
         return tuple(
             route.upstream
             for _, route in sorted(self.route_by_group.items())
-            if now - route.seen_at < _ROUTE_FRESH
+            if now - route.observed_at < _ROUTE_FRESH
         )
 
     def upstream(self, name: str) -> declared.Upstream | None:
@@ -75,7 +78,7 @@
         """
         route = self.route_by_group.get(name)
         if route is not None:
-            fresh = self._clock.now() - route.seen_at < _ROUTE_FRESH
+            fresh = self._clock.now() - route.observed_at < _ROUTE_FRESH
             return route.upstream if fresh else None
         if not self._declared:
             return None
@@ -89,14 +92,14 @@
         route = self.route_by_group.get(upstream)
         return route.fence if route else 0
 
-    def confirm(self, at: clock.Ms) -> None:
+    def confirm_table(self, at: clock.Ms) -> None:
         """Note that the version in force was the newest at a moment.
 
         :param at: monotonic ms.
         """
         self._confirmed_at = max(self._confirmed_at, at)
 
-    def adopt(self, table: declared.Declared) -> bool:
+    def update_table(self, table: declared.Declared) -> bool:
         """Put a version in force, unless it is an old one.
 
         :param table: a checked version; a late answer or a stale peer may
@@ -116,7 +119,7 @@
         self._put(table)
         return True
 
-    def replace(self, table: declared.Declared) -> bool:
+    def replace_table(self, table: declared.Declared) -> bool:
         """Put a table in force in place of a wrong one.
 
         :param table: as the platform has it.
--- a/src/citronvalve/entry/work.py
+++ b/src/citronvalve/entry/work.py
@@ -18,10 +18,10 @@
     request: str
     team: str
     target: str
-    arrived: clock.Ms
+    arrived_at: clock.Ms
     deadline: clock.Ms
-    prompt: int
-    output: int
+    prompt_tokens: int
+    max_tokens: int
     fingerprint: str
     prefixes: tuple[str, ...] = ()
     repeatable: bool = True
--- a/src/citronvalve/upstreams/assembler.py
+++ b/src/citronvalve/upstreams/assembler.py
@@ -1,15 +1,15 @@
 """Puts the pieces of one answer together, or says which piece is wrong."""
 
 from citronvalve.model import invariant
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import piece as pieces
-from citronvalve.upstreams import trouble
 
 #: How much text that the caller already has is asked for again on a
 #: resume, in characters.  Another upstream may have sampled other words;
 #: without an overlap its text would be joined unseen in mid-sentence.
 #: Some ten tokens tell two answers apart, and cost an engine a fraction of
 #: a second of a resume that is rare.
-OVERLAP = 32
+RESUME_OVERLAP = 32
 
 _CONTIGUOUS = "relayed text continues the caller's own answer"
 _WHOLE = "a whole answer ends where its last piece says"
@@ -32,13 +32,13 @@
     __slots__ = ("_parts", "_promises", "finish", "offset", "request")
 
     def __init__(
-        self, request: str, promises: invariant.Invariants | None = None
+        self, request: str, invariants: invariant.Invariants | None = None
     ) -> None:
         self.request = request
         self.offset = 0
         self.finish = ""
         self._parts: list[str] = []
-        self._promises = promises or invariant.Invariants()
+        self._promises = invariants or invariant.Invariants()
 
     @property
     def finished(self) -> bool:
@@ -48,9 +48,9 @@
     @property
     def resume_at(self) -> int:
         """Return the offset to ask for when resuming; see `OVERLAP`."""
-        return max(0, self.offset - OVERLAP)
+        return max(0, self.offset - RESUME_OVERLAP)
 
-    def accept(self, piece: pieces.Piece) -> str | trouble.Trouble:
+    def accept(self, piece: pieces.Piece) -> str | failure.Failure:
         """Take the next piece of any connection.
 
         :param piece: as the engine sent it.
@@ -67,20 +67,20 @@
             return self._end(piece, text)
         return self._extend(text, piece.offset + len(piece.text))
 
-    def whole(self) -> str | trouble.Trouble:
+    def whole(self) -> str | failure.Failure:
         """Return the whole answer, for a caller who does not stream."""
         if not self.finish:
             return self._trouble(
-                trouble.TroubleKind.BROKEN, f"no end after {self.offset}"
+                failure.FailureKind.BROKEN, f"no end after {self.offset}"
             )
         text = self._relayed()
         self._promises.check(_WHOLE, len(text) == self.offset, self.request)
         return text
 
-    def _wrong(self, piece: pieces.Piece) -> trouble.Trouble | None:
+    def _wrong(self, piece: pieces.Piece) -> failure.Failure | None:
         if piece.request != self.request:
             return self._trouble(
-                trouble.TroubleKind.STRAY, f"a piece of {piece.request!r}"
+                failure.FailureKind.STRAY, f"a piece of {piece.request!r}"
             )
         if piece.offset == self.offset and not self.finish:
             return None
@@ -88,18 +88,18 @@
             return self._beyond(piece)
         return self._overlapping(piece)
 
-    def _beyond(self, piece: pieces.Piece) -> trouble.Trouble:
+    def _beyond(self, piece: pieces.Piece) -> failure.Failure:
         if self.finish:
             return self._late()
         return self._trouble(
-            trouble.TroubleKind.GAP,
+            failure.FailureKind.GAP,
             f"{self.offset} relayed, the piece starts at {piece.offset}",
         )
 
-    def _overlapping(self, piece: pieces.Piece) -> trouble.Trouble | None:
+    def _overlapping(self, piece: pieces.Piece) -> failure.Failure | None:
         if piece.offset < 0:
             return self._trouble(
-                trouble.TroubleKind.MALFORMED, f"offset {piece.offset}"
+                failure.FailureKind.MALFORMED, f"offset {piece.offset}"
             )
         if self.finish:
             return self._late()
@@ -107,12 +107,12 @@
         had = self._relayed()[piece.offset : piece.offset + len(piece.text)]
         if piece.text[:common] != had:
             return self._trouble(
-                trouble.TroubleKind.DIVERGED,
+                failure.FailureKind.DIVERGED,
                 f"other text at {piece.offset} than was relayed",
             )
         if piece.finish and len(piece.text) < common:
             return self._trouble(
-                trouble.TroubleKind.DIVERGED,
+                failure.FailureKind.DIVERGED,
                 f"ends at {piece.offset}, {self.offset} are relayed",
             )
         return None
@@ -138,12 +138,12 @@
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
-    def _late(self) -> trouble.Trouble:
+    def _late(self) -> failure.Failure:
         return self._trouble(
-            trouble.TroubleKind.LATE, "a piece after the end of the answer"
+            failure.FailureKind.LATE, "a piece after the end of the answer"
         )
 
     def _trouble(
-        self, kind: trouble.TroubleKind, reason: str
-    ) -> trouble.Trouble:
-        return trouble.Trouble(kind, reason, self.request)
+        self, kind: failure.FailureKind, reason: str
+    ) -> failure.Failure:
+        return failure.Failure(kind, reason, self.request)
--- a/src/citronvalve/upstreams/engineclient.py
+++ b/src/citronvalve/upstreams/engineclient.py
@@ -6,10 +6,10 @@
 
 from citronvalve.model import clock
 from citronvalve.upstreams import enginestream
-from citronvalve.upstreams import failures
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
 from citronvalve.upstreams import order as orders
 from citronvalve.upstreams import pools
-from citronvalve.upstreams import trouble
 
 _JSON = {"Content-Type": "application/json"}
 _CANCEL_TIMEOUT: clock.Ms = 1_000
@@ -22,12 +22,12 @@
     :param kept: the kept connections.
     """
 
-    def __init__(self, kept: pools.Pools) -> None:
-        self._pools = kept
+    def __init__(self, connections: pools.Pools) -> None:
+        self._pools = connections
 
     def generate(
         self, address: str, order: orders.GenerateOrder, remaining: clock.Ms
-    ) -> enginestream.EngineStream | trouble.Trouble:
+    ) -> enginestream.EngineStream | failure.Failure:
         """Ask for an answer.
 
         :param address: host:port of the upstream.
@@ -36,7 +36,7 @@
         """
         idle = min(pools.IDLE_TIMEOUT, max(1, remaining))
         try:
-            response = self._pools.of(address).urlopen(
+            response = self._pools.get(address).urlopen(
                 "POST",
                 "/generate",
                 body=msgspec.json.encode(order),
@@ -46,21 +46,25 @@
                 timeout=pools.timeout(idle),
                 preload_content=False,
             )
-        except failures.ERRORS as error:
-            return self.failed(failures.read(error, address), address)
+        except httperror.ERRORS as error:
+            return self.handle_failure(
+                httperror.classify(error, address), address
+            )
         if response.status != 200:
             return _refused(response, address)
         return enginestream.EngineStream(response, address, remaining)
 
-    def failed(self, met: trouble.Trouble, address: str) -> trouble.Trouble:
+    def handle_failure(
+        self, cause: failure.Failure, address: str
+    ) -> failure.Failure:
         """Drop the kept connections after a silence.
 
         :param met: the trouble met.
         :param address: host:port of the upstream.
         """
-        if met.kind is trouble.TroubleKind.SILENT:
+        if cause.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
-        return met
+        return cause
 
     def cancel(self, address: str, request: str) -> None:
         """Tell an engine, without waiting, that nobody wants an answer.
@@ -75,7 +79,7 @@
     def _cancel(self, address: str, request: str) -> None:
         body = msgspec.json.encode({"request": request})
         try:
-            self._pools.of(address).urlopen(
+            self._pools.get(address).urlopen(
                 "POST",
                 "/cancel",
                 body=body,
@@ -83,26 +87,26 @@
                 retries=False,
                 timeout=pools.timeout(_CANCEL_TIMEOUT),
             )
-        except failures.ERRORS:
+        except httperror.ERRORS:
             # The engine notices the closed connection by itself, later.
             return
 
 
 def _refused(
     response: urllib3.BaseHTTPResponse, address: str
-) -> trouble.Trouble:
+) -> failure.Failure:
     body = response.read(_SHOWN)
     response.close()
     reason = f"status {response.status}: {body.decode(errors='replace')}"
     kind = (
-        trouble.TroubleKind.REFUSED
-        if says_not_run(body)
-        else trouble.TroubleKind.BROKEN
+        failure.FailureKind.REFUSED
+        if reports_not_run(body)
+        else failure.FailureKind.BROKEN
     )
-    return trouble.Trouble(kind, reason, address)
+    return failure.Failure(kind, reason, address)
 
 
-def says_not_run(body: bytes) -> bool:
+def reports_not_run(body: bytes) -> bool:
     """Tell whether an upstream's own words prove that nothing was run.
 
     A status alone proves nothing: something between the two ends may have
--- a/src/citronvalve/upstreams/enginestream.py
+++ b/src/citronvalve/upstreams/enginestream.py
@@ -6,9 +6,9 @@
 import urllib3
 
 from citronvalve.model import clock
-from citronvalve.upstreams import events
-from citronvalve.upstreams import failures
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import eventparser
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
 
 _BLOCK = 65_536
 
@@ -24,11 +24,11 @@
     def __init__(
         self,
         response: urllib3.BaseHTTPResponse,
-        where: str,
+        address: str,
         remaining: clock.Ms,
     ) -> None:
         self._response = response
-        self._where = where
+        self._where = address
         # The idle limit alone would hold a caller of a slow engine until
         # the next heartbeat after its deadline.
         self._timer = eventlet.spawn_after(
@@ -36,24 +36,24 @@
         )
         self._whole = False
 
-    def __iter__(self) -> Iterator[events.Item]:
-        split = events.Events(self._where)
+    def __iter__(self) -> Iterator[eventparser.Item]:
+        split = eventparser.EventParser(self._where)
         try:
             for block in self._response.read_chunked(_BLOCK):
                 yield from split.feed(block)
-        except failures.ERRORS as error:
-            yield failures.read(error, self._where)
+        except httperror.ERRORS as error:
+            yield httperror.classify(error, self._where)
             return
         self._whole = True
-        yield trouble.Trouble(
-            trouble.TroubleKind.BROKEN, "ended without a last piece"
+        yield failure.Failure(
+            failure.FailureKind.BROKEN, "ended without a last piece"
         )
 
-    def finish(self) -> None:
+    def drain(self) -> None:
         """Read to the end of the body so that the connection is kept."""
         try:
             self._response.drain_conn()
-        except failures.ERRORS:
+        except httperror.ERRORS:
             return
         self._whole = True
 
@@ -69,5 +69,5 @@
         # Shutting down wakes the reader; closing would leave it waiting.
         try:
             self._response.shutdown()
-        except failures.ERRORS:
+        except httperror.ERRORS:
             return
--- a/src/citronvalve/upstreams/events.py
+++ b/src/citronvalve/upstreams/eventparser.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import heartbeat
 from citronvalve.upstreams import piece as pieces
-from citronvalve.upstreams import trouble
 
 _END = b"\n\n"
 _DATA = b"data: "
@@ -24,17 +24,17 @@
     finish: str = ""
 
 
-Item = pieces.Piece | heartbeat.Heartbeat | trouble.Trouble
+Item = pieces.Piece | heartbeat.Heartbeat | failure.Failure
 
 
-class Events:
+class EventParser:
     """Splits a stream at its event boundaries, wherever bytes were cut.
 
     :param where: address of the upstream, for errors.
     """
 
-    def __init__(self, where: str) -> None:
-        self._where = where
+    def __init__(self, address: str) -> None:
+        self._where = address
         self._rest = b""
         self._decode = msgspec.json.Decoder(_Event).decode
 
@@ -61,7 +61,7 @@
             return self._malformed(str(error))
         return pieces.Piece(read.request, read.offset, read.text, read.finish)
 
-    def _malformed(self, reason: str) -> trouble.Trouble:
-        return trouble.Trouble(
-            trouble.TroubleKind.MALFORMED, reason, self._where
+    def _malformed(self, reason: str) -> failure.Failure:
+        return failure.Failure(
+            failure.FailureKind.MALFORMED, reason, self._where
         )
--- a/src/citronvalve/upstreams/trouble.py
+++ b/src/citronvalve/upstreams/failure.py
@@ -5,7 +5,7 @@
 from citronvalve.model import missing
 
 
-class TroubleKind(enum.StrEnum):
+class FailureKind(enum.StrEnum):
     """What is wrong with a piece."""
 
     #: It belongs to another request.
@@ -28,7 +28,7 @@
     REFUSED = "refused"
 
 
-class Cure(enum.StrEnum):
+class Recovery(enum.StrEnum):
     """What the reader of a stream does next."""
 
     IGNORE = "ignore"
@@ -41,23 +41,23 @@
 #: A stray or late piece takes nothing from this answer: if the engine sent
 #: it in place of one of ours, the next one shows the gap.  An engine that
 #: contradicts itself would do so again, so it is not asked a second time.
-CURE_BY_KIND: dict[TroubleKind, Cure] = {
-    TroubleKind.STRAY: Cure.IGNORE,
-    TroubleKind.GAP: Cure.RESUME,
-    TroubleKind.DIVERGED: Cure.RESUME_ELSEWHERE,
-    TroubleKind.LATE: Cure.IGNORE,
-    TroubleKind.MALFORMED: Cure.RESUME,
-    TroubleKind.BROKEN: Cure.RESUME,
-    TroubleKind.SILENT: Cure.RESUME,
-    TroubleKind.UNREACHED: Cure.RESUME,
-    TroubleKind.REFUSED: Cure.RESUME,
+RECOVERY_BY_KIND: dict[FailureKind, Recovery] = {
+    FailureKind.STRAY: Recovery.IGNORE,
+    FailureKind.GAP: Recovery.RESUME,
+    FailureKind.DIVERGED: Recovery.RESUME_ELSEWHERE,
+    FailureKind.LATE: Recovery.IGNORE,
+    FailureKind.MALFORMED: Recovery.RESUME,
+    FailureKind.BROKEN: Recovery.RESUME,
+    FailureKind.SILENT: Recovery.RESUME,
+    FailureKind.UNREACHED: Recovery.RESUME,
+    FailureKind.REFUSED: Recovery.RESUME,
 }
 
 #: The only two that prove that the request did not run.
-NOT_RUN = frozenset({TroubleKind.UNREACHED, TroubleKind.REFUSED})
+NOT_RUN = frozenset({FailureKind.UNREACHED, FailureKind.REFUSED})
 
 
-class Trouble(missing.Missing):
+class Failure(missing.Missing):
     """Nothing of this piece may reach the caller.
 
     :param kind: what is wrong.
@@ -68,12 +68,12 @@
     __slots__ = ("kind",)
 
     def __init__(
-        self, kind: TroubleKind, reason: str, where: str = ""
+        self, kind: FailureKind, reason: str, where: str = ""
     ) -> None:
         super().__init__(reason, where)
         self.kind = kind
 
     @property
-    def cure(self) -> Cure:
+    def recovery(self) -> Recovery:
         """Return what the reader of the stream does next."""
-        return CURE_BY_KIND[self.kind]
+        return RECOVERY_BY_KIND[self.kind]
--- a/src/citronvalve/upstreams/failures.py
+++ b/src/citronvalve/upstreams/httperror.py
@@ -2,25 +2,25 @@
 
 import urllib3
 
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import failure
 
 #: The most specific first: the library derives some from others.
-_KIND_BY_ERROR: tuple[tuple[type[Exception], trouble.TroubleKind], ...] = (
-    (urllib3.exceptions.NewConnectionError, trouble.TroubleKind.UNREACHED),
-    (urllib3.exceptions.ConnectTimeoutError, trouble.TroubleKind.UNREACHED),
-    (urllib3.exceptions.TimeoutError, trouble.TroubleKind.SILENT),
-    (Exception, trouble.TroubleKind.BROKEN),
+_KIND_BY_ERROR: tuple[tuple[type[Exception], failure.FailureKind], ...] = (
+    (urllib3.exceptions.NewConnectionError, failure.FailureKind.UNREACHED),
+    (urllib3.exceptions.ConnectTimeoutError, failure.FailureKind.UNREACHED),
+    (urllib3.exceptions.TimeoutError, failure.FailureKind.SILENT),
+    (Exception, failure.FailureKind.BROKEN),
 )
 
 #: What a call may raise; all else is a mistake of ours.
 ERRORS = (urllib3.exceptions.HTTPError, OSError, ValueError)
 
 
-def read(error: Exception, where: str) -> trouble.Trouble:
+def classify(error: Exception, address: str) -> failure.Failure:
     """Turn an error into what it means for the request.
 
     :param error: raised by a call.
     :param where: the upstream's address.
     """
     kind = next(k for e, k in _KIND_BY_ERROR if isinstance(error, e))
-    return trouble.Trouble(kind, str(error), where)
+    return failure.Failure(kind, str(error), address)
--- a/src/citronvalve/upstreams/loadclient.py
+++ b/src/citronvalve/upstreams/loadclient.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 from citronvalve.model import load
 from citronvalve.model import missing
-from citronvalve.upstreams import failures
+from citronvalve.upstreams import httperror
 from citronvalve.upstreams import pools
 
 #: A report that takes longer would be old before it is used.
@@ -28,11 +28,13 @@
     :param now: clock that reports are stamped by.
     """
 
-    def __init__(self, kept: pools.Pools, now: clock.Clock) -> None:
-        self._pools = kept
-        self._clock = now
+    def __init__(
+        self, connections: pools.Pools, time_source: clock.Clock
+    ) -> None:
+        self._pools = connections
+        self._clock = time_source
 
-    def report(
+    def fetch_report(
         self, upstream: str, address: str
     ) -> load.LoadReport | missing.Unavailable:
         """Read one report.
@@ -43,7 +45,7 @@
         asked_at = self._clock.now()
         try:
             read = self._read(address)
-        except (*failures.ERRORS, msgspec.MsgspecError) as error:
+        except (*httperror.ERRORS, msgspec.MsgspecError) as error:
             self._pools.drop(address)
             return missing.Unavailable(str(error), f"{upstream} {address}")
         # Stamped with the time of asking: the report may have been made at
@@ -59,7 +61,7 @@
         )
 
     def _read(self, address: str) -> _Report:
-        response = self._pools.of(address).urlopen(
+        response = self._pools.get(address).urlopen(
             "GET",
             "/load",
             retries=False,
--- a/src/citronvalve/upstreams/ask.py
+++ b/src/citronvalve/upstreams/nextattempt.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Ask(NamedTuple):
+class NextAttempt(NamedTuple):
     """Ask an upstream for the answer from ``offset`` on.
 
     ``never`` names upstreams that contradicted the relayed text; they are
@@ -12,5 +12,5 @@
     """
 
     offset: int
-    never: tuple[str, ...] = ()
-    avoid: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
+    avoided: tuple[str, ...] = ()
--- a/src/citronvalve/upstreams/plainclient.py
+++ b/src/citronvalve/upstreams/plainclient.py
@@ -5,14 +5,14 @@
 
 from citronvalve.model import clock
 from citronvalve.upstreams import engineclient
-from citronvalve.upstreams import failures
-from citronvalve.upstreams import plaincall
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
+from citronvalve.upstreams import plainrequest
 from citronvalve.upstreams import pools
-from citronvalve.upstreams import trouble
 
 #: An answer above this is not passed on; it would fill a daemon's memory
 #: when many callers ask for it at once.
-LARGEST_ANSWER = 8 * 1024 * 1024
+MAX_RESPONSE_SIZE = 8 * 1024 * 1024
 
 _OCTETS = "application/octet-stream"
 
@@ -23,47 +23,47 @@
     :param kept: the kept connections.
     """
 
-    def __init__(self, kept: pools.Pools) -> None:
-        self._pools = kept
+    def __init__(self, connections: pools.Pools) -> None:
+        self._pools = connections
 
-    def call(
-        self, address: str, call: plaincall.PlainCall
-    ) -> plaincall.PlainAnswer | trouble.Trouble:
+    def send(
+        self, address: str, request: plainrequest.PlainRequest
+    ) -> plainrequest.PlainResponse | failure.Failure:
         """Carry out one call, once.
 
         :param address: host:port of the upstream.
         :param call: what to pass on.
         """
-        pool = self._pools.of(address)
+        pool = self._pools.get(address)
         fresh = None
-        if call.fresh:
+        if request.new_connection:
             pool = fresh = urllib3.HTTPConnectionPool(pool.host, pool.port)
         try:
             # The library bounds each receive, not the whole: a service
             # that sends a byte now and then would hold its caller for ever.
-            with eventlet.Timeout(call.remaining / clock.SECOND):
-                return _whole(_send(pool, call), address)
+            with eventlet.Timeout(request.timeout / clock.SECOND):
+                return _whole(_send(pool, request), address)
         except eventlet.Timeout:
             self._pools.drop(address)
-            return trouble.Trouble(
-                trouble.TroubleKind.SILENT,
-                f"no whole answer within {call.remaining} ms",
+            return failure.Failure(
+                failure.FailureKind.SILENT,
+                f"no whole answer within {request.timeout} ms",
                 address,
             )
-        except failures.ERRORS as error:
-            return self._failed(failures.read(error, address), address)
+        except httperror.ERRORS as error:
+            return self._failed(httperror.classify(error, address), address)
         finally:
             if fresh:
                 fresh.close()
 
-    def _failed(self, met: trouble.Trouble, address: str) -> trouble.Trouble:
-        if met.kind is trouble.TroubleKind.SILENT:
+    def _failed(self, met: failure.Failure, address: str) -> failure.Failure:
+        if met.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
         return met
 
 
 def _send(
-    pool: urllib3.HTTPConnectionPool, call: plaincall.PlainCall
+    pool: urllib3.HTTPConnectionPool, call: plainrequest.PlainRequest
 ) -> urllib3.BaseHTTPResponse:
     return pool.urlopen(
         call.method,
@@ -72,26 +72,26 @@
         headers=call.headers,
         retries=False,
         redirect=False,
-        timeout=pools.timeout(max(1, call.remaining)),
+        timeout=pools.timeout(max(1, call.timeout)),
         preload_content=False,
     )
 
 
 def _whole(
     response: urllib3.BaseHTTPResponse, address: str
-) -> plaincall.PlainAnswer | trouble.Trouble:
-    body = response.read(LARGEST_ANSWER + 1, decode_content=False)
+) -> plainrequest.PlainResponse | failure.Failure:
+    body = response.read(MAX_RESPONSE_SIZE + 1, decode_content=False)
     wrong = _incomplete(response, body)
     if wrong:
         response.close()
-        return trouble.Trouble(trouble.TroubleKind.BROKEN, wrong, address)
+        return failure.Failure(failure.FailureKind.BROKEN, wrong, address)
     response.release_conn()
-    if response.status == 503 and engineclient.says_not_run(body):
-        return trouble.Trouble(
-            trouble.TroubleKind.REFUSED, "the service refused it", address
+    if response.status == 503 and engineclient.reports_not_run(body):
+        return failure.Failure(
+            failure.FailureKind.REFUSED, "the service refused it", address
         )
     kind = response.headers.get("Content-Type", _OCTETS)
-    return plaincall.PlainAnswer(response.status, kind, body)
+    return plainrequest.PlainResponse(response.status, kind, body)
 
 
 def _incomplete(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
@@ -100,7 +100,7 @@
     Read with a limit, the library takes the end of the connection for the
     end of the body: half a certificate would go out as a whole one.
     """
-    if len(body) > LARGEST_ANSWER:
+    if len(body) > MAX_RESPONSE_SIZE:
         return "the answer is too large"
     if response.length_remaining:
         return f"the answer lacks {response.length_remaining} bytes"
--- a/src/citronvalve/upstreams/plaincall.py
+++ b/src/citronvalve/upstreams/plainrequest.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 
 
-class PlainCall(NamedTuple):
+class PlainRequest(NamedTuple):
     """What is passed on; ``path`` holds the query too.
 
     ``fresh`` asks for a new connection: on a kept one that the other end
@@ -16,11 +16,11 @@
     path: str
     headers: dict[str, str]
     body: bytes
-    remaining: clock.Ms
-    fresh: bool = False
+    timeout: clock.Ms
+    new_connection: bool = False
 
 
-class PlainAnswer(NamedTuple):
+class PlainResponse(NamedTuple):
     """The whole answer."""
 
     status: int
--- a/src/citronvalve/upstreams/pools.py
+++ b/src/citronvalve/upstreams/pools.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._pool_by_address: dict[str, urllib3.HTTPConnectionPool] = {}
 
-    def of(self, address: str) -> urllib3.HTTPConnectionPool:
+    def get(self, address: str) -> urllib3.HTTPConnectionPool:
         """Return the pool of an upstream.
 
         :param address: host:port.
--- a/src/citronvalve/upstreams/resumption.py
+++ b/src/citronvalve/upstreams/resumption.py
@@ -3,19 +3,19 @@
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.upstreams import ask
 from citronvalve.upstreams import assembler
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import nextattempt
 
 #: Resumes in a row that brought no text.  Made for an upstream lost at
 #: full load: one resume finds another upstream, the second a slot there.
 #: More of them would turn each lost upstream into a burst on the others.
-MOST_FRUITLESS = 3
+MAX_FRUITLESS_RESUMES = 3
 
 #: Resumes of one answer in all.  An engine that breaks after each token
 #: makes progress each time, and would otherwise be asked once a token
 #: until the deadline.
-MOST_IN_ALL = 8
+MAX_RESUMES = 8
 
 
 class Resumption:
@@ -36,9 +36,9 @@
         self._never: list[str] = []
         self._avoid: list[str] = []
 
-    def after(
-        self, wrong: trouble.Trouble, upstream: str, now: clock.Ms
-    ) -> ask.Ask | refusal.Refusal | None:
+    def decide(
+        self, cause: failure.Failure, upstream: str, now: clock.Ms
+    ) -> nextattempt.NextAttempt | refusal.Refusal | None:
         """Decide what follows a piece that was not passed on.
 
         :param wrong: the trouble.
@@ -47,22 +47,25 @@
         :return: whom to ask for the rest, why the caller gets no whole
             answer, or None to go on reading.
         """
-        if wrong.cure is trouble.Cure.IGNORE:
+        if cause.recovery is failure.Recovery.IGNORE:
             return None
-        self._blame(wrong.cure, upstream)
+        self._blame(cause.recovery, upstream)
         self._count()
         if now >= self._deadline:
-            return self._refusal(refusal.RefusalKind.DEADLINE_PASSED, wrong)
-        if self._resumes > MOST_IN_ALL or self._fruitless > MOST_FRUITLESS:
-            return self._refusal(refusal.RefusalKind.UPSTREAM_FAILED, wrong)
-        return ask.Ask(
+            return self._refusal(refusal.RefusalKind.DEADLINE_PASSED, cause)
+        if (
+            self._resumes > MAX_RESUMES
+            or self._fruitless > MAX_FRUITLESS_RESUMES
+        ):
+            return self._refusal(refusal.RefusalKind.UPSTREAM_FAILED, cause)
+        return nextattempt.NextAttempt(
             self._answer.resume_at, tuple(self._never), tuple(self._avoid)
         )
 
-    def _blame(self, cure: trouble.Cure, upstream: str) -> None:
+    def _blame(self, cure: failure.Recovery, upstream: str) -> None:
         blamed = (
             self._never
-            if cure is trouble.Cure.RESUME_ELSEWHERE
+            if cure is failure.Recovery.RESUME_ELSEWHERE
             else self._avoid
         )
         if upstream not in blamed:
@@ -75,7 +78,7 @@
         self._resumes += 1
 
     def _refusal(
-        self, kind: refusal.RefusalKind, wrong: trouble.Trouble
+        self, kind: refusal.RefusalKind, wrong: failure.Failure
     ) -> refusal.Refusal:
         # What was relayed was generated, so that "no" would be untrue; an
         # answer of a model may be asked for again.
--- a/tests/answers/steps/plain_steps.py
+++ b/tests/answers/steps/plain_steps.py
@@ -5,8 +5,8 @@
 
 import behave
 
-from citronvalve.upstreams import plaincall
 from citronvalve.upstreams import plainclient
+from citronvalve.upstreams import plainrequest
 from citronvalve.upstreams import pools
 
 _LENGTH = b"HTTP/1.1 201 Created\r\nContent-Length: 8\r\n\r\n"
@@ -46,8 +46,10 @@
 @behave.when("a daemon's client calls it")
 def step_call(context):
     client = plainclient.PlainClient(pools.Pools())
-    call = plaincall.PlainCall("POST", "/bags/7", {}, b"issue", 2_000, True)
-    context.result = client.call(context.address, call)
+    call = plainrequest.PlainRequest(
+        "POST", "/bags/7", {}, b"issue", 2_000, True
+    )
+    context.result = client.send(context.address, call)
 
 
 @behave.then("it gets the answer")
--- a/tests/answers/steps/resumption_steps.py
+++ b/tests/answers/steps/resumption_steps.py
@@ -2,11 +2,11 @@
 
 import behave
 
-from citronvalve.upstreams import ask
 from citronvalve.upstreams import assembler
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import nextattempt
 from citronvalve.upstreams import piece
 from citronvalve.upstreams import resumption
-from citronvalve.upstreams import trouble
 
 
 @behave.given(
@@ -24,18 +24,18 @@
 
 @behave.when('"{upstream}" shows {kind:w} at {now:d}')
 def step_shows(context, upstream, kind, now):
-    wrong = trouble.Trouble(trouble.TroubleKind(kind), "made by a test")
-    context.decision = context.resumption.after(wrong, upstream, now)
+    wrong = failure.Failure(failure.FailureKind(kind), "made by a test")
+    context.decision = context.resumption.decide(wrong, upstream, now)
 
 
 @behave.when("streams break after {grown:d} characters each")
 def step_break(context, grown):
-    wrong = trouble.Trouble(trouble.TroubleKind.BROKEN, "made by a test")
+    wrong = failure.Failure(failure.FailureKind.BROKEN, "made by a test")
     context.asked = 0
     for number in range(100):
         upstream = f"u{number}"
-        context.decision = context.resumption.after(wrong, upstream, 10)
-        if not isinstance(context.decision, ask.Ask):
+        context.decision = context.resumption.decide(wrong, upstream, 10)
+        if not isinstance(context.decision, nextattempt.NextAttempt):
             return
         context.asked += 1
         offset = context.assembler.offset
@@ -54,12 +54,16 @@
 
 @behave.then("the decision is to ask from {offset:d}, avoid {name:w}")
 def step_avoid(context, offset, name):
-    assert context.decision == ask.Ask(offset, (), (name,)), context.decision
+    assert context.decision == nextattempt.NextAttempt(offset, (), (name,)), (
+        context.decision
+    )
 
 
 @behave.then("the decision is to ask from {offset:d}, never {name:w}")
 def step_never(context, offset, name):
-    assert context.decision == ask.Ask(offset, (name,)), context.decision
+    assert context.decision == nextattempt.NextAttempt(offset, (name,)), (
+        context.decision
+    )
 
 
 @behave.then("the decision is {kind:S}")
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -74,7 +74,7 @@
             logbook.Logger("d-1"),
             metrics.Metrics(),
             invariant.Invariants(),
-            environment.Bounds(),
+            environment.RequestLimits(),
         )
         self.peering = peertask.PeerTask(env, self.view, _SETTINGS)
         self.peering.peer.is_watcher = lambda: watches
--- a/tests/inforce/steps/view_steps.py
+++ b/tests/inforce/steps/view_steps.py
@@ -18,7 +18,7 @@
 def step_told(context, told):
     context.seen = []
     for version in map(int, told.split(", ")):
-        context.view.adopt(typed.EMPTY._replace(version=version))
+        context.view.update_table(typed.EMPTY._replace(version=version))
         context.seen.append(context.view.version)
 
 
