--- a/src/citronvalve/entry/app.py
+++ b/src/citronvalve/entry/app.py
@@ -18,7 +18,7 @@
 from citronvalve.model import refusal
 
 _CHAT = "/v1/chat/completions"
-_RETRY_UNREADY: clock.Ms = 2_000
+_NOT_READY_RETRY_AFTER: clock.Ms = 2_000
 
 
 class App:
@@ -48,11 +48,11 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable
     ) -> Iterator[bytes]:
-        call = self._call(environ)
+        call = self._make_call(environ)
         self._progress.begin()
         log = requestlog.RequestLog(self._env, self._progress, call)
         try:
-            response = self._answer(call, log)
+            response = self._respond(call, log)
         except BaseException:
             log.end("fault")
             raise
@@ -62,28 +62,28 @@
             return response.body
         return streambody.StreamBody(response.body, log)
 
-    def _call(self, environ: dict[str, Any]) -> calls.Call:
-        fresh = f"{self._env.rng.getrandbits(96):024x}"
-        request = calls.request_id(environ, fresh)
+    def _make_call(self, environ: dict[str, Any]) -> calls.Call:
+        generated = f"{self._env.rng.getrandbits(96):024x}"
+        request = calls.request_id(environ, generated)
         return calls.Call(request, self._env.clock.now(), environ)
 
-    def _answer(
+    def _respond(
         self, call: calls.Call, log: requestlog.RequestLog
     ) -> responses.Response:
         table = self._view.table
         if self._progress.closed or not table:
-            return _unrecorded(self._unready(), call)
-        handler = self._find(call)
+            return _refuse_before_lookup(self._not_ready(), call)
+        handler = self._find_handler(call)
         if handler is None:
-            return responses.from_refusal(_no_path(call), call.request)
+            return responses.from_refusal(_unknown_path(call), call.request)
         log.path = handler.path
         team = authentication.authenticate(call, self._view)
         if isinstance(team, refusal.Refusal):
-            return _unrecorded(team, call)
+            return _refuse_before_lookup(team, call)
         log.team = team.name
         return handler.handle(call, team, table)
 
-    def _find(self, call: calls.Call) -> handlers.Handler | None:
+    def _find_handler(self, call: calls.Call) -> handlers.Handler | None:
         if call.path == _CHAT and call.method == "POST":
             return self._chat
         if call.path.startswith(plain.PATH_PREFIX):
@@ -93,27 +93,27 @@
     def _headers(
         self, response: responses.Response, call: calls.Call
     ) -> list[tuple[str, str]]:
-        made = [*response.headers, ("X-Request-Id", call.request)]
+        headers = [*response.headers, ("X-Request-Id", call.request)]
         if self._progress.stopping:
             # The balancer's kept connections must not bring more work.
-            made.append(("Connection", "close"))
-        return made
+            headers.append(("Connection", "close"))
+        return headers
 
-    def _unready(self) -> refusal.Refusal:
-        why = (
+    def _not_ready(self) -> refusal.Refusal:
+        detail = (
             "this daemon is stopping"
             if self._progress.closed
             else "this daemon has no table yet"
         )
         return refusal.Refusal(
             refusal.RefusalKind.STOPPING,
-            why,
+            detail,
             "send it again; the balancer knows other daemons",
-            retry_after=_RETRY_UNREADY,
+            retry_after=_NOT_READY_RETRY_AFTER,
         )
 
 
-def _unrecorded(
+def _refuse_before_lookup(
     refused: refusal.Refusal, call: calls.Call
 ) -> responses.Response:
     return responses.from_refusal(
@@ -121,7 +121,7 @@
     )
 
 
-def _no_path(call: calls.Call) -> refusal.Refusal:
+def _unknown_path(call: calls.Call) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
         f"there is nothing at {call.method} {call.path[:80]}",
--- a/src/citronvalve/entry/authentication.py
+++ b/src/citronvalve/entry/authentication.py
@@ -18,16 +18,16 @@
     :param call: carries the ``Authorization`` header.
     :param view: holds the teams in force.
     """
-    given = call.header("Authorization")
-    if given[: len(_SCHEME)].lower() != _SCHEME:
-        return _unknown("the Authorization header has no bearer token")
-    token = given[len(_SCHEME) :].strip()
+    header = call.header("Authorization")
+    if header[: len(_SCHEME)].lower() != _SCHEME:
+        return _unknown_token("the Authorization header has no bearer token")
+    token = header[len(_SCHEME) :].strip()
     # Looked up by digest, so that the time taken tells nothing of a token.
     found = view.team(hashlib.sha256(token.encode()).hexdigest())
-    return found or _unknown("no team has this token")
+    return found or _unknown_token("no team has this token")
 
 
-def _unknown(detail: str) -> refusal.Refusal:
+def _unknown_token(detail: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.UNKNOWN_TOKEN,
         detail,
--- a/src/citronvalve/entry/call.py
+++ b/src/citronvalve/entry/call.py
@@ -7,8 +7,8 @@
 from citronvalve.model import ran
 from citronvalve.model import refusal
 
-_KEY_LENGTH = 255
-_ID_LENGTH = 128
+_MAX_KEY_LENGTH = 255
+_MAX_ID_LENGTH = 128
 
 
 class Call(NamedTuple):
@@ -33,35 +33,37 @@
 
         :param name: as in HTTP, any case.
         """
-        cgi = name.upper().replace("-", "_")
-        plain = {"CONTENT_TYPE", "CONTENT_LENGTH"}
-        return self.environ.get(cgi if cgi in plain else f"HTTP_{cgi}", "")
+        variable = name.upper().replace("-", "_")
+        unprefixed = {"CONTENT_TYPE", "CONTENT_LENGTH"}
+        return self.environ.get(
+            variable if variable in unprefixed else f"HTTP_{variable}", ""
+        )
 
     def body(self, limit: int) -> bytes | refusal.Refusal:
         """Read the body.
 
         :param limit: most bytes that are accepted.
         """
-        said = self.header("Content-Length")
-        if said and not said.isdigit():
-            return malformed(f"Content-Length is {said!r}")
-        if said and int(said) > limit:
+        declared_length = self.header("Content-Length")
+        if declared_length and not declared_length.isdigit():
+            return malformed(f"Content-Length is {declared_length!r}")
+        if declared_length and int(declared_length) > limit:
             return _too_large(limit)
-        read = self.environ["wsgi.input"].read(limit + 1)
-        if len(read) > limit:
+        received = self.environ["wsgi.input"].read(limit + 1)
+        if len(received) > limit:
             return _too_large(limit)
-        if said and len(read) < int(said):
+        if declared_length and len(received) < int(declared_length):
             return malformed("the body ended early")
-        return read
+        return received
 
     def idempotency_key(self) -> str | refusal.Refusal:
         """Return the idempotency key; empty for none."""
-        given = self.header("Idempotency-Key")
-        if len(given) > _KEY_LENGTH or not given.isprintable():
+        key = self.header("Idempotency-Key")
+        if len(key) > _MAX_KEY_LENGTH or not key.isprintable():
             return malformed(
-                f"an Idempotency-Key has at most {_KEY_LENGTH} characters"
+                f"an Idempotency-Key has at most {_MAX_KEY_LENGTH} characters"
             )
-        return given
+        return key
 
     def before_key_lookup(self, refused: refusal.Refusal) -> refusal.Refusal:
         """Return a refusal made before the key's record was asked.
@@ -84,26 +86,26 @@
         :param default: ms from arrival, for a caller who states none.
         :param longest: most ms from arrival that are accepted.
         """
-        given = self.header("X-Deadline-Ms")
-        if not given:
+        value = self.header("X-Deadline-Ms")
+        if not value:
             return self.arrived_at + min(default, longest)
-        if not given.isdecimal() or not 0 < int(given) <= longest:
+        if not value.isdecimal() or not 0 < int(value) <= longest:
             return malformed(
-                f"X-Deadline-Ms is {given[:20]!r}; it takes a whole number "
+                f"X-Deadline-Ms is {value[:20]!r}; it takes a whole number "
                 f"of ms from 1 to {longest}"
             )
-        return self.arrived_at + int(given)
+        return self.arrived_at + int(value)
 
 
-def request_id(environ: dict[str, Any], fresh: str) -> str:
+def request_id(environ: dict[str, Any], default: str) -> str:
     """Return the caller's own id for a request if it is fit for logs.
 
     :param environ: as WSGI gives it.
     :param fresh: used when there is none.
     """
-    given = environ.get("HTTP_X_REQUEST_ID", "")
-    fit = given.isascii() and given.isprintable() and " " not in given
-    return given if fit and 0 < len(given) <= _ID_LENGTH else fresh
+    value = environ.get("HTTP_X_REQUEST_ID", "")
+    valid = value.isascii() and value.isprintable() and " " not in value
+    return value if valid and 0 < len(value) <= _MAX_ID_LENGTH else default
 
 
 def malformed(detail: str) -> refusal.Refusal:
--- a/src/citronvalve/entry/chat.py
+++ b/src/citronvalve/entry/chat.py
@@ -21,7 +21,7 @@
 from citronvalve.upstreams import engineclient
 from citronvalve.upstreams import heartbeat
 
-_DEFAULT_TOKENS = 256
+_DEFAULT_MAX_TOKENS = 256
 
 
 class ChatHandler(handler.Handler):
@@ -49,18 +49,18 @@
         team: declared.Team,
         table: declared.Declared,
     ) -> responses.Response:
-        understood = self._understand(call, team, table)
-        if isinstance(understood, refusal.Refusal):
-            return responses.from_refusal(understood, call.request)
-        work, body = understood
+        parsed = self._parse(call, team, table)
+        if isinstance(parsed, refusal.Refusal):
+            return responses.from_refusal(parsed, call.request)
+        work, body = parsed
         relay = relays.Relay(
             self._env, self._dispatch, self._client, work, body["messages"]
         )
         if body.get("stream", False):
-            return self._stream(call, work, relay)
-        return self._collect(call, work, relay)
+            return self._respond_streamed(call, work, relay)
+        return self._respond_whole(call, work, relay)
 
-    def _understand(
+    def _parse(
         self,
         call: calls.Call,
         team: declared.Team,
@@ -79,10 +79,10 @@
             return body
         model = table.model_by_name.get(body["model"])
         if model is None:
-            return _no_model(body["model"])
-        return self._work(call, team, model, deadline, body)
+            return _unknown_model(body["model"])
+        return self._make_work(call, team, model, deadline, body)
 
-    def _work(
+    def _make_work(
         self,
         call: calls.Call,
         team: declared.Team,
@@ -96,10 +96,12 @@
                 f"the messages have {len(prompt)} characters, the most is "
                 f"{self._env.limits.max_prompt_length}"
             )
-        asked = body.get("max_tokens", min(_DEFAULT_TOKENS, model.max_tokens))
-        if asked > model.max_tokens:
+        max_tokens = body.get(
+            "max_tokens", min(_DEFAULT_MAX_TOKENS, model.max_tokens)
+        )
+        if max_tokens > model.max_tokens:
             return calls.malformed(
-                f"max_tokens is {asked}, the most is {model.max_tokens}"
+                f"max_tokens is {max_tokens}, the most is {model.max_tokens}"
             )
         work = works.Work(
             call.request,
@@ -108,13 +110,13 @@
             call.arrived_at,
             deadline,
             len(prompt) // chatbody.CHARACTERS_PER_TOKEN + 1,
-            asked,
+            max_tokens,
             chatbody.fingerprint(body),
             chatbody.prefixes(prompt),
         )
         return work, body
 
-    def _collect(
+    def _respond_whole(
         self, call: calls.Call, work: works.Work, relay: relays.Relay
     ) -> responses.Response:
         parts: list[str] = []
@@ -126,7 +128,7 @@
                 parts.append(item)
             elif presence.has_left(call.environ):
                 items.close()
-                return responses.from_refusal(_left(), call.request)
+                return responses.from_refusal(_caller_left(), call.request)
         self._env.metrics.record_pieces(len(parts))
         body = chunk.whole(
             work.request,
@@ -137,21 +139,21 @@
         )
         return responses.from_body(body)
 
-    def _stream(
+    def _respond_streamed(
         self, call: calls.Call, work: works.Work, relay: relays.Relay
     ) -> responses.Response:
         items = iter(relay)
-        first = self._first(call, items)
+        first = self._first_text(call, items)
         if isinstance(first, refusal.Refusal):
             return responses.from_refusal(first, call.request)
-        made = [
+        headers = [
             ("Content-Type", responses.EVENTS),
             ("Cache-Control", "no-store"),
         ]
         body = self._chunks(work, relay, first, items)
-        return responses.Response(responses.OK, made, body, "", True)
+        return responses.Response(responses.OK, headers, body, "", True)
 
-    def _first(
+    def _first_text(
         self, call: calls.Call, items: Iterator[relays.Item]
     ) -> str | refusal.Refusal:
         # The status is not sent before there is text: a refusal that comes
@@ -164,7 +166,7 @@
                 return item
             if presence.has_left(call.environ):
                 items.close()
-                return _left()
+                return _caller_left()
         return ""
 
     def _chunks(
@@ -198,7 +200,7 @@
             self._env.metrics.record_pieces(pieces)
 
 
-def _no_model(name: str) -> refusal.Refusal:
+def _unknown_model(name: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
         f"there is no model {name[:80]!r}",
@@ -206,7 +208,7 @@
     )
 
 
-def _left() -> refusal.Refusal:
+def _caller_left() -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.CALLER_LEFT,
         "the caller closed its connection",
--- a/src/citronvalve/entry/chatbody.py
+++ b/src/citronvalve/entry/chatbody.py
@@ -17,8 +17,8 @@
 
 #: A prompt's beginning is digested at these many characters; engines cache
 #: prefixes in blocks of about this size.
-_PREFIX_BLOCK = 1_024
-_MOST_PREFIXES = 16
+_PREFIX_BLOCK_SIZE = 1_024
+_MAX_PREFIXES = 16
 
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
@@ -71,8 +71,10 @@
 
     :param prompt: all its text.
     """
-    most = min(len(prompt) // _PREFIX_BLOCK, _MOST_PREFIXES)
+    count = min(len(prompt) // _PREFIX_BLOCK_SIZE, _MAX_PREFIXES)
     return tuple(
-        xxhash.xxh3_64_hexdigest(prompt[: (n + 1) * _PREFIX_BLOCK].encode())
-        for n in range(most)
+        xxhash.xxh3_64_hexdigest(
+            prompt[: (n + 1) * _PREFIX_BLOCK_SIZE].encode()
+        )
+        for n in range(count)
     )
--- a/src/citronvalve/entry/dispatch.py
+++ b/src/citronvalve/entry/dispatch.py
@@ -47,7 +47,9 @@
 
     @abc.abstractmethod
     def place(
-        self, work: works.Work, after: nextattempt.NextAttempt = FIRST_ATTEMPT
+        self,
+        work: works.Work,
+        next_attempt: nextattempt.NextAttempt = FIRST_ATTEMPT,
     ) -> Placement | refusal.Refusal:
         """Choose an upstream, after waiting in the queue if need be.
 
--- a/src/citronvalve/entry/keyedrunner.py
+++ b/src/citronvalve/entry/keyedrunner.py
@@ -46,12 +46,12 @@
         :param dispatch: carries it out, on one upstream after another only
             while it provably was not run.
         """
-        begun = self._recorder.begin(call)
-        if isinstance(begun, refusal.Refusal):
-            return begun
-        if isinstance(begun, attempts.Run):
-            return self._dispatch(begun.attempt, dispatch)
-        return plainrequest.PlainResponse(*begun.answer)
+        started = self._recorder.begin(call)
+        if isinstance(started, refusal.Refusal):
+            return started
+        if isinstance(started, attempts.Run):
+            return self._dispatch(started.attempt, dispatch)
+        return plainrequest.PlainResponse(*started.answer)
 
     def _dispatch(
         self, attempt: attempts.Attempt, dispatch: Callable[[], Result]
@@ -62,11 +62,11 @@
             result = dispatch()
             outcome = _outcome(result)
         finally:
-            told = self._recorder.end(attempt, outcome)
+            recorded = self._recorder.end(attempt, outcome)
         if isinstance(result, refusal.Refusal):
             return result
-        if isinstance(told, refusal.Refusal):
-            return told
+        if isinstance(recorded, refusal.Refusal):
+            return recorded
         return result
 
 
--- a/src/citronvalve/entry/metrics.py
+++ b/src/citronvalve/entry/metrics.py
@@ -30,13 +30,13 @@
             "Requests ended, by kind of path and outcome.",
             registry=self.registry,
         )
-        self._seconds = aioprometheus.Histogram(
+        self._request_seconds = aioprometheus.Histogram(
             "citronvalve_request_seconds",
             "Time from a request's arrival to its end.",
             registry=self.registry,
             buckets=_REQUEST_BUCKETS,
         )
-        self._first = aioprometheus.Histogram(
+        self._first_token_seconds = aioprometheus.Histogram(
             "citronvalve_first_token_seconds",
             "Time from a request's arrival to its first token.",
             registry=self.registry,
@@ -61,14 +61,14 @@
         :param took: ms since its arrival.
         """
         self._requests.inc({"path": path, "outcome": outcome})
-        self._seconds.observe({"path": path}, took / clock.SECOND)
+        self._request_seconds.observe({"path": path}, took / clock.SECOND)
 
     def record_first_token(self, took: clock.Ms) -> None:
         """Note the time to a first token.
 
         :param took: ms since the request's arrival.
         """
-        self._first.observe({}, took / clock.SECOND)
+        self._first_token_seconds.observe({}, took / clock.SECOND)
 
     def record_pieces(self, pieces: int) -> None:
         """Count the pieces of an answer, once at its end.
--- a/src/citronvalve/entry/plain.py
+++ b/src/citronvalve/entry/plain.py
@@ -70,19 +70,19 @@
             return responses.from_refusal(key, call.request)
         service = table.service_by_name.get(name)
         if service is None:
-            return _unrecorded(_no_service(name), call)
+            return _refuse_before_lookup(_unknown_service(name), call)
         deadline = call.deadline(
             service.deadline, self._env.limits.max_deadline
         )
         if isinstance(deadline, refusal.Refusal):
-            return _unrecorded(deadline, call)
+            return _refuse_before_lookup(deadline, call)
         body = call.body(self._env.limits.max_body_size)
         if isinstance(body, refusal.Refusal):
-            return _unrecorded(body, call)
-        work = self._work(call, team, service, deadline, body)
-        return self._pass_on(call, work, f"/{rest}", body)
+            return _refuse_before_lookup(body, call)
+        work = self._make_work(call, team, service, deadline, body)
+        return self._respond(call, work, f"/{rest}", body)
 
-    def _work(
+    def _make_work(
         self,
         call: calls.Call,
         team: declared.Team,
@@ -102,62 +102,67 @@
             repeatable=call.method in service.repeatable,
         )
 
-    def _pass_on(
+    def _respond(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
     ) -> responses.Response:
-        result = self._once(call, work, path, body)
+        result = self._run_keyed(call, work, path, body)
         if isinstance(result, refusal.Refusal):
             return responses.from_refusal(result, call.request)
-        line = f"{result.status} {_phrase(result.status)}"
+        line = f"{result.status} {_reason_phrase(result.status)}"
         return responses.from_body(result.body, result.content_type, line)
 
-    def _once(
+    def _run_keyed(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
     ) -> plainrequest.PlainResponse | refusal.Refusal:
         # Without a key nothing links a repeat to its first try: such a call
         # is dispatched once and never tried again after it may have run.
         key = call.idempotency_key()
         if work.repeatable or not key:
-            return self._run(call, work, path, body)
-        digest = fingerprint.digest(call.method, _target(call), body)
-        asked = keying.make_call(work, key, digest, self._env.clock.now())
+            return self._run_attempts(call, work, path, body)
+        digest = fingerprint.digest(call.method, _path_and_query(call), body)
+        keyed_call = keying.make_call(work, key, digest, self._env.clock.now())
         return self._keyed.run(
-            asked, lambda: self._run(call, work, path, body)
+            keyed_call, lambda: self._run_attempts(call, work, path, body)
         )
 
-    def _run(
+    def _run_attempts(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
     ) -> plainrequest.PlainResponse | refusal.Refusal:
-        after = dispatches.FIRST_ATTEMPT
+        next_attempt = dispatches.FIRST_ATTEMPT
         outcome = ran.Ran.NO
         if self._remaining(work) <= 0:
             # The claim of the key took all the time there was.
-            return _late(outcome)
-        for left in reversed(range(MAX_ATTEMPTS)):
-            placed = self._dispatch.place(work, after)
-            if isinstance(placed, refusal.Refusal):
-                return placed._replace(ran=outcome)
-            span = self._span(work, left)
+            return _deadline_passed(outcome)
+        for attempts_left in reversed(range(MAX_ATTEMPTS)):
+            placement = self._dispatch.place(work, next_attempt)
+            if isinstance(placement, refusal.Refusal):
+                return placement._replace(ran=outcome)
+            timeout = self._attempt_timeout(work, attempts_left)
             result = self._client.send(
-                placed.address, _sent(call, work, path, body, span)
+                placement.address,
+                _make_request(call, work, path, body, timeout),
             )
-            self._dispatch.release(placed, _ending(result))
+            self._dispatch.release(placement, _ending(result))
             if not isinstance(result, failure.Failure):
                 return result
             if result.kind not in failure.NOT_RUN:
                 outcome = ran.Ran.UNKNOWN
                 if not work.repeatable:
-                    return _unknown(result)
+                    return _outcome_unknown(result)
             if self._remaining(work) <= 0:
-                return _late(outcome)
-            after = after._replace(avoided=(*after.avoided, placed.upstream))
-        return _failed(outcome, result)
+                return _deadline_passed(outcome)
+            next_attempt = next_attempt._replace(
+                avoided=(*next_attempt.avoided, placement.upstream)
+            )
+        return _attempts_failed(outcome, result)
 
-    def _span(self, work: works.Work, left: int) -> clock.Ms:
+    def _attempt_timeout(
+        self, work: works.Work, attempts_left: int
+    ) -> clock.Ms:
         # A look-up that meets a silent connection must leave time for a
         # try on a new one; what may not be repeated has all the time.
         remaining = max(1, self._remaining(work))
-        if work.repeatable and left:
+        if work.repeatable and attempts_left:
             return max(1, remaining // 2)
         return remaining
 
@@ -165,33 +170,33 @@
         return work.deadline - self._env.clock.now()
 
 
-def _sent(
+def _make_request(
     call: calls.Call,
     work: works.Work,
     path: str,
     body: bytes,
-    remaining: clock.Ms,
+    timeout: clock.Ms,
 ) -> plainrequest.PlainRequest:
     query = call.environ.get("QUERY_STRING", "")
     quoted = urllib.parse.quote(path.encode("latin-1"))
-    given = {
+    headers = {
         "Content-Type": call.header("Content-Type"),
         "Accept": call.header("Accept"),
         "Idempotency-Key": call.header("Idempotency-Key"),
         "X-Request-Id": work.request,
-        "X-Deadline-Ms": str(remaining),
+        "X-Deadline-Ms": str(timeout),
     }
     return plainrequest.PlainRequest(
         call.method,
         f"{quoted}?{query}" if query else quoted,
-        {name: value for name, value in given.items() if value},
+        {name: value for name, value in headers.items() if value},
         body,
-        remaining,
+        timeout,
         new_connection=not work.repeatable,
     )
 
 
-def _target(call: calls.Call) -> str:
+def _path_and_query(call: calls.Call) -> str:
     return f"{call.path}?{call.environ.get('QUERY_STRING', '')}"
 
 
@@ -203,14 +208,14 @@
     return dispatches.Ending.WHOLE
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
         return "Unknown"
 
 
-def _unrecorded(
+def _refuse_before_lookup(
     refused: refusal.Refusal, call: calls.Call
 ) -> responses.Response:
     return responses.from_refusal(
@@ -218,7 +223,7 @@
     )
 
 
-def _no_service(name: str) -> refusal.Refusal:
+def _unknown_service(name: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
         f"there is no service {name[:80]!r}",
@@ -226,7 +231,7 @@
     )
 
 
-def _late(outcome: ran.Ran) -> refusal.Refusal:
+def _deadline_passed(outcome: ran.Ran) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.DEADLINE_PASSED,
         "the deadline passed before the service answered",
@@ -235,20 +240,22 @@
     )
 
 
-def _failed(outcome: ran.Ran, met: failure.Failure) -> refusal.Refusal:
+def _attempts_failed(
+    outcome: ran.Ran, cause: failure.Failure
+) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.UPSTREAM_FAILED,
-        f"{MAX_ATTEMPTS} tries failed, the last one: {met.reason}",
+        f"{MAX_ATTEMPTS} tries failed, the last one: {cause.reason}",
         "send it again later",
         outcome,
         _RETRY_AFTER,
     )
 
 
-def _unknown(met: failure.Failure) -> refusal.Refusal:
+def _outcome_unknown(cause: failure.Failure) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.OUTCOME_UNKNOWN,
-        f"the service was asked and did not answer: {met.reason}",
+        f"the service was asked and did not answer: {cause.reason}",
         "look up whether the call took effect before sending it again",
         ran.Ran.UNKNOWN,
     )
--- a/src/citronvalve/entry/presence.py
+++ b/src/citronvalve/entry/presence.py
@@ -8,7 +8,7 @@
 # that there is nothing.
 _socket = patcher.original("socket")
 
-_FLAGS = _socket.MSG_PEEK | _socket.MSG_DONTWAIT
+_PEEK_FLAGS = _socket.MSG_PEEK | _socket.MSG_DONTWAIT
 
 
 def has_left(environ: dict[str, Any]) -> bool:
@@ -19,12 +19,12 @@
 
     :param environ: as WSGI gives it.
     """
-    ask = getattr(environ["wsgi.input"], "get_socket", None)
-    if ask is None:
+    get_socket = getattr(environ["wsgi.input"], "get_socket", None)
+    if get_socket is None:
         return False
-    peer = _socket.socket(fileno=ask().fileno())
+    peer = _socket.socket(fileno=get_socket().fileno())
     try:
-        return peer.recv(1, _FLAGS) == b""
+        return peer.recv(1, _PEEK_FLAGS) == b""
     except BlockingIOError:
         return False
     except OSError:
--- a/src/citronvalve/entry/problem.py
+++ b/src/citronvalve/entry/problem.py
@@ -54,10 +54,10 @@
 
     :param refused: the refusal.
     """
-    made = [("Content-Type", CONTENT_TYPE)]
+    header_list = [("Content-Type", CONTENT_TYPE)]
     if refused.retry_after:
         # The header counts whole seconds; rounding down would bring
         # callers back before there is room.
-        whole = -(-refused.retry_after // clock.SECOND)
-        made.append(("Retry-After", str(whole)))
-    return made
+        seconds = -(-refused.retry_after // clock.SECOND)
+        header_list.append(("Retry-After", str(seconds)))
+    return header_list
--- a/src/citronvalve/entry/relay.py
+++ b/src/citronvalve/entry/relay.py
@@ -65,71 +65,77 @@
         return self._answer.finish
 
     def __iter__(self) -> Iterator[Item]:
-        after: nextattempt.NextAttempt | refusal.Refusal = (
+        next_attempt: nextattempt.NextAttempt | refusal.Refusal = (
             dispatches.FIRST_ATTEMPT
         )
-        tries = itertools.count(1)
-        while isinstance(after, nextattempt.NextAttempt):
-            placed = self._dispatch.place(self._work, after)
-            if isinstance(placed, refusal.Refusal):
-                after = placed
+        attempt_numbers = itertools.count(1)
+        while isinstance(next_attempt, nextattempt.NextAttempt):
+            placement = self._dispatch.place(self._work, next_attempt)
+            if isinstance(placement, refusal.Refusal):
+                next_attempt = placement
                 break
             # Each try has an id of its own: the cancelling of one that broke
             # may arrive after the next has begun on the same engine, and
             # would end that one too.
-            self._answer.request = f"{self._work.request}.{next(tries)}"
-            met = yield from self._try(placed, after.offset)
-            if met is None:
+            self._answer.request = (
+                f"{self._work.request}.{next(attempt_numbers)}"
+            )
+            cause = yield from self._attempt(placement, next_attempt.offset)
+            if cause is None:
                 return
-            self._env.metrics.record_resume(met.kind)
-            after = self._resumption.decide(
-                met, placed.upstream, self._env.clock.now()
+            self._env.metrics.record_resume(cause.kind)
+            next_attempt = self._resumption.decide(
+                cause, placement.upstream, self._env.clock.now()
             )
-        yield after._replace(ran=self._ran)
+        yield next_attempt._replace(ran=self._ran)
 
-    def _try(
-        self, placed: dispatches.Placement, offset: int
+    def _attempt(
+        self, placement: dispatches.Placement, offset: int
     ) -> Iterator[Item | failure.Failure]:
         # A caller that leaves raises GeneratorExit in here, and must free
         # the upstream as surely as an answer that ends.
         ending = dispatches.Ending.ABANDONED
         try:
             stream = self._client.generate(
-                placed.address, self._order(placed, offset), self._remaining()
+                placement.address,
+                self._order(placement, offset),
+                self._remaining(),
             )
             if isinstance(stream, failure.Failure):
-                met = stream
+                cause = stream
             else:
-                met = yield from self._read(stream, placed)
-            ending = self._ending(met)
-            return met
+                cause = yield from self._read_stream(stream, placement)
+            ending = self._ending(cause)
+            return cause
         finally:
-            self._dispatch.release(placed, ending)
+            self._dispatch.release(placement, ending)
 
-    def _read(
+    def _read_stream(
         self,
         stream: enginestream.EngineStream,
-        placed: dispatches.Placement,
+        placement: dispatches.Placement,
     ) -> Iterator[Item | failure.Failure]:
         if self._ran is ran.Ran.NO:
             self._ran = ran.Ran.UNKNOWN
-        whole = False
+        complete = False
         try:
             for item in stream:
                 if item is heartbeat.HEARTBEAT:
                     yield item
                     continue
-                met = yield from self._accept(item)
-                if met is not None:
-                    return self._client.handle_failure(met, placed.address)
+                cause = yield from self._accept(item)
+                if cause is not None:
+                    return self._client.handle_failure(
+                        cause, placement.address
+                    )
                 if self._answer.finished:
-                    whole = True
+                    complete = True
                     stream.drain()
                     return None
         finally:
             stream.close()
-            if not whole:
-                self._client.cancel(placed.address, self._answer.request)
+            if not complete:
+                self._client.cancel(placement.address, self._answer.request)
 
     def _accept(self, item) -> Iterator[Item | failure.Failure]:
         if isinstance(item, failure.Failure):
@@ -142,24 +148,24 @@
             yield text
         return None
 
-    def _ending(self, met: failure.Failure | None) -> dispatches.Ending:
-        if met is None:
+    def _ending(self, cause: failure.Failure | None) -> dispatches.Ending:
+        if cause is None:
             return dispatches.Ending.WHOLE
         if self._remaining() <= 0:
             return dispatches.Ending.ABANDONED
-        return _ENDING_BY_KIND.get(met.kind, dispatches.Ending.WRONG)
+        return _ENDING_BY_KIND.get(cause.kind, dispatches.Ending.WRONG)
 
     def _order(
-        self, placed: dispatches.Placement, offset: int
+        self, placement: dispatches.Placement, offset: int
     ) -> orders.GenerateOrder:
         return orders.GenerateOrder(
             request=self._answer.request,
             model=self._work.target,
             messages=self._messages,
             max_tokens=self._work.max_tokens,
-            priority=placed.priority,
+            priority=placement.priority,
             offset=offset,
-            fence=placed.fence,
+            fence=placement.fence,
         )
 
     def _remaining(self) -> clock.Ms:
--- a/src/citronvalve/entry/response.py
+++ b/src/citronvalve/entry/response.py
@@ -34,9 +34,9 @@
     :param request: the request's id.
     """
     body = problem.body(refused, request)
-    made = [*problem.headers(refused), ("Content-Length", str(len(body)))]
+    headers = [*problem.headers(refused), ("Content-Length", str(len(body)))]
     return Response(
-        problem.status_line(refused), made, [body], str(refused.kind)
+        problem.status_line(refused), headers, [body], str(refused.kind)
     )
 
 
@@ -49,8 +49,8 @@
     :param content_type: its type.
     :param status: the status line.
     """
-    made = [
+    headers = [
         ("Content-Type", content_type),
         ("Content-Length", str(len(body))),
     ]
-    return Response(status, made, [body], WHOLE)
+    return Response(status, headers, [body], WHOLE)
--- a/src/citronvalve/entry/streambody.py
+++ b/src/citronvalve/entry/streambody.py
@@ -6,7 +6,7 @@
 from citronvalve.entry import requestlog
 from citronvalve.entry import response as responses
 
-_LEFT = "caller-left"
+_CALLER_LEFT = "caller-left"
 
 
 class StreamBody:
@@ -33,4 +33,4 @@
     def close(self) -> None:
         """Free the upstream when the caller has left."""
         self._chunks.close()
-        self._log.end(_LEFT)
+        self._log.end(_CALLER_LEFT)
--- a/src/citronvalve/entry/view.py
+++ b/src/citronvalve/entry/view.py
@@ -9,7 +9,7 @@
 
 #: A group state older than this is not routed on: its watcher may have
 #: stopped, and a VM died since.  Equal to the bound on detection.
-_ROUTE_FRESH: clock.Ms = 3_000
+_MAX_ROUTE_AGE: clock.Ms = 3_000
 _NEVER_FALLS = "an accepted table version is never replaced by a lower one"
 
 
@@ -27,7 +27,7 @@
     ) -> None:
         self._clock = time_source
         self._invariants = invariants
-        self._declared: declared.Declared | missing.Stale = missing.Stale(
+        self._table: declared.Declared | missing.Stale = missing.Stale(
             "no version of the table has been received yet", "table"
         )
         self._team_by_digest: dict[str, declared.Team] = {}
@@ -38,12 +38,12 @@
     @property
     def table(self) -> declared.Declared | missing.Stale:
         """Return the version in force, or why there is none."""
-        return self._declared
+        return self._table
 
     @property
     def version(self) -> int:
         """Return the version in force; 0 is none."""
-        return self._declared.version if self._declared else 0
+        return self._table.version if self._table else 0
 
     @property
     def age(self) -> clock.Ms:
@@ -55,10 +55,10 @@
 
         Asked for each request: a group that closed is not among them.
         """
-        if not self._declared:
+        if not self._table:
             return []
         return [
-            *self._declared.upstream_by_name.values(),
+            *self._table.upstream_by_name.values(),
             *self.serving_groups(),
         ]
 
@@ -68,7 +68,7 @@
         return tuple(
             route.upstream
             for _, route in sorted(self.route_by_group.items())
-            if now - route.observed_at < _ROUTE_FRESH
+            if now - route.observed_at < _MAX_ROUTE_AGE
         )
 
     def upstream(self, name: str) -> declared.Upstream | None:
@@ -78,11 +78,11 @@
         """
         route = self.route_by_group.get(name)
         if route is not None:
-            fresh = self._clock.now() - route.observed_at < _ROUTE_FRESH
+            fresh = self._clock.now() - route.observed_at < _MAX_ROUTE_AGE
             return route.upstream if fresh else None
-        if not self._declared:
+        if not self._table:
             return None
-        return self._declared.upstream_by_name.get(name)
+        return self._table.upstream_by_name.get(name)
 
     def fence(self, upstream: str) -> int:
         """Return the fence that a request to an upstream carries.
@@ -116,7 +116,7 @@
             table.version > self.version,
             f"{self.version} to {table.version}",
         )
-        self._put(table)
+        self._set_table(table)
         return True
 
     def replace_table(self, table: declared.Declared) -> bool:
@@ -132,11 +132,11 @@
             table.version >= self.version,
             f"{self.version} to {table.version}",
         )
-        self._put(table)
+        self._set_table(table)
         return True
 
-    def _put(self, table: declared.Declared) -> None:
-        self._declared = table
+    def _set_table(self, table: declared.Declared) -> None:
+        self._table = table
         self._team_by_digest = {
             team.token_sha256: team for team in table.team_by_name.values()
         }
--- a/src/citronvalve/upstreams/assembler.py
+++ b/src/citronvalve/upstreams/assembler.py
@@ -29,7 +29,7 @@
     :ivar finish: the reason of the end; empty until then.
     """
 
-    __slots__ = ("_parts", "_promises", "finish", "offset", "request")
+    __slots__ = ("_invariants", "_parts", "finish", "offset", "request")
 
     def __init__(
         self, request: str, invariants: invariant.Invariants | None = None
@@ -38,7 +38,7 @@
         self.offset = 0
         self.finish = ""
         self._parts: list[str] = []
-        self._promises = invariants or invariant.Invariants()
+        self._invariants = invariants or invariant.Invariants()
 
     @property
     def finished(self) -> bool:
@@ -57,93 +57,97 @@
         :return: the text to pass on, which may be empty, or what is wrong;
             after trouble the answer is as it was before.
         """
-        wrong = self._wrong(piece)
-        if wrong is not None:
-            return wrong
+        defect = self._find_defect(piece)
+        if defect is not None:
+            return defect
         text = piece.text
         if piece.offset != self.offset:
             text = text[self.offset - piece.offset :]
         if piece.finish:
-            return self._end(piece, text)
-        return self._extend(text, piece.offset + len(piece.text))
+            return self._append_last(piece, text)
+        return self._append(text, piece.offset + len(piece.text))
 
     def whole(self) -> str | failure.Failure:
         """Return the whole answer, for a caller who does not stream."""
         if not self.finish:
-            return self._trouble(
+            return self._failure(
                 failure.FailureKind.BROKEN, f"no end after {self.offset}"
             )
-        text = self._relayed()
-        self._promises.check(_WHOLE, len(text) == self.offset, self.request)
+        text = self._relayed_text()
+        self._invariants.check(_WHOLE, len(text) == self.offset, self.request)
         return text
 
-    def _wrong(self, piece: pieces.Piece) -> failure.Failure | None:
+    def _find_defect(self, piece: pieces.Piece) -> failure.Failure | None:
         if piece.request != self.request:
-            return self._trouble(
+            return self._failure(
                 failure.FailureKind.STRAY, f"a piece of {piece.request!r}"
             )
         if piece.offset == self.offset and not self.finish:
             return None
         if piece.offset > self.offset:
-            return self._beyond(piece)
-        return self._overlapping(piece)
+            return self._defect_beyond_offset(piece)
+        return self._defect_in_overlap(piece)
 
-    def _beyond(self, piece: pieces.Piece) -> failure.Failure:
+    def _defect_beyond_offset(self, piece: pieces.Piece) -> failure.Failure:
         if self.finish:
-            return self._late()
-        return self._trouble(
+            return self._late_failure()
+        return self._failure(
             failure.FailureKind.GAP,
             f"{self.offset} relayed, the piece starts at {piece.offset}",
         )
 
-    def _overlapping(self, piece: pieces.Piece) -> failure.Failure | None:
+    def _defect_in_overlap(
+        self, piece: pieces.Piece
+    ) -> failure.Failure | None:
         if piece.offset < 0:
-            return self._trouble(
+            return self._failure(
                 failure.FailureKind.MALFORMED, f"offset {piece.offset}"
             )
         if self.finish:
-            return self._late()
-        common = self.offset - piece.offset
-        had = self._relayed()[piece.offset : piece.offset + len(piece.text)]
-        if piece.text[:common] != had:
-            return self._trouble(
+            return self._late_failure()
+        overlap = self.offset - piece.offset
+        relayed = self._relayed_text()[
+            piece.offset : piece.offset + len(piece.text)
+        ]
+        if piece.text[:overlap] != relayed:
+            return self._failure(
                 failure.FailureKind.DIVERGED,
                 f"other text at {piece.offset} than was relayed",
             )
-        if piece.finish and len(piece.text) < common:
-            return self._trouble(
+        if piece.finish and len(piece.text) < overlap:
+            return self._failure(
                 failure.FailureKind.DIVERGED,
                 f"ends at {piece.offset}, {self.offset} are relayed",
             )
         return None
 
-    def _extend(self, text: str, end: int) -> str:
+    def _append(self, text: str, end: int) -> str:
         if not text:
             return text
-        self._promises.check(
+        self._invariants.check(
             _CONTIGUOUS, self.offset + len(text) == end, self.request
         )
         self._parts.append(text)
         self.offset = end
         return text
 
-    def _end(self, piece: pieces.Piece, text: str) -> str:
-        text = self._extend(text, piece.offset + len(piece.text))
+    def _append_last(self, piece: pieces.Piece, text: str) -> str:
+        text = self._append(text, piece.offset + len(piece.text))
         self.finish = piece.finish
         return text
 
-    def _relayed(self) -> str:
+    def _relayed_text(self) -> str:
         # Joined only when a repeat comes, never on the way of a token.
         if len(self._parts) > 1:
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
-    def _late(self) -> failure.Failure:
-        return self._trouble(
+    def _late_failure(self) -> failure.Failure:
+        return self._failure(
             failure.FailureKind.LATE, "a piece after the end of the answer"
         )
 
-    def _trouble(
+    def _failure(
         self, kind: failure.FailureKind, reason: str
     ) -> failure.Failure:
         return failure.Failure(kind, reason, self.request)
--- a/src/citronvalve/upstreams/engineclient.py
+++ b/src/citronvalve/upstreams/engineclient.py
@@ -13,7 +13,7 @@
 
 _JSON = {"Content-Type": "application/json"}
 _CANCEL_TIMEOUT: clock.Ms = 1_000
-_SHOWN = 200
+_MAX_SHOWN_BYTES = 200
 
 
 class EngineClient:
@@ -34,7 +34,7 @@
         :param order: what to generate, from which offset.
         :param remaining: ms until the caller's deadline.
         """
-        idle = min(pools.IDLE_TIMEOUT, max(1, remaining))
+        idle_timeout = min(pools.IDLE_TIMEOUT, max(1, remaining))
         try:
             response = self._pools.get(address).urlopen(
                 "POST",
@@ -43,7 +43,7 @@
                 headers=_JSON,
                 retries=False,
                 redirect=False,
-                timeout=pools.timeout(idle),
+                timeout=pools.timeout(idle_timeout),
                 preload_content=False,
             )
         except httperror.ERRORS as error:
@@ -51,7 +51,7 @@
                 httperror.classify(error, address), address
             )
         if response.status != 200:
-            return _refused(response, address)
+            return _read_rejection(response, address)
         return enginestream.EngineStream(response, address, remaining)
 
     def handle_failure(
@@ -74,9 +74,9 @@
         """
         # The caller's task goes on at once: an upstream that is gone would
         # hold its answer back for the time of a connection attempt.
-        eventlet.spawn_n(self._cancel, address, request)
+        eventlet.spawn_n(self._send_cancel, address, request)
 
-    def _cancel(self, address: str, request: str) -> None:
+    def _send_cancel(self, address: str, request: str) -> None:
         body = msgspec.json.encode({"request": request})
         try:
             self._pools.get(address).urlopen(
@@ -92,10 +92,10 @@
             return
 
 
-def _refused(
+def _read_rejection(
     response: urllib3.BaseHTTPResponse, address: str
 ) -> failure.Failure:
-    body = response.read(_SHOWN)
+    body = response.read(_MAX_SHOWN_BYTES)
     response.close()
     reason = f"status {response.status}: {body.decode(errors='replace')}"
     kind = (
@@ -115,7 +115,7 @@
     :param body: JSON with ``"ran": "no"`` when it did not run.
     """
     try:
-        said = msgspec.json.decode(body)
+        decoded = msgspec.json.decode(body)
     except msgspec.MsgspecError:
         return False
-    return isinstance(said, dict) and said.get("ran") == "no"
+    return isinstance(decoded, dict) and decoded.get("ran") == "no"
--- a/src/citronvalve/upstreams/enginestream.py
+++ b/src/citronvalve/upstreams/enginestream.py
@@ -10,7 +10,7 @@
 from citronvalve.upstreams import failure
 from citronvalve.upstreams import httperror
 
-_BLOCK = 65_536
+_BLOCK_SIZE = 65_536
 
 
 class EngineStream:
@@ -28,23 +28,23 @@
         remaining: clock.Ms,
     ) -> None:
         self._response = response
-        self._where = address
+        self._address = address
         # The idle limit alone would hold a caller of a slow engine until
         # the next heartbeat after its deadline.
-        self._timer = eventlet.spawn_after(
-            max(0, remaining) / clock.SECOND, self._cut
+        self._deadline_timer = eventlet.spawn_after(
+            max(0, remaining) / clock.SECOND, self._shut_down
         )
-        self._whole = False
+        self._body_read = False
 
     def __iter__(self) -> Iterator[eventparser.Item]:
-        split = eventparser.EventParser(self._where)
+        parser = eventparser.EventParser(self._address)
         try:
-            for block in self._response.read_chunked(_BLOCK):
-                yield from split.feed(block)
+            for block in self._response.read_chunked(_BLOCK_SIZE):
+                yield from parser.feed(block)
         except httperror.ERRORS as error:
-            yield httperror.classify(error, self._where)
+            yield httperror.classify(error, self._address)
             return
-        self._whole = True
+        self._body_read = True
         yield failure.Failure(
             failure.FailureKind.BROKEN, "ended without a last piece"
         )
@@ -55,17 +55,17 @@
             self._response.drain_conn()
         except httperror.ERRORS:
             return
-        self._whole = True
+        self._body_read = True
 
     def close(self) -> None:
         """Give the connection back, or end it if the body is unread."""
-        self._timer.cancel()
-        if self._whole:
+        self._deadline_timer.cancel()
+        if self._body_read:
             self._response.release_conn()
         else:
             self._response.close()
 
-    def _cut(self) -> None:
+    def _shut_down(self) -> None:
         # Shutting down wakes the reader; closing would leave it waiting.
         try:
             self._response.shutdown()
--- a/src/citronvalve/upstreams/eventparser.py
+++ b/src/citronvalve/upstreams/eventparser.py
@@ -9,12 +9,12 @@
 from citronvalve.upstreams import heartbeat
 from citronvalve.upstreams import piece as pieces
 
-_END = b"\n\n"
-_DATA = b"data: "
+_EVENT_END = b"\n\n"
+_DATA_PREFIX = b"data: "
 
 #: One event holds one token, or a few; an engine that sends more without
 #: an end of event is broken and must not fill the daemon's memory.
-_LARGEST_EVENT = 256 * 1024
+_MAX_EVENT_SIZE = 256 * 1024
 
 
 class _Event(msgspec.Struct):
@@ -34,8 +34,8 @@
     """
 
     def __init__(self, address: str) -> None:
-        self._where = address
-        self._rest = b""
+        self._address = address
+        self._buffer = b""
         self._decode = msgspec.json.Decoder(_Event).decode
 
     def feed(self, block: bytes) -> Iterator[Item]:
@@ -43,25 +43,27 @@
 
         :param block: the next bytes.
         """
-        data = self._rest + block if self._rest else block
-        *whole, self._rest = data.split(_END)
-        for event in whole:
-            yield self._read(event)
-        if len(self._rest) > _LARGEST_EVENT:
+        data = self._buffer + block if self._buffer else block
+        *complete, self._buffer = data.split(_EVENT_END)
+        for event in complete:
+            yield self._parse(event)
+        if len(self._buffer) > _MAX_EVENT_SIZE:
             yield self._malformed("an event without an end")
 
-    def _read(self, event: bytes) -> Item:
+    def _parse(self, event: bytes) -> Item:
         if event.startswith(b":"):
             return heartbeat.HEARTBEAT
-        if not event.startswith(_DATA):
+        if not event.startswith(_DATA_PREFIX):
             return self._malformed(repr(event[:80]))
         try:
-            read: Any = self._decode(event[len(_DATA) :])
+            decoded: Any = self._decode(event[len(_DATA_PREFIX) :])
         except msgspec.MsgspecError as error:
             return self._malformed(str(error))
-        return pieces.Piece(read.request, read.offset, read.text, read.finish)
+        return pieces.Piece(
+            decoded.request, decoded.offset, decoded.text, decoded.finish
+        )
 
     def _malformed(self, reason: str) -> failure.Failure:
         return failure.Failure(
-            failure.FailureKind.MALFORMED, reason, self._where
+            failure.FailureKind.MALFORMED, reason, self._address
         )
--- a/src/citronvalve/upstreams/loadclient.py
+++ b/src/citronvalve/upstreams/loadclient.py
@@ -10,7 +10,7 @@
 
 #: A report that takes longer would be old before it is used.
 _TIMEOUT: clock.Ms = 800
-_LARGEST = 65_536
+_MAX_BODY_SIZE = 65_536
 
 
 class _Report(msgspec.Struct):
@@ -42,9 +42,9 @@
         :param upstream: its name.
         :param address: its host:port.
         """
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         try:
-            read = self._read(address)
+            received = self._request(address)
         except (*httperror.ERRORS, msgspec.MsgspecError) as error:
             self._pools.drop(address)
             return missing.Unavailable(str(error), f"{upstream} {address}")
@@ -52,15 +52,15 @@
         # any moment since, and must not look younger than it is.
         return load.LoadReport(
             upstream,
-            read.start_id,
-            read.running,
-            read.queued,
-            read.bears,
-            asked_at,
-            read.vms_missing,
+            received.start_id,
+            received.running,
+            received.queued,
+            received.bears,
+            requested_at,
+            received.vms_missing,
         )
 
-    def _read(self, address: str) -> _Report:
+    def _request(self, address: str) -> _Report:
         response = self._pools.get(address).urlopen(
             "GET",
             "/load",
@@ -69,7 +69,7 @@
             timeout=pools.timeout(_TIMEOUT),
             preload_content=False,
         )
-        body = response.read(_LARGEST)
+        body = response.read(_MAX_BODY_SIZE)
         response.release_conn()
         if response.status != 200:
             raise ValueError(f"status {response.status}")
--- a/src/citronvalve/upstreams/plainclient.py
+++ b/src/citronvalve/upstreams/plainclient.py
@@ -14,7 +14,7 @@
 #: when many callers ask for it at once.
 MAX_RESPONSE_SIZE = 8 * 1024 * 1024
 
-_OCTETS = "application/octet-stream"
+_DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainClient:
@@ -35,14 +35,14 @@
         :param call: what to pass on.
         """
         pool = self._pools.get(address)
-        fresh = None
+        own_pool = None
         if request.new_connection:
-            pool = fresh = urllib3.HTTPConnectionPool(pool.host, pool.port)
+            pool = own_pool = urllib3.HTTPConnectionPool(pool.host, pool.port)
         try:
             # The library bounds each receive, not the whole: a service
             # that sends a byte now and then would hold its caller for ever.
             with eventlet.Timeout(request.timeout / clock.SECOND):
-                return _whole(_send(pool, request), address)
+                return _read_response(_open(pool, request), address)
         except eventlet.Timeout:
             self._pools.drop(address)
             return failure.Failure(
@@ -51,50 +51,54 @@
                 address,
             )
         except httperror.ERRORS as error:
-            return self._failed(httperror.classify(error, address), address)
+            return self._handle_failure(
+                httperror.classify(error, address), address
+            )
         finally:
-            if fresh:
-                fresh.close()
+            if own_pool:
+                own_pool.close()
 
-    def _failed(self, met: failure.Failure, address: str) -> failure.Failure:
-        if met.kind is failure.FailureKind.SILENT:
+    def _handle_failure(
+        self, cause: failure.Failure, address: str
+    ) -> failure.Failure:
+        if cause.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
-        return met
+        return cause
 
 
-def _send(
-    pool: urllib3.HTTPConnectionPool, call: plainrequest.PlainRequest
+def _open(
+    pool: urllib3.HTTPConnectionPool, request: plainrequest.PlainRequest
 ) -> urllib3.BaseHTTPResponse:
     return pool.urlopen(
-        call.method,
-        call.path,
-        body=call.body or None,
-        headers=call.headers,
+        request.method,
+        request.path,
+        body=request.body or None,
+        headers=request.headers,
         retries=False,
         redirect=False,
-        timeout=pools.timeout(max(1, call.timeout)),
+        timeout=pools.timeout(max(1, request.timeout)),
         preload_content=False,
     )
 
 
-def _whole(
+def _read_response(
     response: urllib3.BaseHTTPResponse, address: str
 ) -> plainrequest.PlainResponse | failure.Failure:
     body = response.read(MAX_RESPONSE_SIZE + 1, decode_content=False)
-    wrong = _incomplete(response, body)
-    if wrong:
+    defect = _find_defect(response, body)
+    if defect:
         response.close()
-        return failure.Failure(failure.FailureKind.BROKEN, wrong, address)
+        return failure.Failure(failure.FailureKind.BROKEN, defect, address)
     response.release_conn()
     if response.status == 503 and engineclient.reports_not_run(body):
         return failure.Failure(
             failure.FailureKind.REFUSED, "the service refused it", address
         )
-    kind = response.headers.get("Content-Type", _OCTETS)
-    return plainrequest.PlainResponse(response.status, kind, body)
+    content_type = response.headers.get("Content-Type", _DEFAULT_CONTENT_TYPE)
+    return plainrequest.PlainResponse(response.status, content_type, body)
 
 
-def _incomplete(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
+def _find_defect(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
     """Tell why an answer can't be passed on as whole; empty if it can.
 
     Read with a limit, the library takes the end of the connection for the
--- a/src/citronvalve/upstreams/pools.py
+++ b/src/citronvalve/upstreams/pools.py
@@ -6,7 +6,7 @@
 
 #: Connections kept an upstream; further ones are made and closed again.
 #: A replica bears some tens of requests, shared by all daemons.
-_KEPT = 32
+_CONNECTIONS_PER_UPSTREAM = 32
 
 #: Making a connection inside a data centre takes about a millisecond; one
 #: that takes this long meets a VM that is gone.
@@ -31,7 +31,7 @@
         if pool is None:
             host, _, port = address.rpartition(":")
             pool = urllib3.HTTPConnectionPool(
-                host, int(port), maxsize=_KEPT, block=False
+                host, int(port), maxsize=_CONNECTIONS_PER_UPSTREAM, block=False
             )
             self._pool_by_address[address] = pool
         return pool
--- a/src/citronvalve/upstreams/resumption.py
+++ b/src/citronvalve/upstreams/resumption.py
@@ -31,10 +31,10 @@
         self._answer = answer
         self._deadline = deadline
         self._resumes = 0
-        self._fruitless = 0
-        self._reached = 0
-        self._never: list[str] = []
-        self._avoid: list[str] = []
+        self._fruitless_resumes = 0
+        self._last_offset = 0
+        self._excluded: list[str] = []
+        self._avoided: list[str] = []
 
     def decide(
         self, cause: failure.Failure, upstream: str, now: clock.Ms
@@ -49,43 +49,47 @@
         """
         if cause.recovery is failure.Recovery.IGNORE:
             return None
-        self._blame(cause.recovery, upstream)
-        self._count()
+        self._skip_upstream(cause.recovery, upstream)
+        self._count_resume()
         if now >= self._deadline:
             return self._refusal(refusal.RefusalKind.DEADLINE_PASSED, cause)
         if (
             self._resumes > MAX_RESUMES
-            or self._fruitless > MAX_FRUITLESS_RESUMES
+            or self._fruitless_resumes > MAX_FRUITLESS_RESUMES
         ):
             return self._refusal(refusal.RefusalKind.UPSTREAM_FAILED, cause)
         return nextattempt.NextAttempt(
-            self._answer.resume_at, tuple(self._never), tuple(self._avoid)
+            self._answer.resume_at, tuple(self._excluded), tuple(self._avoided)
         )
 
-    def _blame(self, cure: failure.Recovery, upstream: str) -> None:
-        blamed = (
-            self._never
-            if cure is failure.Recovery.RESUME_ELSEWHERE
-            else self._avoid
+    def _skip_upstream(
+        self, recovery: failure.Recovery, upstream: str
+    ) -> None:
+        skipped = (
+            self._excluded
+            if recovery is failure.Recovery.RESUME_ELSEWHERE
+            else self._avoided
         )
-        if upstream not in blamed:
-            blamed.append(upstream)
+        if upstream not in skipped:
+            skipped.append(upstream)
 
-    def _count(self) -> None:
-        grown = self._answer.offset > self._reached
-        self._reached = self._answer.offset
-        self._fruitless = 1 if grown else self._fruitless + 1
+    def _count_resume(self) -> None:
+        progressed = self._answer.offset > self._last_offset
+        self._last_offset = self._answer.offset
+        self._fruitless_resumes = (
+            1 if progressed else self._fruitless_resumes + 1
+        )
         self._resumes += 1
 
     def _refusal(
-        self, kind: refusal.RefusalKind, wrong: failure.Failure
+        self, kind: refusal.RefusalKind, cause: failure.Failure
     ) -> refusal.Refusal:
         # What was relayed was generated, so that "no" would be untrue; an
         # answer of a model may be asked for again.
         return refusal.Refusal(
             kind,
             f"the answer broke off at {self._answer.offset} characters"
-            f" ({wrong.kind}: {wrong.reason})",
+            f" ({cause.kind}: {cause.reason})",
             "drop what was streamed and send the request again",
             ran.Ran.YES if self._answer.offset else ran.Ran.UNKNOWN,
         )
--- a/tests/answers/steps/plain_steps.py
+++ b/tests/answers/steps/plain_steps.py
@@ -26,12 +26,12 @@
 
 @behave.given("a service that sends {sent} and closes")
 def step_service(context, sent):
-    listening = socket.create_server(("127.0.0.1", 0))
-    context.add_cleanup(listening.close)
-    context.address = f"127.0.0.1:{listening.getsockname()[1]}"
+    listener = socket.create_server(("127.0.0.1", 0))
+    context.add_cleanup(listener.close)
+    context.address = f"127.0.0.1:{listener.getsockname()[1]}"
 
     def serve():
-        connection, _ = listening.accept()
+        connection, _ = listener.accept()
         with connection:
             # What is left unread would turn the close into a reset, which
             # the library notices by itself.
--- a/tests/answers/steps/resumption_steps.py
+++ b/tests/answers/steps/resumption_steps.py
@@ -24,17 +24,17 @@
 
 @behave.when('"{upstream}" shows {kind:w} at {now:d}')
 def step_shows(context, upstream, kind, now):
-    wrong = failure.Failure(failure.FailureKind(kind), "made by a test")
-    context.decision = context.resumption.decide(wrong, upstream, now)
+    cause = failure.Failure(failure.FailureKind(kind), "made by a test")
+    context.decision = context.resumption.decide(cause, upstream, now)
 
 
 @behave.when("streams break after {grown:d} characters each")
 def step_break(context, grown):
-    wrong = failure.Failure(failure.FailureKind.BROKEN, "made by a test")
+    cause = failure.Failure(failure.FailureKind.BROKEN, "made by a test")
     context.asked = 0
     for number in range(100):
         upstream = f"u{number}"
-        context.decision = context.resumption.decide(wrong, upstream, 10)
+        context.decision = context.resumption.decide(cause, upstream, 10)
         if not isinstance(context.decision, nextattempt.NextAttempt):
             return
         context.asked += 1
--- a/tests/entry/environment.py
+++ b/tests/entry/environment.py
@@ -25,12 +25,12 @@
     """Assert that no scenario leaves a request behind."""
 
     def clean():
-        told = fleets.status(context.made.addresses())
+        status = fleets.status(context.made.addresses())
         loads = [
             json.loads(urllib3.request("GET", f"http://{a}/load").data)
             for a in context.engines
         ]
-        return told["in_progress"] == 0 and not any(
+        return status["in_progress"] == 0 and not any(
             load["running"] for load in loads
         )
 
--- a/tests/entry/steps/badinput_steps.py
+++ b/tests/entry/steps/badinput_steps.py
@@ -8,54 +8,56 @@
 from standins import client
 from standins import deployment as deployments
 
-_GOOD = {
+_VALID_BODY = {
     "model": deployments.MODEL,
     "messages": [{"role": "user", "content": "hello"}],
 }
 _PATH = "/v1/chat/completions"
-_LARGE = b" " * 1_100_000
+_LARGE_BODY = b" " * 1_100_000
 
 
-def _chat(body=None, headers=(), path=_PATH, method="POST", token=True):
-    raw = body if isinstance(body, bytes) else json.dumps(body or _GOOD)
+def _request(body=None, headers=(), path=_PATH, method="POST", token=True):
+    raw = body if isinstance(body, bytes) else json.dumps(body or _VALID_BODY)
     return method, path, raw, dict(headers), token
 
 
 def _without(name):
-    return {key: value for key, value in _GOOD.items() if key != name}
+    return {key: value for key, value in _VALID_BODY.items() if key != name}
 
 
 _CHAT_BY_MISTAKE = {
-    "a body that is no JSON": _chat(b"hello JSON"),
-    "an empty body": _chat(b""),
-    "no messages": _chat(_without("messages")),
-    "empty messages": _chat(_GOOD | {"messages": []}),
-    "a number as content": _chat(
-        _GOOD | {"messages": [{"role": "user", "content": 5}]}
+    "a body that is no JSON": _request(b"hello JSON"),
+    "an empty body": _request(b""),
+    "no messages": _request(_without("messages")),
+    "empty messages": _request(_VALID_BODY | {"messages": []}),
+    "a number as content": _request(
+        _VALID_BODY | {"messages": [{"role": "user", "content": 5}]}
     ),
-    "no tokens": _chat(_GOOD | {"max_tokens": 0}),
-    "too many tokens": _chat(_GOOD | {"max_tokens": 9_999}),
-    "a body too large": _chat(_LARGE),
-    "an unknown model": _chat(_GOOD | {"model": "no-such-model"}),
-    "no token": _chat(token=None),
-    "a wrong token": _chat(token="wrong"),
-    "a wrong path": _chat(path="/v1/nothing"),
-    "a wrong method": _chat(b"", method="GET"),
+    "no tokens": _request(_VALID_BODY | {"max_tokens": 0}),
+    "too many tokens": _request(_VALID_BODY | {"max_tokens": 9_999}),
+    "a body too large": _request(_LARGE_BODY),
+    "an unknown model": _request(_VALID_BODY | {"model": "no-such-model"}),
+    "no token": _request(token=None),
+    "a wrong token": _request(token="wrong"),
+    "a wrong path": _request(path="/v1/nothing"),
+    "a wrong method": _request(b"", method="GET"),
 }
 
 _CALL_BY_MISTAKE = {
-    "an unknown name": _chat(b"{}", path="/v1/services/nothing/x"),
-    "a key too long": _chat(
+    "an unknown name": _request(b"{}", path="/v1/services/nothing/x"),
+    "a key too long": _request(
         b"{}", {"Idempotency-Key": "k" * 300}, "/v1/services/records/x"
     ),
-    "a body too large": _chat(_LARGE, path="/v1/services/records/x"),
-    "a deadline of soon": _chat(
+    "a body too large": _request(_LARGE_BODY, path="/v1/services/records/x"),
+    "a deadline of soon": _request(
         b"{}", {"X-Deadline-Ms": "soon"}, "/v1/services/records/x"
     ),
-    "a wrong token": _chat(b"{}", path="/v1/services/records/x", token="no"),
+    "a wrong token": _request(
+        b"{}", path="/v1/services/records/x", token="no"
+    ),
 }
 
-_RAW = {
+_BYTES_BY_NAME = {
     "junk": b"\x00\x01\x02 what\r\n\r\n",
     # Not much longer than is taken: the server closes at its limit, and
     # the kernel would drop its answer if more were still to be read.
@@ -87,7 +89,7 @@
 
 @behave.when("a caller sends a chat request with a deadline of {value}")
 def step_deadline(context, value):
-    _send(context, *_chat(headers={"X-Deadline-Ms": value}))
+    _send(context, *_request(headers={"X-Deadline-Ms": value}))
 
 
 @behave.when("a caller sends a chat request with {mistake}")
@@ -131,7 +133,7 @@
 @behave.when("a caller sends raw {name}")
 def step_raw(context, name):
     with _connect(context) as peer:
-        peer.sendall(_RAW[name])
+        peer.sendall(_BYTES_BY_NAME[name])
         peer.shutdown(socket.SHUT_WR)
         context.raw = peer.recv(4_096)
 
--- a/tests/entry/steps/leaving_steps.py
+++ b/tests/entry/steps/leaving_steps.py
@@ -10,7 +10,7 @@
 from tests import drill
 
 
-def _ask(context, count, how, buffer=0):
+def _send_chat(context, count, how, buffer=0):
     host, _, port = context.made.addresses().callers.rpartition(":")
     body = json.dumps(
         {
@@ -47,13 +47,13 @@
 )
 def step_leave(context, how, count):
     context.log_from = len(_lines(context))
-    _ask(context, count, how).close()
+    _send_chat(context, count, how).close()
 
 
 @behave.when("a caller of a streamed answer of {count:d} tokens reads nothing")
 def step_no_read(context, count):
     context.log_from = len(_lines(context))
-    _ask(context, count, "streamed", buffer=2_048)
+    _send_chat(context, count, "streamed", buffer=2_048)
 
 
 def _lines(context):
--- a/tests/entry/steps/plain_steps.py
+++ b/tests/entry/steps/plain_steps.py
@@ -5,32 +5,32 @@
 import behave
 import urllib3
 
-_SLACK = 400
+_TOLERANCE = 400
 
 
-def _order(address, fault, calls):
+def _inject_fault(address, fault, calls):
     body = {"fault": fault, "calls": calls}
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
 
 @behave.given("the record service will {fault} {often}")
 def step_fault(context, fault, often):
-    _order(context.records, fault, 1 if often == "once" else -1)
-    context.add_cleanup(_order, context.records, "", 0)
+    _inject_fault(context.records, fault, 1 if often == "once" else -1)
+    context.add_cleanup(_inject_fault, context.records, "", 0)
 
 
-def _timed(context, span, *ask):
-    began = time.monotonic()
+def _timed_call(context, timeout, *request):
+    started = time.monotonic()
     context.seen = context.made.caller().call(
-        *ask, headers={"X-Deadline-Ms": str(span)}
+        *request, headers={"X-Deadline-Ms": str(timeout)}
     )
-    context.took = (time.monotonic() - began) * 1_000
-    context.span = span
+    context.took = (time.monotonic() - started) * 1_000
+    context.span = timeout
 
 
 @behave.when("a caller looks a record up within {span:d} ms")
 def step_look_up(context, span):
-    _timed(context, span, "GET", "records/bags/1")
+    _timed_call(context, span, "GET", "records/bags/1")
 
 
 @behave.when(
@@ -39,7 +39,7 @@
 def step_issue(context, span):
     runs = urllib3.request("GET", f"http://{context.records}/asked").json()
     context.asked = runs
-    _timed(context, span, "POST", "records/certificates", b"{}")
+    _timed_call(context, span, "POST", "records/certificates", b"{}")
 
 
 @behave.then("it gets the record in time")
@@ -52,14 +52,14 @@
 def step_none(context):
     assert context.seen.status == 504, context.seen
     assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _SLACK, context.took
+    assert context.took < context.span + _TOLERANCE, context.took
 
 
 @behave.then("it is told that the outcome is unknown, in time")
 def step_unknown(context):
     assert context.seen.status == 502, context.seen
     assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _SLACK, context.took
+    assert context.took < context.span + _TOLERANCE, context.took
 
 
 @behave.then("the service was asked once")
--- a/tests/entry/steps/whole_steps.py
+++ b/tests/entry/steps/whole_steps.py
@@ -9,15 +9,15 @@
 from standins import answer
 from standins import deployment as deployments
 
-_PROMPT = "Which code fits a leather case?"
+_SHARED_PROMPT = "Which code fits a leather case?"
 
 #: Scenarios before this one break connections with the other prompt, and a
 #: request that may have crashed engines waits for their next reports.
-_OWN_PROMPT = "How old is bag 7?"
+_DEADLINE_PROMPT = "How old is bag 7?"
 _MODEL = deployments.MODEL
 
 
-def _order(address, fault, calls):
+def _inject_fault(address, fault, calls):
     body = {"fault": fault, "calls": calls}
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
@@ -25,28 +25,28 @@
 @behave.given("the engines will {fault} once")
 def step_fault(context, fault):
     for address in context.engines:
-        _order(address, fault, 1)
-        context.add_cleanup(_order, address, "", 0)
+        _inject_fault(address, fault, 1)
+        context.add_cleanup(_inject_fault, address, "", 0)
 
 
 @behave.given("every engine cuts every answer")
 def step_cut(context):
     for address in context.engines:
-        _order(address, "cut", -1)
-        context.add_cleanup(_order, address, "", 0)
+        _inject_fault(address, "cut", -1)
+        context.add_cleanup(_inject_fault, address, "", 0)
 
 
 @behave.when("a caller asks for {count:d} tokens, {how}")
 def step_ask(context, count, how):
     context.count = count
     context.seen = context.made.caller().chat(
-        _MODEL, _PROMPT, tokens=count, stream=how == "streamed"
+        _MODEL, _SHARED_PROMPT, tokens=count, stream=how == "streamed"
     )
 
 
 @behave.then("it reads the whole answer, word for word")
 def step_whole(context):
-    expected = answer.whole(_MODEL, _PROMPT, context.count)
+    expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
     assert context.seen.whole, context.seen
     assert context.seen.text == expected, context.seen
 
@@ -56,7 +56,7 @@
 )
 def step_told(context):
     seen = context.seen
-    expected = answer.whole(_MODEL, _PROMPT, context.count)
+    expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
     assert not seen.whole, seen
     assert expected.startswith(seen.text), seen
     assert seen.problem["ran"] == "yes", seen
@@ -82,11 +82,11 @@
 
 @behave.when("a caller asks for {count:d} tokens within {span:d} ms")
 def step_within(context, count, span):
-    began = time.monotonic()
+    started = time.monotonic()
     context.seen = context.made.caller().chat(
-        _MODEL, _OWN_PROMPT, tokens=count, deadline=span
+        _MODEL, _DEADLINE_PROMPT, tokens=count, deadline=span
     )
-    context.took = (time.monotonic() - began) * 1_000
+    context.took = (time.monotonic() - started) * 1_000
 
 
 @behave.then("it is told that the deadline passed, at once")
