--- a/tests/answers/assembler.feature
+++ b/tests/answers/assembler.feature
@@ -1,18 +1,18 @@
-Feature: A caller gets its own answer, whole and in order
-  An engine that repeats, drops or crosses pieces, or ends too soon, must
-  never show in a caller's answer: a certificate with a sentence missing
-  reads like a whole one.
+Feature: A caller gets its own answer, complete and in order
+  An engine may repeat, drop or mix up pieces, or end its stream early.
+  None of it may change the caller's answer: a certificate with a sentence
+  missing looks like a complete one.
 
   Scenario Outline: a piece after "hello" is <name>
-    The caller has five characters when an engine sends this piece next,
-    on the same connection or on a resumed one.  What the caller then has
-    must be a beginning of its answer "hello world", whatever was sent.
+    After "hello" an engine sends this piece, on the same connection or on
+    a resumed one.  The relayed text must remain a prefix of the answer
+    "hello world", whatever the engine sends.
     Given an answer of request "r1" with "hello" relayed
     When the piece <request>, <offset>, "<text>", "<finish>" comes
     Then it gives <result>
     And the caller has "<has>"
 
-    Examples: pieces that are passed on, wholly or in part
+    Examples: pieces that are relayed, in whole or in part
       | name              | request | offset | text   | finish | result | has         |
       | the next one      | r1      | 5      | _worl  |        | text   | hello_worl  |
       | empty             | r1      | 5      |        |        | text   | hello       |
@@ -23,7 +23,7 @@
       | a longer repeat   | r1      | 3      | lo_wor |        | text   | hello_wor   |
       | a repeated end    | r1      | 3      | lo_wor | stop   | text   | hello_wor   |
 
-    Examples: pieces of which nothing may pass
+    Examples: pieces that are rejected
       | name              | request | offset | text   | finish | result    | has   |
       | of another        | r2      | 5      | _worl  |        | stray     | hello |
       | another's end     | r2      | 5      |        | stop   | stray     | hello |
@@ -34,9 +34,9 @@
       | an end too soon   | r1      | 3      |        | stop   | diverged  | hello |
       | before the start  | r1      | -1     | x      |        | malformed | hello |
 
-  Scenario Outline: after the end a piece is <name>
-    The caller's answer has ended.  A piece that comes then, on whichever
-    connection, can add nothing, since the caller has stopped reading.
+  Scenario Outline: a piece after the end is <name>
+    The last piece was relayed, so the caller has stopped reading.  Later
+    pieces, on any connection, must be rejected.
     Given an answer of request "r1" with "hello" relayed
     When the piece r1, 5, "", "stop" comes
     And the piece <request>, <offset>, "<text>", "<finish>" comes
@@ -53,14 +53,14 @@
       | a stray    | r2      | 0      | x     |        | stray  |
 
   Scenario: an answer without its last piece is not whole
-    The engine's connection ends after "hello".  The caller did not ask to
-    stream, so nothing was sent yet; an answer cut short must not go out.
+    The engine's connection ends after "hello".  For a caller that does not
+    stream, nothing was sent yet; the truncated answer must not be sent.
     Given an answer of request "r1" with "hello" relayed
     Then the answer is not whole
 
-  Scenario: any engine that misbehaves
-    A machine cuts, repeats, crosses, drops and alters pieces in any order.
-    Whatever comes, the caller has a beginning of its own answer, and the
-    answer counts as whole only when all of it was relayed.
+  Scenario: pieces in any order and of any kind
+    A state machine truncates, repeats, mixes up, drops and alters pieces.
+    The relayed text must always be a prefix of the caller's answer, and the
+    answer may count as whole only when all of it was relayed.
     When the machine "AssemblerMachine" runs
-    Then both promises were looked at
+    Then both invariants were checked
--- a/tests/answers/machines.py
+++ b/tests/answers/machines.py
@@ -1,4 +1,4 @@
-"""State machines about whole answers."""
+"""State machines for the assembly of answers."""
 
 from hypothesis import stateful
 from hypothesis import strategies
--- a/tests/answers/steps/assembler_steps.py
+++ b/tests/answers/steps/assembler_steps.py
@@ -1,4 +1,4 @@
-"""Steps about putting answers together."""
+"""Steps about the assembly of answers."""
 
 import behave
 import parse
@@ -60,9 +60,9 @@
 
 @behave.when('the machine "{name}" runs')
 def step_machine(context, name):
-    context.count_by_promise = machinery.run(name)
+    context.count_by_invariant = machinery.run(name)
 
 
-@behave.then("both promises were looked at")
-def step_promises(context):
-    assert len(context.count_by_promise) == 2, context.count_by_promise
+@behave.then("both invariants were checked")
+def step_invariants(context):
+    assert len(context.count_by_invariant) == 2, context.count_by_invariant
--- a/tests/answers/steps/plain_steps.py
+++ b/tests/answers/steps/plain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about answers of plain services that are cut short."""
+"""Steps about truncated responses of plain services."""
 
 import socket
 import threading
@@ -19,8 +19,8 @@
     "all of its chunks": _CHUNKS + b"4\r\nbag \r\n4\r\nno 7\r\n0\r\n\r\n",
     "half of its chunks": _CHUNKS + b"4\r\nbag \r\n",
     "half of a chunk": _CHUNKS + b"8\r\nbag ",
-    "no answer": b"",
-    "half of a head": _LENGTH[:20],
+    "no response": b"",
+    "half of its header": _LENGTH[:20],
 }
 
 
@@ -33,8 +33,8 @@
     def serve():
         connection, _ = listener.accept()
         with connection:
-            # What is left unread would turn the close into a reset, which
-            # the library notices by itself.
+            # Unread data would turn the close into a reset, which the
+            # library detects by itself.
             read = b""
             while not read.endswith(b"issue"):
                 read += connection.recv(65_536)
@@ -43,7 +43,7 @@
     threading.Thread(target=serve, daemon=True).start()
 
 
-@behave.when("a daemon's client calls it")
+@behave.when("the client sends it a request")
 def step_call(context):
     client = plainclient.PlainClient(pools.Pools())
     call = plainrequest.PlainRequest(
@@ -52,8 +52,8 @@
     context.result = client.send(context.address, call)
 
 
-@behave.then("it gets the answer")
-def step_answer(context):
+@behave.then("it gets the response")
+def step_response(context):
     assert context.result.status == 201, context.result
     assert context.result.body == b"bag no 7", context.result
 
--- a/tests/answers/steps/resumption_steps.py
+++ b/tests/answers/steps/resumption_steps.py
@@ -1,4 +1,4 @@
-"""Steps about resuming broken answers."""
+"""Steps about the resumption of broken streams."""
 
 import behave
 
@@ -22,45 +22,45 @@
     context.resumption = resumption.Resumption(context.assembler, deadline)
 
 
-@behave.when('"{upstream}" shows {kind:w} at {now:d}')
-def step_shows(context, upstream, kind, now):
+@behave.when('the stream from "{upstream}" fails with {kind:w} at {now:d}')
+def step_fails(context, upstream, kind, now):
     cause = failure.Failure(failure.FailureKind(kind), "made by a test")
     context.decision = context.resumption.decide(cause, upstream, now)
 
 
-@behave.when("streams break after {grown:d} characters each")
-def step_break(context, grown):
+@behave.when("streams break after {size:d} characters each")
+def step_break(context, size):
     cause = failure.Failure(failure.FailureKind.BROKEN, "made by a test")
-    context.asked = 0
+    context.resumes = 0
     for number in range(100):
         upstream = f"u{number}"
         context.decision = context.resumption.decide(cause, upstream, 10)
         if not isinstance(context.decision, nextattempt.NextAttempt):
             return
-        context.asked += 1
+        context.resumes += 1
         offset = context.assembler.offset
-        context.assembler.accept(piece.Piece("r1", offset, "x" * grown))
+        context.assembler.accept(piece.Piece("r1", offset, "x" * size))
 
 
-@behave.then("{asked:d} resumes were asked for")
-def step_asked(context, asked):
-    assert context.asked == asked, context.asked
+@behave.then("{count:d} resumes were started")
+def step_count(context, count):
+    assert context.resumes == count, context.resumes
 
 
-@behave.then("the decision is to go on")
-def step_go_on(context):
+@behave.then("the decision is to continue reading")
+def step_continue(context):
     assert context.decision is None
 
 
-@behave.then("the decision is to ask from {offset:d}, avoid {name:w}")
-def step_avoid(context, offset, name):
+@behave.then("the decision is to resume from {offset:d}, avoiding {name:w}")
+def step_avoided(context, offset, name):
     assert context.decision == nextattempt.NextAttempt(offset, (), (name,)), (
         context.decision
     )
 
 
-@behave.then("the decision is to ask from {offset:d}, never {name:w}")
-def step_never(context, offset, name):
+@behave.then("the decision is to resume from {offset:d}, without {name:w}")
+def step_excluded(context, offset, name):
     assert context.decision == nextattempt.NextAttempt(offset, (name,)), (
         context.decision
     )
--- a/tests/entry/badinput.feature
+++ b/tests/entry/badinput.feature
@@ -1,8 +1,8 @@
-Feature: Bad input gets a clear error and loses nothing
-  A caller's mistake must come back as a typed refusal that says that the
-  work did not run, and must leave nothing behind in the daemon.
+Feature: Invalid input is refused with a precise error
+  Invalid input must get a typed refusal that says that the work did not
+  run, and must leave no request in the daemon.
 
-  Scenario Outline: a chat request that can't be understood
+  Scenario Outline: an invalid chat request
     When a caller sends a chat request with <mistake>
     Then it is refused with <status> "<kind>", naming "<named>", not run
 
@@ -26,8 +26,8 @@
       | a wrong path           | 404    | not-found     | /v1/nothing     |
       | a wrong method         | 404    | not-found     | GET             |
 
-  Scenario Outline: a call to a plain service that can't be understood
-    When a caller calls a service with <mistake>
+  Scenario Outline: an invalid request to a plain service
+    When a caller sends a service request with <mistake>
     Then it is refused with <status> "<kind>", naming "<named>", not run
 
     Examples:
@@ -37,12 +37,11 @@
       | a body too large   | 413    | too-large | 1048576         |
       | a deadline of soon | 400    | malformed | X-Deadline-Ms   |
 
-  Scenario Outline: a repeat with a key is refused before its record is read
-    The first try has run at another daemon, and its answer was lost.  The
-    repeat goes wrong in a way of its own.  "Not run" would have the caller
-    order a second certificate.
-    When a caller calls a service with a key and <mistake>
-    Then it is told that it may have run
+  Scenario Outline: a repeated request is refused before its key is looked up
+    The first attempt ran at another daemon and its response was lost.  If
+    the refusal said "not run", the caller would order a second certificate.
+    When a caller sends a service request with a key and <mistake>
+    Then the refusal says that it may have run
 
     Examples:
       | mistake            |
@@ -51,9 +50,9 @@
       | a wrong token      |
       | a body too large   |
 
-  Scenario Outline: bytes that are no HTTP request
+  Scenario Outline: bytes that are not an HTTP request
     When a caller sends raw <bytes>
-    Then the connection ends with an error of 400
+    Then the daemon answers with an error 400
 
     Examples:
       | bytes              |
@@ -63,5 +62,5 @@
       | a negative length  |
 
   Scenario: a body that ends early
-    When a caller sends half of its body and closes
-    Then the daemon still answers others
+    When a caller sends part of its body and disconnects
+    Then the daemon still answers other callers
--- a/tests/entry/environment.py
+++ b/tests/entry/environment.py
@@ -1,4 +1,4 @@
-"""One deployment serves all scenarios about callers."""
+"""Starts one deployment per feature."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 
 def after_scenario(context, scenario):
-    """Assert that no scenario leaves a request behind."""
+    """Check that no request is left in progress."""
 
     def clean():
         status = fleets.status(context.made.addresses())
@@ -34,4 +34,4 @@
             load["running"] for load in loads
         )
 
-    drill.eventually(clean, "no request left in the daemon or an engine")
+    drill.eventually(clean, "no request is left in the daemon or an engine")
--- a/tests/entry/leaving.feature
+++ b/tests/entry/leaving.feature
@@ -1,10 +1,10 @@
-Feature: A caller that goes away frees what it held
+Feature: A request is cancelled when its caller disconnects
   A caller closes its connection, or stops reading, while its answer is being
-  generated.  Nobody reads the rest: the engine must be told to stop, or it
-  spends its slots on answers that no one gets.
+  generated.  The engine must be told to stop, or its slots stay occupied by
+  answers that nobody reads.
 
-  Scenario Outline: a caller leaves
-    When a caller leaves <when> of a <how> answer of 2000 tokens
+  Scenario Outline: a caller disconnects
+    When a caller disconnects <when> of a <how> answer of 2000 tokens
     Then the engine stops, and one log line says "<outcome>"
 
     Examples:
--- a/tests/entry/steps/badinput_steps.py
+++ b/tests/entry/steps/badinput_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send what no caller should."""
+"""Steps that send invalid requests."""
 
 import json
 import socket
@@ -59,8 +59,8 @@
 
 _BYTES_BY_NAME = {
     "junk": b"\x00\x01\x02 what\r\n\r\n",
-    # Not much longer than is taken: the server closes at its limit, and
-    # the kernel would drop its answer if more were still to be read.
+    # Just above the limit: the server closes there, and the kernel would
+    # drop its response if more data were still unread.
     "a long header": b"GET / HTTP/1.1\r\nX: " + b"y" * 8_300 + b"\r\n",
     "a wrong length": b"POST /v1/chat/completions HTTP/1.1\r\n"
     b"Content-Length: many\r\n\r\n",
@@ -97,19 +97,19 @@
     _send(context, *_CHAT_BY_MISTAKE[mistake])
 
 
-@behave.when("a caller calls a service with a key and {mistake}")
+@behave.when("a caller sends a service request with a key and {mistake}")
 def step_call_keyed(context, mistake):
     method, path, raw, headers, token = _CALL_BY_MISTAKE[mistake]
     keyed = headers | {"Idempotency-Key": "k1"}
     _send(context, method, path, raw, keyed, token)
 
 
-@behave.then("it is told that it may have run")
+@behave.then("the refusal says that it may have run")
 def step_may_have_run(context):
     assert context.problem["ran"] == "unknown", context.problem
 
 
-@behave.when("a caller calls a service with {mistake}")
+@behave.when("a caller sends a service request with {mistake}")
 def step_call(context, mistake):
     _send(context, *_CALL_BY_MISTAKE[mistake])
 
@@ -138,15 +138,15 @@
         context.raw = peer.recv(4_096)
 
 
-@behave.then("the connection ends with an error of 400")
+@behave.then("the daemon answers with an error 400")
 def step_400(context):
-    # What is no HTTP at all gets the error as a page without a status line.
+    # A request that is not HTTP gets an error page without a status line.
     assert b" 400" in context.raw, context.raw[:200]
     assert b"HTTP/1.1 2" not in context.raw, context.raw[:200]
 
 
-@behave.when("a caller sends half of its body and closes")
-def step_half(context):
+@behave.when("a caller sends part of its body and disconnects")
+def step_part(context):
     with _connect(context) as peer:
         peer.sendall(
             b"POST /v1/chat/completions HTTP/1.1\r\nAuthorization: Bearer "
@@ -155,6 +155,6 @@
         )
 
 
-@behave.then("the daemon still answers others")
+@behave.then("the daemon still answers other callers")
 def step_still(context):
     assert context.made.caller().chat(deployments.MODEL, "hello").whole
--- a/tests/entry/steps/leaving_steps.py
+++ b/tests/entry/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers that go away."""
+"""Steps about callers that disconnect or stop reading."""
 
 import json
 import socket
@@ -30,7 +30,9 @@
         b"Authorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s"
         % (deployments.TOKEN.encode(), len(body), body)
     )
-    drill.eventually(lambda: _running(context) == 1, "the engine runs it")
+    drill.eventually(
+        lambda: _running(context) == 1, "the engine runs the request"
+    )
     return peer
 
 
@@ -43,7 +45,7 @@
 
 
 @behave.when(
-    "a caller leaves in the middle of a {how} answer of {count:d} tokens"
+    "a caller disconnects in the middle of a {how} answer of {count:d} tokens"
 )
 def step_leave(context, how, count):
     context.log_from = len(_lines(context))
--- a/tests/entry/steps/plain_steps.py
+++ b/tests/entry/steps/plain_steps.py
@@ -1,4 +1,4 @@
-"""Steps about plain services that misbehave."""
+"""Steps about plain services with faults."""
 
 import time
 
@@ -33,9 +33,7 @@
     _timed_call(context, span, "GET", "records/bags/1")
 
 
-@behave.when(
-    "a caller has a certificate issued within {span:d} ms, without a key"
-)
+@behave.when("a caller orders a certificate within {span:d} ms, without a key")
 def step_issue(context, span):
     runs = urllib3.request("GET", f"http://{context.records}/asked").json()
     context.asked = runs
@@ -48,21 +46,21 @@
     assert context.took < context.span, context.took
 
 
-@behave.then("it is told that there was no answer, in time")
-def step_none(context):
+@behave.then("it gets a timeout error in time")
+def step_timeout(context):
     assert context.seen.status == 504, context.seen
     assert context.seen.problem["ran"] == "unknown", context.seen
     assert context.took < context.span + _TOLERANCE, context.took
 
 
-@behave.then("it is told that the outcome is unknown, in time")
+@behave.then("it gets an error in time that the outcome is unknown")
 def step_unknown(context):
     assert context.seen.status == 502, context.seen
     assert context.seen.problem["ran"] == "unknown", context.seen
     assert context.took < context.span + _TOLERANCE, context.took
 
 
-@behave.then("the service was asked once")
+@behave.then("the service got one request")
 def step_once(context):
     asked = urllib3.request("GET", f"http://{context.records}/asked").json()
     assert asked == context.asked + 1, (asked, context.asked)
--- a/tests/entry/steps/whole_steps.py
+++ b/tests/entry/steps/whole_steps.py
@@ -11,8 +11,8 @@
 
 _SHARED_PROMPT = "Which code fits a leather case?"
 
-#: Scenarios before this one break connections with the other prompt, and a
-#: request that may have crashed engines waits for their next reports.
+#: Earlier scenarios break connections with the other prompt, and a request
+#: that may have crashed engines is held back until their next reports.
 _DEADLINE_PROMPT = "How old is bag 7?"
 _MODEL = deployments.MODEL
 
@@ -51,10 +51,8 @@
     assert context.seen.text == expected, context.seen
 
 
-@behave.then(
-    "it is told by an error event, and the connection does not end clean"
-)
-def step_told(context):
+@behave.then("it gets an error event, and the response does not end cleanly")
+def step_error(context):
     seen = context.seen
     expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
     assert not seen.whole, seen
@@ -89,7 +87,7 @@
     context.took = (time.monotonic() - started) * 1_000
 
 
-@behave.then("it is told that the deadline passed, at once")
+@behave.then("it gets an error at once that the deadline passed")
 def step_late(context):
     told = context.seen.problem["type"]
     assert told.endswith(":deadline-passed"), context.seen
--- a/tests/entry/whole.feature
+++ b/tests/entry/whole.feature
@@ -1,9 +1,10 @@
 Feature: Each caller gets the whole answer to its own request
-  The engine misbehaves in the middle of an answer.  The daemon finds it by
-  the offset of each piece, or by silence, and asks for the rest on the same
-  or another upstream.  The caller must read every word once, or be told.
+  An engine fails in the middle of an answer.  The daemon detects it by the
+  offset of each piece or by the idle timeout, and resumes the answer on the
+  same or another upstream.  The caller must get each word exactly once, or
+  an error.
 
-  Scenario Outline: an engine that misbehaves in the middle of an answer
+  Scenario Outline: an engine with fault <fault>, answer <how>
     Given the engines will <fault> once
     When a caller asks for 40 tokens, <how>
     Then it reads the whole answer, word for word
@@ -19,20 +20,20 @@
       | stray  | collected |
       | refuse | streamed  |
 
-  Scenario: an engine that falls silent in the middle of an answer
+  Scenario: an engine goes silent in the middle of an answer
     Given the engines will silent once
     When a caller asks for 40 tokens, streamed
     Then it reads the whole answer, word for word
 
-  Scenario: an answer that can't be finished never looks finished
+  Scenario: an incomplete answer does not look complete
     Given every engine cuts every answer
     When a caller asks for 40 tokens, streamed
-    Then it is told by an error event, and the connection does not end clean
+    Then it gets an error event, and the response does not end cleanly
 
-  Scenario: many callers at once each read their own answer
+  Scenario: concurrent callers each read their own answer
     When 24 callers ask different questions at the same time
     Then each reads the answer to its own question
 
   Scenario: the deadline passes in the middle of an answer
     When a caller asks for 2000 tokens within 300 ms
-    Then it is told that the deadline passed, at once
+    Then it gets an error at once that the deadline passed
