--- a/src/citronvalve/entry/app.py
+++ b/src/citronvalve/entry/app.py
@@ -1,4 +1,4 @@
-"""The callers' WSGI application: finds the handler and writes the answer."""
+"""The callers' WSGI application: authentication, dispatch and logging."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -22,12 +22,12 @@
 
 
 class App:
-    """One application for all callers.
+    """Authenticates callers and passes requests to the handlers.
 
     :param env: the daemon's environment.
-    :param view: the table in force.
-    :param chat: answers chat requests.
-    :param services: answers calls to plain services.
+    :param view: holds the table in force.
+    :param chat: handles chat requests.
+    :param services: handles requests to plain services.
     :param progress: counts requests in progress.
     """
 
@@ -95,7 +95,7 @@
     ) -> list[tuple[str, str]]:
         headers = [*response.headers, ("X-Request-Id", call.request)]
         if self._progress.stopping:
-            # The balancer's kept connections must not bring more work.
+            # Stops the load balancer from reusing the connection.
             headers.append(("Connection", "close"))
         return headers
 
@@ -108,7 +108,7 @@
         return refusal.Refusal(
             refusal.RefusalKind.STOPPING,
             detail,
-            "send it again; the balancer knows other daemons",
+            "send it again; the load balancer routes it to another daemon",
             retry_after=_NOT_READY_RETRY_AFTER,
         )
 
@@ -124,6 +124,6 @@
 def _unknown_path(call: calls.Call) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
-        f"there is nothing at {call.method} {call.path[:80]}",
+        f"no resource at {call.method} {call.path[:80]}",
         f"use POST {_CHAT} or {plain.PATH_PREFIX}NAME/...",
     )
--- a/src/citronvalve/entry/authentication.py
+++ b/src/citronvalve/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Which team a caller belongs to."""
+"""Authentication of callers by bearer token."""
 
 import hashlib
 
@@ -13,16 +13,16 @@
 def authenticate(
     call: calls.Call, view: views.View
 ) -> declared.Team | refusal.Refusal:
-    """Find the team by the call's bearer token.
+    """Return the team that the request's bearer token belongs to.
 
-    :param call: carries the ``Authorization`` header.
-    :param view: holds the teams in force.
+    :param call: the request, with its ``Authorization`` header.
+    :param view: holds the table in force.
     """
     header = call.header("Authorization")
     if header[: len(_SCHEME)].lower() != _SCHEME:
         return _unknown_token("the Authorization header has no bearer token")
     token = header[len(_SCHEME) :].strip()
-    # Looked up by digest, so that the time taken tells nothing of a token.
+    # Looked up by digest, so that timing reveals nothing about tokens.
     found = view.team(hashlib.sha256(token.encode()).hexdigest())
     return found or _unknown_token("no team has this token")
 
--- a/src/citronvalve/entry/broken.py
+++ b/src/citronvalve/entry/broken.py
@@ -1,11 +1,11 @@
-"""The end of an answer that must not look like a clean one."""
+"""Exception that ends a truncated response."""
 
 from citronvalve.model import errors
 
 
 class AnswerBroken(errors.CitronvalveError):
-    """Raised into the server so that it closes the connection.
+    """Raised into the HTTP server so that it closes the connection.
 
-    A chunked body that ends in its last chunk looks whole to a client that
-    reads no further than HTTP.
+    If the chunked body ended regularly, a client that checks only the HTTP
+    framing would take the response for complete.
     """
--- a/src/citronvalve/entry/call.py
+++ b/src/citronvalve/entry/call.py
@@ -1,4 +1,4 @@
-"""A caller's request as it arrives, before it is understood."""
+"""A caller's HTTP request, before its body is parsed."""
 
 from typing import Any
 from typing import NamedTuple
@@ -12,7 +12,11 @@
 
 
 class Call(NamedTuple):
-    """One HTTP request; ``environ`` is as WSGI gives it."""
+    """One HTTP request.
+
+    ``request`` is its id, ``arrived_at`` monotonic ms and ``environ`` the
+    WSGI environment.
+    """
 
     request: str
     arrived_at: clock.Ms
@@ -29,9 +33,9 @@
         return self.environ["PATH_INFO"]
 
     def header(self, name: str) -> str:
-        """Return a header, or an empty string.
+        """Return the value of a header, or an empty string.
 
-        :param name: as in HTTP, any case.
+        :param name: case-insensitive header name.
         """
         variable = name.upper().replace("-", "_")
         unprefixed = {"CONTENT_TYPE", "CONTENT_LENGTH"}
@@ -40,9 +44,9 @@
         )
 
     def body(self, limit: int) -> bytes | refusal.Refusal:
-        """Read the body.
+        """Read and return the body.
 
-        :param limit: most bytes that are accepted.
+        :param limit: largest accepted size in bytes.
         """
         declared_length = self.header("Content-Length")
         if declared_length and not declared_length.isdigit():
@@ -53,11 +57,11 @@
         if len(received) > limit:
             return _too_large(limit)
         if declared_length and len(received) < int(declared_length):
-            return malformed("the body ended early")
+            return malformed("the body is shorter than its Content-Length")
         return received
 
     def idempotency_key(self) -> str | refusal.Refusal:
-        """Return the idempotency key; empty for none."""
+        """Return the idempotency key, or an empty string."""
         key = self.header("Idempotency-Key")
         if len(key) > _MAX_KEY_LENGTH or not key.isprintable():
             return malformed(
@@ -66,13 +70,15 @@
         return key
 
     def before_key_lookup(self, refused: refusal.Refusal) -> refusal.Refusal:
-        """Return a refusal made before the key's record was asked.
+        """Return a refusal that was made before the key was looked up.
 
-        This try was not run, but one with the same key may have been, at
-        another daemon or before the table changed.  A caller who reads "no"
-        would have its certificate made a second time, under a new key.
+        This attempt did not run, but an earlier one with the same key may
+        have, at another daemon or before the table changed.  If ``ran``
+        were "no", the caller would order its certificate again under a new
+        key.
 
-        :param refused: the refusal, whatever it says of the run.
+        :param refused: the refusal; its ``ran`` is replaced if there is a
+            key.
         """
         if not self.header("Idempotency-Key"):
             return refused
@@ -81,27 +87,27 @@
     def deadline(
         self, default: clock.Ms, longest: clock.Ms
     ) -> clock.Ms | refusal.Refusal:
-        """Return the deadline as monotonic ms.
+        """Return the deadline in monotonic ms.
 
-        :param default: ms from arrival, for a caller who states none.
-        :param longest: most ms from arrival that are accepted.
+        :param default: ms from arrival if the caller gives no deadline.
+        :param longest: largest accepted value in ms from arrival.
         """
         value = self.header("X-Deadline-Ms")
         if not value:
             return self.arrived_at + min(default, longest)
         if not value.isdecimal() or not 0 < int(value) <= longest:
             return malformed(
-                f"X-Deadline-Ms is {value[:20]!r}; it takes a whole number "
+                f"X-Deadline-Ms is {value[:20]!r}; it must be a whole number "
                 f"of ms from 1 to {longest}"
             )
         return self.arrived_at + int(value)
 
 
 def request_id(environ: dict[str, Any], default: str) -> str:
-    """Return the caller's own id for a request if it is fit for logs.
+    """Return the caller's request id if it is safe to log.
 
-    :param environ: as WSGI gives it.
-    :param fresh: used when there is none.
+    :param environ: the WSGI environment.
+    :param default: returned if there is no usable id.
     """
     value = environ.get("HTTP_X_REQUEST_ID", "")
     valid = value.isascii() and value.isprintable() and " " not in value
@@ -109,9 +115,9 @@
 
 
 def malformed(detail: str) -> refusal.Refusal:
-    """Return the refusal of a request that can't be understood.
+    """Return the refusal of a malformed request.
 
-    :param detail: what is wrong, with the value seen.
+    :param detail: what is wrong, with the offending value.
     """
     return refusal.Refusal(
         refusal.RefusalKind.MALFORMED,
@@ -124,5 +130,5 @@
     return refusal.Refusal(
         refusal.RefusalKind.TOO_LARGE,
         f"the body has more than {limit} bytes",
-        "send a shorter one",
+        "send a shorter body",
     )
--- a/src/citronvalve/entry/chat.py
+++ b/src/citronvalve/entry/chat.py
@@ -1,4 +1,4 @@
-"""Answers ``POST /v1/chat/completions``."""
+"""Handles ``POST /v1/chat/completions``."""
 
 from collections.abc import Iterator
 
@@ -25,11 +25,11 @@
 
 
 class ChatHandler(handler.Handler):
-    """Checks the body, relays the answer, streamed or whole.
+    """Validates chat requests and relays the answers, streamed or whole.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
-    :param client: asks the engines.
+    :param dispatch: places each attempt on an upstream.
+    :param client: sends attempts to engines.
     """
 
     path = "chat"
@@ -93,7 +93,7 @@
         prompt = chatbody.prompt_text(body)
         if len(prompt) > self._env.limits.max_prompt_length:
             return calls.malformed(
-                f"the messages have {len(prompt)} characters, the most is "
+                f"the messages have {len(prompt)} characters, the limit is "
                 f"{self._env.limits.max_prompt_length}"
             )
         max_tokens = body.get(
@@ -156,8 +156,8 @@
     def _first_text(
         self, call: calls.Call, items: Iterator[relays.Item]
     ) -> str | refusal.Refusal:
-        # The status is not sent before there is text: a refusal that comes
-        # until then still gets its own status and Retry-After.
+        # The status is sent only once there is text, so that an earlier
+        # refusal still gets its own status and Retry-After.
         for item in items:
             if item is not heartbeat.HEARTBEAT:
                 if isinstance(item, str):
@@ -190,7 +190,7 @@
                     raise broken.AnswerBroken(
                         str(item.kind),
                         where=work.request,
-                        remedy="see the error event of the answer",
+                        remedy="see the error event of the stream",
                     )
                 else:
                     yield chunk.HEARTBEAT
@@ -203,8 +203,8 @@
 def _unknown_model(name: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
-        f"there is no model {name[:80]!r}",
-        "name a model that the table declares",
+        f"model {name[:80]!r} is not declared",
+        "use the name of a declared model",
     )
 
 
--- a/src/citronvalve/entry/chatbody.py
+++ b/src/citronvalve/entry/chatbody.py
@@ -1,4 +1,4 @@
-"""The body of a chat request, checked."""
+"""Decoding and validation of chat request bodies."""
 
 from typing import Annotated
 from typing import NotRequired
@@ -11,11 +11,11 @@
 from citronvalve.model import refusal
 from citronvalve.upstreams import order
 
-#: Characters a token, roughly; lengths are measured in tokens only by the
-#: engines, and this is near enough to predict service times by.
+#: Approximate; only engines count tokens.  It is accurate enough for the
+#: prediction of service times.
 CHARACTERS_PER_TOKEN = 4
 
-#: A prompt's beginning is digested at these many characters; engines cache
+#: In characters.  A digest is made at each multiple of it; engines cache
 #: prefixes in blocks of about this size.
 _PREFIX_BLOCK_SIZE = 1_024
 _MAX_PREFIXES = 16
@@ -24,7 +24,7 @@
 
 
 class ChatBody(TypedDict):
-    """What clients of this HTTP shape send; other members are passed over."""
+    """The members of a chat request that are used; others are ignored."""
 
     model: _Name
     messages: Annotated[
@@ -38,9 +38,9 @@
 
 
 def decode(raw: bytes) -> ChatBody | refusal.Refusal:
-    """Decode and check a body.
+    """Decode and validate a body.
 
-    :param raw: as it arrived.
+    :param raw: the body as received.
     """
     try:
         return _DECODER.decode(raw)
@@ -49,17 +49,17 @@
 
 
 def prompt_text(body: ChatBody) -> str:
-    """Return all that the engine will read.
+    """Return the roles and contents of all messages as one text.
 
-    :param body: a checked body.
+    :param body: a valid body.
     """
     return "\0".join(f"{m['role']}\0{m['content']}" for m in body["messages"])
 
 
 def fingerprint(body: ChatBody) -> str:
-    """Return a digest that is equal for requests an engine can't tell apart.
+    """Return a digest that is equal for requests with equal model and prompt.
 
-    :param body: a checked body.
+    :param body: a valid body.
     """
     return xxhash.xxh3_128_hexdigest(
         f"{body['model']}\0{prompt_text(body)}".encode()
@@ -67,9 +67,9 @@
 
 
 def prefixes(prompt: str) -> tuple[str, ...]:
-    """Return digests of ever longer beginnings of a prompt.
+    """Return digests of increasingly long prefixes of a prompt.
 
-    :param prompt: all its text.
+    :param prompt: the whole prompt text.
     """
     count = min(len(prompt) // _PREFIX_BLOCK_SIZE, _MAX_PREFIXES)
     return tuple(
--- a/src/citronvalve/entry/chunk.py
+++ b/src/citronvalve/entry/chunk.py
@@ -1,4 +1,4 @@
-"""Answers to chat requests in the shape that clients know."""
+"""Encodes answers to chat requests."""
 
 import msgspec
 
@@ -11,8 +11,8 @@
 class ChunkEncoder:
     """Encodes the chunks of one streamed answer.
 
-    All but the text is encoded once: a token's share of a daemon's time
-    is some tens of microseconds.
+    Everything but the text is encoded once, because a daemon can spend only
+    some tens of microseconds on a token.
 
     :param request: the request's id.
     :param model: the model's name.
@@ -35,16 +35,16 @@
         self._tail = b'},"finish_reason":null}]}\n\n'
 
     def text(self, piece: str) -> bytes:
-        """Return the chunk that brings a piece of text.
+        """Return the chunk for a piece of text.
 
         :param piece: the text.
         """
         return self._head + _encode(piece) + self._tail
 
     def end(self, finish: str) -> bytes:
-        """Return the last chunk and the end mark.
+        """Return the last chunk and the end-of-stream marker.
 
-        :param finish: the engine's reason.
+        :param finish: the engine's finish reason.
         """
         reason = b'},"finish_reason":' + _encode(finish) + b"}]}\n\n"
         return self._head + b'""' + reason + DONE
@@ -53,13 +53,13 @@
 def whole(
     request: str, model: str, created: int, content: str, finish: str
 ) -> bytes:
-    """Return an answer that is not streamed.
+    """Return the body of an answer that is not streamed.
 
     :param request: the request's id.
     :param model: the model's name.
     :param created: seconds since the epoch.
     :param content: the whole text.
-    :param finish: the engine's reason.
+    :param finish: the engine's finish reason.
     """
     message = {"role": "assistant", "content": content}
     return _encode(
@@ -76,7 +76,7 @@
 
 
 def error(problem: bytes) -> bytes:
-    """Return the event that tells a caller its answer broke off.
+    """Return the event that reports an incomplete answer.
 
     :param problem: the refusal's body.
     """
--- a/src/citronvalve/entry/dispatch.py
+++ b/src/citronvalve/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""The decisions that a handler asks for, and what it reports back."""
+"""Interface between the handlers and the placement of requests."""
 
 import abc
 import enum
@@ -8,32 +8,32 @@
 from citronvalve.model import refusal
 from citronvalve.upstreams import nextattempt
 
-#: What a first try asks for.
+#: Starts at the beginning and may use any upstream.
 FIRST_ATTEMPT = nextattempt.NextAttempt(0)
 
 
 class Ending(enum.StrEnum):
-    """How a try on an upstream ended, as the decisions need to know it."""
+    """How an attempt on an upstream ended."""
 
     WHOLE = "whole"
-    #: Never sent, since no connection was made.
+    #: No connection was established, so nothing was sent.
     NOT_RUN = "not-run"
-    #: The upstream said that it did not run it.
+    #: The upstream reported that it did not run the request.
     REFUSED = "refused"
-    #: The connection broke: the upstream may have crashed of it.
+    #: The connection broke; the request may have crashed the upstream.
     BROKEN = "broken"
-    #: The upstream fell silent.
+    #: The connection stayed open without data until the timeout.
     SILENT = "silent"
-    #: It answered something that could not be passed on.
+    #: The upstream sent data that could not be relayed.
     WRONG = "wrong"
-    #: It contradicted what was passed on, and would do so again.
+    #: The text contradicted relayed text; a retry there would again.
     DIVERGED = "diverged"
-    #: The caller left, or its deadline passed.
+    #: The caller disconnected, or its deadline passed.
     ABANDONED = "abandoned"
 
 
 class Placement(NamedTuple):
-    """One try: which upstream runs the work."""
+    """One attempt: the upstream that runs the work."""
 
     work: works.Work
     upstream: str
@@ -51,17 +51,16 @@
         work: works.Work,
         next_attempt: nextattempt.NextAttempt = FIRST_ATTEMPT,
     ) -> Placement | refusal.Refusal:
-        """Choose an upstream, after waiting in the queue if need be.
+        """Choose an upstream; waits in the queue if none has a free slot.
 
         :param work: what to place.
-        :param after: which upstreams it was on before, and must never or
-            should rather not go to again.
+        :param next_attempt: the upstreams to exclude or avoid.
         """
 
     @abc.abstractmethod
     def release(self, placement: Placement, ending: Ending) -> None:
-        """Report how a try ended.
+        """Report how an attempt ended.
 
-        :param placement: as it was given.
-        :param ending: how it ended.
+        :param placement: as returned by ``place``.
+        :param ending: how the attempt ended.
         """
--- a/src/citronvalve/entry/environment.py
+++ b/src/citronvalve/entry/environment.py
@@ -1,4 +1,4 @@
-"""The one object that carries what every handler needs."""
+"""Dependencies that all handlers share."""
 
 import random
 from typing import NamedTuple
@@ -13,8 +13,8 @@
 class RequestLimits(NamedTuple):
     """Limits on what a caller may send.
 
-    ``body``: bytes of a body.  ``deadline``: longest deadline in ms.
-    ``prompt``: characters of all messages.
+    ``max_body_size`` is in bytes, ``max_deadline`` in ms;
+    ``max_prompt_length`` is in characters of all messages together.
     """
 
     max_body_size: int = 1_048_576
@@ -23,7 +23,7 @@
 
 
 class Environment(NamedTuple):
-    """Configuration and services of one daemon, passed to all handlers."""
+    """Configuration and dependencies of one daemon."""
 
     name: str
     datacentre: str
--- a/src/citronvalve/entry/gauges.py
+++ b/src/citronvalve/entry/gauges.py
@@ -1,4 +1,4 @@
-"""A registry of metrics, with gauges that are made as they are shown."""
+"""Base of the metrics classes: a registry with gauges."""
 
 import aioprometheus
 
@@ -6,9 +6,9 @@
 
 
 class Gauges:
-    """Base of the daemon's metrics.
+    """Base class of the daemon's metrics.
 
-    :ivar registry: holds all of them.
+    :ivar registry: holds all metrics.
     """
 
     def __init__(self) -> None:
@@ -16,11 +16,11 @@
         self._gauge_by_name: dict[str, aioprometheus.Gauge] = {}
 
     def set_gauge(self, name: str, doc: str, value: float) -> None:
-        """Set a gauge, made at its first use.
+        """Set a gauge, creating it on first use.
 
-        :param name: with its unit, without the project's prefix.
-        :param doc: what it shows.
-        :param value: in base units.
+        :param name: name with its unit, without the project's prefix.
+        :param doc: description of the gauge.
+        :param value: value in base units.
         """
         gauge = self._gauge_by_name.get(name)
         if gauge is None:
@@ -31,5 +31,5 @@
         gauge.set({}, value)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return aioprometheus.render(self.registry, _TEXT)[0]
--- a/src/citronvalve/entry/grouproute.py
+++ b/src/citronvalve/entry/grouproute.py
@@ -1,4 +1,4 @@
-"""A replica group as a place for requests."""
+"""A replica group that requests can be routed to."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,11 @@
 
 
 class GroupRoute(NamedTuple):
-    """A whole group that was seen to serve.
+    """A complete group that was observed to serve.
 
-    ``fence`` travels with each request, so that an engine which was given
-    to another group since can refuse it.  ``seen_at`` is the monotonic ms
-    at which the VM heard of longest ago was heard of.
+    ``fence`` is sent with each request, so that an engine that has been
+    assigned to another group since can refuse it.  ``observed_at`` is the
+    monotonic ms of the oldest observation among the group's VMs.
     """
 
     upstream: declared.Upstream
--- a/src/citronvalve/entry/handler.py
+++ b/src/citronvalve/entry/handler.py
@@ -1,4 +1,4 @@
-"""What answers one kind of path."""
+"""Base class of request handlers."""
 
 import abc
 
@@ -10,10 +10,10 @@
 
 
 class Handler(abc.ABC):
-    """Answers the calls of an authenticated team.
+    """Handles the requests of authenticated teams for one kind of path.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
+    :param dispatch: places each attempt on an upstream.
     """
 
     #: The kind of path in logs and metrics.
@@ -34,9 +34,9 @@
         team: declared.Team,
         table: declared.Declared,
     ) -> responses.Response:
-        """Answer a call.
+        """Handle a request and return its response.
 
         :param call: the request.
         :param team: the caller's team.
-        :param table: the table in force when it arrived.
+        :param table: the table in force when the request arrived.
         """
--- a/src/citronvalve/entry/keyedrunner.py
+++ b/src/citronvalve/entry/keyedrunner.py
@@ -1,4 +1,4 @@
-"""Runs a call that may not be repeated at most once for its key."""
+"""Runs requests with an idempotency key at most once."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 from citronvalve.once import recorder as recorders
 from citronvalve.upstreams import plainrequest
 
-#: What comes of a call: the service's answer, or why there is none.
+#: The service's response, or why there is none.
 Result = plainrequest.PlainResponse | refusal.Refusal
 
-#: A refusal says how much is known of the run.  One that broke off is told
-#: by its own words; for the record, all that is not proved is unknown.
+#: Maps a refusal's ``ran`` to the event for the record.  Whatever is not
+#: proved not to have run is recorded as an unknown outcome.
 _EVENT_BY_RAN = {
     ran.Ran.NO: outcomes.Event.NEVER_SENT,
     ran.Ran.YES: outcomes.Event.CUT,
@@ -25,13 +25,14 @@
 
 
 class KeyedRunner:
-    """Claims the key, dispatches, and records how it ended.
+    """Claims the key, dispatches the request and records the outcome.
 
-    The key is claimed before the call is placed.  A refusal for want of a
-    place then says "not run" truly, since no earlier try holds the key, and
-    a repeat gets its stored answer even when no upstream is free.
+    The key is claimed before the request is placed.  If no upstream is
+    available, "not run" is then correct, because no earlier attempt holds
+    the key; and a repeated request gets its stored response even when no
+    upstream is free.
 
-    :param recorder: the record of this daemon.
+    :param recorder: this daemon's recorder.
     """
 
     def __init__(self, recorder: recorders.Recorder) -> None:
@@ -40,11 +41,11 @@
     def run(
         self, call: oncecalls.Call, dispatch: Callable[[], Result]
     ) -> Result:
-        """Carry out a call, or answer it from the record.
+        """Run a request, or return its stored response.
 
-        :param call: the call and its key.
-        :param dispatch: carries it out, on one upstream after another only
-            while it provably was not run.
+        :param call: the request and its key.
+        :param dispatch: runs the request; it may use another upstream only
+            while the request provably did not run.
         """
         started = self._recorder.begin(call)
         if isinstance(started, refusal.Refusal):
@@ -56,7 +57,7 @@
     def _dispatch(
         self, attempt: attempts.Attempt, dispatch: Callable[[], Result]
     ) -> Result:
-        # A fault of ours or a task that is ended proves nothing.
+        # Stays in effect if a bug or a killed task ends the dispatch.
         outcome = outcomes.Outcome(outcomes.Event.CUT)
         try:
             result = dispatch()
@@ -73,11 +74,11 @@
 def make_call(
     work: works.Work, key: str, digest: str, now: int
 ) -> oncecalls.Call:
-    """Return a call as the record needs to know it.
+    """Return a request in the form that the recorder takes.
 
-    :param work: as the decisions see it.
-    :param key: the caller's key.
-    :param digest: of method, path and body.
+    :param work: the request as used for placement.
+    :param key: the caller's idempotency key.
+    :param digest: digest of method, path and body.
     :param now: monotonic time in ms.
     """
     return oncecalls.Call(work.team, key, digest, max(0, work.deadline - now))
--- a/src/citronvalve/entry/metrics.py
+++ b/src/citronvalve/entry/metrics.py
@@ -5,7 +5,7 @@
 from citronvalve.entry import gauges
 from citronvalve.model import clock
 
-#: The target is a first token within 0.52 s; the buckets are fine there.
+#: Finest around the target of a first token within 0.52 s.
 _FIRST_TOKEN_BUCKETS = (
     *(0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.52),
     *(0.75, 1.0, 2.0, 5.0, 10.0, float("inf")),
@@ -19,8 +19,8 @@
 class Metrics(gauges.Gauges):
     """Counters, gauges and histograms with bounded label sets.
 
-    Labels hold a path's kind and an outcome, never a request, an address
-    or a caller's own words, so that no caller can grow them.
+    Labels never hold request ids, addresses or text from callers, so that
+    callers can't increase their cardinality.
     """
 
     def __init__(self) -> None:
@@ -54,32 +54,33 @@
         )
 
     def record_request(self, path: str, outcome: str, took: clock.Ms) -> None:
-        """Count a request that ended.
+        """Record a request that ended.
 
-        :param path: ``chat`` or ``service``.
-        :param outcome: ``whole`` or the kind of the refusal.
+        :param path: ``chat``, ``service`` or ``other``.
+        :param outcome: outcome as in the log, such as ``whole`` or the kind
+            of the refusal.
         :param took: ms since its arrival.
         """
         self._requests.inc({"path": path, "outcome": outcome})
         self._request_seconds.observe({"path": path}, took / clock.SECOND)
 
     def record_first_token(self, took: clock.Ms) -> None:
-        """Note the time to a first token.
+        """Record the time to a first token.
 
         :param took: ms since the request's arrival.
         """
         self._first_token_seconds.observe({}, took / clock.SECOND)
 
     def record_pieces(self, pieces: int) -> None:
-        """Count the pieces of an answer, once at its end.
+        """Record the relayed pieces of an answer, once at its end.
 
-        :param pieces: how many.
+        :param pieces: number of pieces.
         """
         self._pieces.add({}, pieces)
 
     def record_resume(self, kind: str) -> None:
-        """Count a resume.
+        """Record a resume.
 
-        :param kind: the trouble that broke the stream.
+        :param kind: the failure that broke the stream.
         """
         self._resumes.inc({"trouble": kind})
--- a/src/citronvalve/entry/plain.py
+++ b/src/citronvalve/entry/plain.py
@@ -1,4 +1,4 @@
-"""Answers ``/v1/services/{name}/...``."""
+"""Handles ``/v1/services/{name}/...``."""
 
 import http
 import urllib.parse
@@ -23,8 +23,8 @@
 
 PATH_PREFIX = "/v1/services/"
 
-#: A service that failed three times in a row is down for this caller;
-#: more tries would load those that are left.
+#: After three failures the service counts as unavailable for the request;
+#: more attempts would only load the remaining upstreams.
 MAX_ATTEMPTS = 3
 
 _RETRY_AFTER: clock.Ms = 1_000
@@ -37,12 +37,12 @@
 
 
 class ServiceHandler(handler.Handler):
-    """Passes a call on and its whole answer back.
+    """Forwards requests to plain services and returns whole responses.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
-    :param client: calls the services.
-    :param keyed: lets a call with a key run at most once.
+    :param dispatch: places each attempt on an upstream.
+    :param client: sends attempts to the services.
+    :param keyed: runs a request with a key at most once.
     """
 
     path = "service"
@@ -114,8 +114,8 @@
     def _run_keyed(
         self, call: calls.Call, work: works.Work, path: str, body: bytes
     ) -> plainrequest.PlainResponse | refusal.Refusal:
-        # Without a key nothing links a repeat to its first try: such a call
-        # is dispatched once and never tried again after it may have run.
+        # Without a key, a repeated request can't be matched to the first
+        # one: it is never retried after it may have run.
         key = call.idempotency_key()
         if work.repeatable or not key:
             return self._run_attempts(call, work, path, body)
@@ -131,7 +131,7 @@
         next_attempt = dispatches.FIRST_ATTEMPT
         outcome = ran.Ran.NO
         if self._remaining(work) <= 0:
-            # The claim of the key took all the time there was.
+            # Claiming the key took until the deadline.
             return _deadline_passed(outcome)
         for attempts_left in reversed(range(MAX_ATTEMPTS)):
             placement = self._dispatch.place(work, next_attempt)
@@ -159,8 +159,8 @@
     def _attempt_timeout(
         self, work: works.Work, attempts_left: int
     ) -> clock.Ms:
-        # A look-up that meets a silent connection must leave time for a
-        # try on a new one; what may not be repeated has all the time.
+        # A repeatable request on a silent connection must leave time for an
+        # attempt on a new one; one that can't be retried gets all the time.
         remaining = max(1, self._remaining(work))
         if work.repeatable and attempts_left:
             return max(1, remaining // 2)
@@ -226,8 +226,8 @@
 def _unknown_service(name: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
-        f"there is no service {name[:80]!r}",
-        "name a service that the table declares",
+        f"service {name[:80]!r} is not declared",
+        "use the name of a declared service",
     )
 
 
@@ -235,7 +235,7 @@
     return refusal.Refusal(
         refusal.RefusalKind.DEADLINE_PASSED,
         "the deadline passed before the service answered",
-        "allow more time",
+        "set a later deadline",
         outcome,
     )
 
@@ -245,7 +245,7 @@
 ) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.UPSTREAM_FAILED,
-        f"{MAX_ATTEMPTS} tries failed, the last one: {cause.reason}",
+        f"{MAX_ATTEMPTS} attempts failed, the last one: {cause.reason}",
         "send it again later",
         outcome,
         _RETRY_AFTER,
@@ -255,7 +255,7 @@
 def _outcome_unknown(cause: failure.Failure) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.OUTCOME_UNKNOWN,
-        f"the service was asked and did not answer: {cause.reason}",
-        "look up whether the call took effect before sending it again",
+        f"the request was sent but not answered: {cause.reason}",
+        "check whether the request took effect before sending it again",
         ran.Ran.UNKNOWN,
     )
--- a/src/citronvalve/entry/presence.py
+++ b/src/citronvalve/entry/presence.py
@@ -1,23 +1,23 @@
-"""Whether a caller is still there while it waits."""
+"""Detects callers that disconnect while they wait."""
 
 from typing import Any
 
 from eventlet import patcher
 
-# The patched socket would wait for something to read instead of telling
-# that there is nothing.
+# The patched socket would wait for data instead of raising
+# BlockingIOError.
 _socket = patcher.original("socket")
 
 _PEEK_FLAGS = _socket.MSG_PEEK | _socket.MSG_DONTWAIT
 
 
 def has_left(environ: dict[str, Any]) -> bool:
-    """Tell whether a caller has closed its connection.
+    """Return whether a caller has closed its connection.
 
-    A caller that waits for an answer sends nothing, so that a readable
-    connection with nothing to read is one that was closed.
+    A caller sends nothing while it waits, so an end of file means that it
+    closed the connection.
 
-    :param environ: as WSGI gives it.
+    :param environ: the WSGI environment.
     """
     get_socket = getattr(environ["wsgi.input"], "get_socket", None)
     if get_socket is None:
@@ -30,5 +30,5 @@
     except OSError:
         return True
     finally:
-        # The descriptor belongs to the server's own socket.
+        # The file descriptor is owned by the server's socket.
         peer.detach()
--- a/src/citronvalve/entry/problem.py
+++ b/src/citronvalve/entry/problem.py
@@ -24,7 +24,7 @@
 def body(refused: refusal.Refusal, request: str) -> bytes:
     """Return the body of a refusal.
 
-    :param refused: what is wrong, and whether the work ran.
+    :param refused: the refusal.
     :param request: the request's id.
     """
     return msgspec.json.encode(
@@ -42,7 +42,7 @@
 
 
 def status_line(refused: refusal.Refusal) -> str:
-    """Return the HTTP status and its phrase.
+    """Return the HTTP status line of a refusal.
 
     :param refused: the refusal.
     """
@@ -56,8 +56,8 @@
     """
     header_list = [("Content-Type", CONTENT_TYPE)]
     if refused.retry_after:
-        # The header counts whole seconds; rounding down would bring
-        # callers back before there is room.
+        # The header is in whole seconds; rounding down would make callers
+        # retry before a slot is free.
         seconds = -(-refused.retry_after // clock.SECOND)
         header_list.append(("Retry-After", str(seconds)))
     return header_list
--- a/src/citronvalve/entry/progress.py
+++ b/src/citronvalve/entry/progress.py
@@ -1,13 +1,14 @@
-"""Requests in progress, so that a shutdown can wait for them."""
+"""Count of the requests in progress, for a graceful shutdown."""
 
 
 class Progress:
-    """Counts what has begun and not ended.
+    """Counts the requests in progress.
 
     :ivar count: requests in progress.
-    :ivar stopping: whether the daemon says that it is not ready.
-    :ivar closed: whether new requests are refused.  It comes later: until
-        the balancer has noticed, callers would meet needless refusals.
+    :ivar stopping: whether the daemon reports that it is not ready.
+    :ivar closed: whether new requests are refused.  It is set later than
+        ``stopping``: until the load balancer has reacted, refusals would be
+        needless.
     """
 
     def __init__(self) -> None:
@@ -16,9 +17,9 @@
         self.closed = False
 
     def begin(self) -> None:
-        """Count a request that begins."""
+        """Count a request that starts."""
         self.count += 1
 
     def end(self) -> None:
-        """Count a request that ends, however it does."""
+        """Count a request that ended, with any outcome."""
         self.count -= 1
--- a/src/citronvalve/entry/relay.py
+++ b/src/citronvalve/entry/relay.py
@@ -1,4 +1,4 @@
-"""Reads one answer from one upstream after another until it is whole."""
+"""Relays one answer, resuming it on other upstreams after failures."""
 
 from collections.abc import Iterator
 import itertools
@@ -18,7 +18,7 @@
 from citronvalve.upstreams import order as orders
 from citronvalve.upstreams import resumption
 
-#: Text to pass on, a sign of life, or why there is no whole answer; a
+#: Text to relay, a heartbeat, or why there is no complete answer; a
 #: refusal is the last item.
 Item = str | heartbeat.Heartbeat | refusal.Refusal
 
@@ -32,14 +32,14 @@
 
 
 class Relay:
-    """One caller's answer, over all the connections it takes.
+    """Iterates over one caller's answer, over all attempts.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
-    :param client: asks the engines.
-    :param work: the request, as the decisions see it.
+    :param dispatch: places each attempt on an upstream.
+    :param client: sends attempts to engines.
+    :param work: the request as used for placement.
     :param messages: the conversation.
-    :ivar finish: the engine's reason for the end; empty until then.
+    :ivar finish: the engine's finish reason; empty until the last piece.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
     @property
     def finish(self) -> str:
-        """Return the engine's reason for the end."""
+        """Return the engine's finish reason."""
         return self._answer.finish
 
     def __iter__(self) -> Iterator[Item]:
@@ -74,9 +74,9 @@
             if isinstance(placement, refusal.Refusal):
                 next_attempt = placement
                 break
-            # Each try has an id of its own: the cancelling of one that broke
-            # may arrive after the next has begun on the same engine, and
-            # would end that one too.
+            # Each attempt has its own id: the cancellation of a failed one
+            # may arrive after the next has started on the same engine, and
+            # would cancel that one too.
             self._answer.request = (
                 f"{self._work.request}.{next(attempt_numbers)}"
             )
@@ -92,8 +92,8 @@
     def _attempt(
         self, placement: dispatches.Placement, offset: int
     ) -> Iterator[Item | failure.Failure]:
-        # A caller that leaves raises GeneratorExit in here, and must free
-        # the upstream as surely as an answer that ends.
+        # If the caller disconnects, GeneratorExit is raised here; the slot
+        # on the upstream must be released in that case too.
         ending = dispatches.Ending.ABANDONED
         try:
             stream = self._client.generate(
--- a/src/citronvalve/entry/requestlog.py
+++ b/src/citronvalve/entry/requestlog.py
@@ -1,4 +1,4 @@
-"""The one log line of a request."""
+"""The log line of a request."""
 
 from citronvalve.entry import call as calls
 from citronvalve.entry import environment as environments
@@ -6,13 +6,13 @@
 
 
 class RequestLog:
-    """Written when a request ends, however it does.
+    """Logs and counts a request once, when it ends.
 
     :param env: the daemon's environment.
     :param progress: counts requests in progress.
     :param call: the request.
-    :ivar path: the kind of path, once it is known.
-    :ivar team: the caller's team, once it is known.
+    :ivar path: the kind of path; ``other`` until it is known.
+    :ivar team: name of the caller's team; empty until it is known.
     """
 
     def __init__(
@@ -29,9 +29,9 @@
         self.team = ""
 
     def end(self, outcome: str) -> None:
-        """Write the line, once.
+        """Write the line; further calls do nothing.
 
-        :param outcome: what became of the request.
+        :param outcome: outcome for logs and metrics.
         """
         if not self._open:
             return
--- a/src/citronvalve/entry/response.py
+++ b/src/citronvalve/entry/response.py
@@ -1,4 +1,4 @@
-"""A handler's answer, before it is written."""
+"""HTTP responses as handlers return them."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 JSON = "application/json"
 EVENTS = "text/event-stream"
 
-#: What an outcome is called in logs and metrics when the work was done.
+#: Outcome of a complete response in logs and metrics.
 WHOLE = "whole"
 
 
 class Response(NamedTuple):
     """Status line, headers and body; ``outcome`` is for logs and metrics.
 
-    A streamed body reports its outcome at its end instead.
+    The outcome of a streamed body is known only at its end.
     """
 
     status: str
@@ -28,7 +28,7 @@
 
 
 def from_refusal(refused: refusal.Refusal, request: str) -> Response:
-    """Return the answer that a refusal becomes.
+    """Return the response for a refusal.
 
     :param refused: the refusal.
     :param request: the request's id.
@@ -43,10 +43,10 @@
 def from_body(
     body: bytes, content_type: str = JSON, status: str = OK
 ) -> Response:
-    """Return a whole answer.
+    """Return a complete response.
 
-    :param body: its content.
-    :param content_type: its type.
+    :param body: the body.
+    :param content_type: the body's media type.
     :param status: the status line.
     """
     headers = [
--- a/src/citronvalve/entry/streambody.py
+++ b/src/citronvalve/entry/streambody.py
@@ -1,4 +1,4 @@
-"""A streamed body that reports how it ended."""
+"""Streamed response body that logs its outcome."""
 
 from collections.abc import Iterator
 
@@ -10,10 +10,10 @@
 
 
 class StreamBody:
-    """Iterated by the server, which closes it when the caller leaves.
+    """WSGI iterable; the server closes it when the caller disconnects.
 
     :param chunks: the encoded body.
-    :param log: told how it ended.
+    :param log: the request's log line.
     """
 
     def __init__(
@@ -31,6 +31,6 @@
         self._log.end(responses.WHOLE)
 
     def close(self) -> None:
-        """Free the upstream when the caller has left."""
+        """Release the upstream and log the end of the request."""
         self._chunks.close()
         self._log.end(_CALLER_LEFT)
--- a/src/citronvalve/entry/view.py
+++ b/src/citronvalve/entry/view.py
@@ -1,4 +1,4 @@
-"""What this daemon knows at present: the table and the loads."""
+"""Current state of the daemon: table, upstream loads and group routes."""
 
 from citronvalve.entry import grouproute
 from citronvalve.model import clock
@@ -7,19 +7,19 @@
 from citronvalve.model import load
 from citronvalve.model import missing
 
-#: A group state older than this is not routed on: its watcher may have
-#: stopped, and a VM died since.  Equal to the bound on detection.
+#: Older group routes are not used: the group's watcher may have stopped,
+#: and a VM may have died since.  Equal to the bound on failure detection.
 _MAX_ROUTE_AGE: clock.Ms = 3_000
 _NEVER_FALLS = "an accepted table version is never replaced by a lower one"
 
 
 class View:
-    """Written by the tasks that receive news, read by the handlers.
+    """Written by tasks that receive updates, read by handlers.
 
-    :param now: clock of the daemon.
-    :param invariants: asserts that versions never fall.
-    :ivar load_by_upstream: the newest report of each upstream.
-    :ivar route_by_group: the groups last seen to serve.
+    :param time_source: the daemon's clock.
+    :param invariants: checks that the table version never decreases.
+    :ivar load_by_upstream: the newest load report of each upstream.
+    :ivar route_by_group: the groups last observed to serve.
     """
 
     def __init__(
@@ -37,23 +37,23 @@
 
     @property
     def table(self) -> declared.Declared | missing.Stale:
-        """Return the version in force, or why there is none."""
+        """Return the table in force, or why there is none."""
         return self._table
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 is none."""
+        """Return the table version in force, or 0."""
         return self._table.version if self._table else 0
 
     @property
     def age(self) -> clock.Ms:
-        """Return ms since the version was last known to be the newest."""
+        """Return ms since the table was last confirmed to be current."""
         return self._clock.now() - self._confirmed_at
 
     def upstreams(self) -> list[declared.Upstream]:
-        """Return declared upstreams, and groups that serve now.
+        """Return the declared upstreams and the groups that serve.
 
-        Asked for each request: a group that closed is not among them.
+        Evaluated for each request, so that closed groups are left out.
         """
         if not self._table:
             return []
@@ -63,7 +63,7 @@
         ]
 
     def serving_groups(self) -> tuple[declared.Upstream, ...]:
-        """Return the groups that serve now, as upstreams, by name."""
+        """Return the groups that serve as upstreams, sorted by name."""
         now = self._clock.now()
         return tuple(
             route.upstream
@@ -72,9 +72,9 @@
         )
 
     def upstream(self, name: str) -> declared.Upstream | None:
-        """Return an upstream as it is at this moment, if it is there.
+        """Return the current state of an upstream, or None.
 
-        :param name: a declared upstream, or a group that serves now.
+        :param name: name of a declared upstream or of a group.
         """
         route = self.route_by_group.get(name)
         if route is not None:
@@ -85,26 +85,27 @@
         return self._table.upstream_by_name.get(name)
 
     def fence(self, upstream: str) -> int:
-        """Return the fence that a request to an upstream carries.
+        """Return the fencing token for requests to an upstream.
 
-        :param upstream: its name; 0 for one that is no group.
+        :param upstream: name of the upstream.
+        :return: 0 if the upstream is not a group.
         """
         route = self.route_by_group.get(upstream)
         return route.fence if route else 0
 
     def confirm_table(self, at: clock.Ms) -> None:
-        """Note that the version in force was the newest at a moment.
+        """Record that the table in force was current at some time.
 
-        :param at: monotonic ms.
+        :param at: monotonic time in ms.
         """
         self._confirmed_at = max(self._confirmed_at, at)
 
     def update_table(self, table: declared.Declared) -> bool:
-        """Put a version in force, unless it is an old one.
+        """Put a table in force if its version is newer.
 
-        :param table: a checked version; a late answer or a stale peer may
-            bring one below the present, which is passed over.
-        :return: whether it was newer.
+        :param table: a valid table; one with a lower version, from a late
+            response or an outdated peer, is ignored.
+        :return: whether the version was newer.
         """
         if table.version < self.version:
             return False
@@ -120,10 +121,10 @@
         return True
 
     def replace_table(self, table: declared.Declared) -> bool:
-        """Put a table in force in place of a wrong one.
+        """Replace a table that differs from the platform's.
 
-        :param table: as the platform has it.
-        :return: False for one of a lower version, which is passed over.
+        :param table: the platform's table.
+        :return: False if its version is lower, so that it is ignored.
         """
         if table.version < self.version:
             return False
@@ -142,7 +143,7 @@
         }
 
     def team(self, digest: str) -> declared.Team | missing.NotFound:
-        """Find a team by its token.
+        """Return the team that a token belongs to.
 
         :param digest: hex SHA-256 of the bearer token.
         """
--- a/src/citronvalve/entry/work.py
+++ b/src/citronvalve/entry/work.py
@@ -1,4 +1,4 @@
-"""A request as the decisions see it."""
+"""A request in the form used for placement."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 class Work(NamedTuple):
     """One request for a model or a plain service.
 
-    ``target`` names the model or service; ``deadline`` is monotonic ms;
-    ``prompt`` and ``output`` are lengths in tokens, the latter an upper
-    bound.  ``fingerprint`` is equal for requests that an engine can't tell
-    apart.  ``prefixes`` are digests of ever longer beginnings of the prompt.
-    ``repeatable`` says that running it again does no harm.
+    ``target`` names the model or service; ``arrived_at`` and ``deadline``
+    are monotonic ms.  ``prompt_tokens`` is an estimate, ``max_tokens`` an
+    upper bound of the output.  ``fingerprint`` is equal for requests with
+    equal content.  ``prefixes`` are digests of increasingly long prefixes of
+    the prompt.  ``repeatable`` means that running it again does no harm.
     """
 
     request: str
--- a/src/citronvalve/upstreams/assembler.py
+++ b/src/citronvalve/upstreams/assembler.py
@@ -1,14 +1,14 @@
-"""Puts the pieces of one answer together, or says which piece is wrong."""
+"""Assembles one answer from pieces and rejects pieces that do not fit."""
 
 from citronvalve.model import invariant
 from citronvalve.upstreams import failure
 from citronvalve.upstreams import piece as pieces
 
-#: How much text that the caller already has is asked for again on a
-#: resume, in characters.  Another upstream may have sampled other words;
-#: without an overlap its text would be joined unseen in mid-sentence.
-#: Some ten tokens tell two answers apart, and cost an engine a fraction of
-#: a second of a resume that is rare.
+#: Characters before the current offset that a resume requests again.
+#: Another upstream may have sampled a different answer; without an overlap
+#: its text would be appended unnoticed in mid-sentence.  About ten tokens
+#: are enough to tell two answers apart, and they cost an engine a fraction
+#: of a second on a rare path.
 RESUME_OVERLAP = 32
 
 _CONTIGUOUS = "relayed text continues the caller's own answer"
@@ -16,17 +16,17 @@
 
 
 class Assembler:
-    """What a caller has of one answer so far, over all its connections.
+    """The part of one answer that was relayed, over all connections.
 
-    It holds the relayed text, since a repeat is trimmed only when it is
-    the same text: 4,096 tokens are about 16 KB, so 200 streams hold some
-    3 MB of a daemon's 256 MB.
+    The relayed text is kept, because repeated text is trimmed only after
+    it has been compared: 4,096 tokens are about 16 KB, so 200 streams hold
+    some 3 MB of a daemon's 256 MB.
 
-    :param request: id of the request that the answer belongs to; whoever
-        gives each try an id of its own sets it before the try.
-    :param promises: counts the invariants; a fresh one by default.
+    :param request: id of the current attempt; the owner sets it before
+        each attempt if attempts have ids of their own.
+    :param invariants: counts the invariant checks; a new one by default.
     :ivar offset: characters relayed so far.
-    :ivar finish: the reason of the end; empty until then.
+    :ivar finish: the finish reason; empty until the last piece.
     """
 
     __slots__ = ("_invariants", "_parts", "finish", "offset", "request")
@@ -42,20 +42,20 @@
 
     @property
     def finished(self) -> bool:
-        """Tell whether the last piece came and the answer is whole."""
+        """Return whether the last piece was accepted."""
         return bool(self.finish)
 
     @property
     def resume_at(self) -> int:
-        """Return the offset to ask for when resuming; see `OVERLAP`."""
+        """Return the offset to resume from; see `RESUME_OVERLAP`."""
         return max(0, self.offset - RESUME_OVERLAP)
 
     def accept(self, piece: pieces.Piece) -> str | failure.Failure:
-        """Take the next piece of any connection.
+        """Check a piece of any connection and append its new text.
 
         :param piece: as the engine sent it.
-        :return: the text to pass on, which may be empty, or what is wrong;
-            after trouble the answer is as it was before.
+        :return: the text to relay, which may be empty, or why the piece
+            was rejected; a rejected piece does not change the answer.
         """
         defect = self._find_defect(piece)
         if defect is not None:
@@ -68,10 +68,11 @@
         return self._append(text, piece.offset + len(piece.text))
 
     def whole(self) -> str | failure.Failure:
-        """Return the whole answer, for a caller who does not stream."""
+        """Return the whole answer, or a failure if it has not ended."""
         if not self.finish:
             return self._failure(
-                failure.FailureKind.BROKEN, f"no end after {self.offset}"
+                failure.FailureKind.BROKEN,
+                f"no last piece after offset {self.offset}",
             )
         text = self._relayed_text()
         self._invariants.check(_WHOLE, len(text) == self.offset, self.request)
@@ -80,7 +81,8 @@
     def _find_defect(self, piece: pieces.Piece) -> failure.Failure | None:
         if piece.request != self.request:
             return self._failure(
-                failure.FailureKind.STRAY, f"a piece of {piece.request!r}"
+                failure.FailureKind.STRAY,
+                f"the piece belongs to {piece.request!r}",
             )
         if piece.offset == self.offset and not self.finish:
             return None
@@ -93,7 +95,7 @@
             return self._late_failure()
         return self._failure(
             failure.FailureKind.GAP,
-            f"{self.offset} relayed, the piece starts at {piece.offset}",
+            f"expected offset {self.offset}, the piece has {piece.offset}",
         )
 
     def _defect_in_overlap(
@@ -101,7 +103,8 @@
     ) -> failure.Failure | None:
         if piece.offset < 0:
             return self._failure(
-                failure.FailureKind.MALFORMED, f"offset {piece.offset}"
+                failure.FailureKind.MALFORMED,
+                f"the offset is negative: {piece.offset}",
             )
         if self.finish:
             return self._late_failure()
@@ -112,12 +115,12 @@
         if piece.text[:overlap] != relayed:
             return self._failure(
                 failure.FailureKind.DIVERGED,
-                f"other text at {piece.offset} than was relayed",
+                f"the text at offset {piece.offset} differs from relayed text",
             )
         if piece.finish and len(piece.text) < overlap:
             return self._failure(
                 failure.FailureKind.DIVERGED,
-                f"ends at {piece.offset}, {self.offset} are relayed",
+                f"the end is at {piece.offset}, but {self.offset} are relayed",
             )
         return None
 
@@ -137,14 +140,15 @@
         return text
 
     def _relayed_text(self) -> str:
-        # Joined only when a repeat comes, never on the way of a token.
+        # Joined lazily: only repeated text needs it, not each token.
         if len(self._parts) > 1:
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
     def _late_failure(self) -> failure.Failure:
         return self._failure(
-            failure.FailureKind.LATE, "a piece after the end of the answer"
+            failure.FailureKind.LATE,
+            "the piece came after the end of the answer",
         )
 
     def _failure(
--- a/src/citronvalve/upstreams/engineclient.py
+++ b/src/citronvalve/upstreams/engineclient.py
@@ -1,4 +1,4 @@
-"""Asks engines for answers and cancels them."""
+"""HTTP client for model engines."""
 
 import eventlet
 import msgspec
@@ -17,9 +17,9 @@
 
 
 class EngineClient:
-    """Speaks to all engines of this daemon.
+    """Sends generate and cancel requests to engines.
 
-    :param kept: the kept connections.
+    :param connections: the connection pools.
     """
 
     def __init__(self, connections: pools.Pools) -> None:
@@ -28,11 +28,12 @@
     def generate(
         self, address: str, order: orders.GenerateOrder, remaining: clock.Ms
     ) -> enginestream.EngineStream | failure.Failure:
-        """Ask for an answer.
+        """Start generating an answer.
 
         :param address: host:port of the upstream.
         :param order: what to generate, from which offset.
         :param remaining: ms until the caller's deadline.
+        :return: the open stream, or why there is none.
         """
         idle_timeout = min(pools.IDLE_TIMEOUT, max(1, remaining))
         try:
@@ -57,23 +58,24 @@
     def handle_failure(
         self, cause: failure.Failure, address: str
     ) -> failure.Failure:
-        """Drop the kept connections after a silence.
+        """Drop the pooled connections of an upstream that went silent.
 
-        :param met: the trouble met.
+        :param cause: why the attempt failed.
         :param address: host:port of the upstream.
+        :return: ``cause``.
         """
         if cause.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
         return cause
 
     def cancel(self, address: str, request: str) -> None:
-        """Tell an engine, without waiting, that nobody wants an answer.
+        """Cancel an attempt in the background.
 
         :param address: host:port of the upstream.
-        :param request: the request.
+        :param request: id of the attempt.
         """
-        # The caller's task goes on at once: an upstream that is gone would
-        # hold its answer back for the time of a connection attempt.
+        # In a task of its own: an unreachable upstream would delay the
+        # caller's answer by the connect timeout.
         eventlet.spawn_n(self._send_cancel, address, request)
 
     def _send_cancel(self, address: str, request: str) -> None:
@@ -88,7 +90,7 @@
                 timeout=pools.timeout(_CANCEL_TIMEOUT),
             )
         except httperror.ERRORS:
-            # The engine notices the closed connection by itself, later.
+            # The engine detects the closed connection by itself, later.
             return
 
 
@@ -107,12 +109,12 @@
 
 
 def reports_not_run(body: bytes) -> bool:
-    """Tell whether an upstream's own words prove that nothing was run.
+    """Return whether a response body proves that the request did not run.
 
-    A status alone proves nothing: something between the two ends may have
-    made it up after the upstream had run the request.
+    A status alone proves nothing: an intermediary may have produced it
+    after the upstream had run the request.
 
-    :param body: JSON with ``"ran": "no"`` when it did not run.
+    :param body: JSON with ``"ran": "no"`` if the request did not run.
     """
     try:
         decoded = msgspec.json.decode(body)
--- a/src/citronvalve/upstreams/enginestream.py
+++ b/src/citronvalve/upstreams/enginestream.py
@@ -1,4 +1,4 @@
-"""One connection that an answer arrives on."""
+"""The response stream of one attempt on an engine."""
 
 from collections.abc import Iterator
 
@@ -14,11 +14,11 @@
 
 
 class EngineStream:
-    """Yields pieces, heartbeats and, at the end, trouble if there is any.
+    """Iterates over pieces and heartbeats; a failure is the last item.
 
-    :param response: headers read, body not.
-    :param where: the upstream's address.
-    :param remaining: ms until the deadline, when reading is cut off.
+    :param response: its headers are read, its body is not.
+    :param address: host:port of the upstream.
+    :param remaining: ms until the deadline, at which reading is aborted.
     """
 
     def __init__(
@@ -29,8 +29,8 @@
     ) -> None:
         self._response = response
         self._address = address
-        # The idle limit alone would hold a caller of a slow engine until
-        # the next heartbeat after its deadline.
+        # With the idle timeout alone, the caller of a slow engine would
+        # wait for the first heartbeat after its deadline.
         self._deadline_timer = eventlet.spawn_after(
             max(0, remaining) / clock.SECOND, self._shut_down
         )
@@ -46,11 +46,11 @@
             return
         self._body_read = True
         yield failure.Failure(
-            failure.FailureKind.BROKEN, "ended without a last piece"
+            failure.FailureKind.BROKEN, "the stream ended without a last piece"
         )
 
     def drain(self) -> None:
-        """Read to the end of the body so that the connection is kept."""
+        """Read the rest of the body so that the connection can be reused."""
         try:
             self._response.drain_conn()
         except httperror.ERRORS:
@@ -58,7 +58,7 @@
         self._body_read = True
 
     def close(self) -> None:
-        """Give the connection back, or end it if the body is unread."""
+        """Release the connection, or close it if the body is unread."""
         self._deadline_timer.cancel()
         if self._body_read:
             self._response.release_conn()
@@ -66,7 +66,7 @@
             self._response.close()
 
     def _shut_down(self) -> None:
-        # Shutting down wakes the reader; closing would leave it waiting.
+        # A shutdown wakes the reader; a close would leave it blocked.
         try:
             self._response.shutdown()
         except httperror.ERRORS:
--- a/src/citronvalve/upstreams/eventparser.py
+++ b/src/citronvalve/upstreams/eventparser.py
@@ -1,4 +1,4 @@
-"""Takes an engine's bytes apart into pieces and heartbeats."""
+"""Parses an engine's event stream into pieces and heartbeats."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -12,8 +12,8 @@
 _EVENT_END = b"\n\n"
 _DATA_PREFIX = b"data: "
 
-#: One event holds one token, or a few; an engine that sends more without
-#: an end of event is broken and must not fill the daemon's memory.
+#: In bytes.  An event holds one token or a few; an engine that sends more
+#: without an event boundary must not exhaust the daemon's memory.
 _MAX_EVENT_SIZE = 256 * 1024
 
 
@@ -28,9 +28,9 @@
 
 
 class EventParser:
-    """Splits a stream at its event boundaries, wherever bytes were cut.
+    """Incremental parser; blocks may end anywhere within an event.
 
-    :param where: address of the upstream, for errors.
+    :param address: host:port of the upstream, for error messages.
     """
 
     def __init__(self, address: str) -> None:
@@ -39,16 +39,16 @@
         self._decode = msgspec.json.Decoder(_Event).decode
 
     def feed(self, block: bytes) -> Iterator[Item]:
-        """Yield what a block completes.
+        """Yield the events that a block completes.
 
-        :param block: the next bytes.
+        :param block: the next bytes of the stream.
         """
         data = self._buffer + block if self._buffer else block
         *complete, self._buffer = data.split(_EVENT_END)
         for event in complete:
             yield self._parse(event)
         if len(self._buffer) > _MAX_EVENT_SIZE:
-            yield self._malformed("an event without an end")
+            yield self._malformed("the event has no end within the size limit")
 
     def _parse(self, event: bytes) -> Item:
         if event.startswith(b":"):
--- a/src/citronvalve/upstreams/failure.py
+++ b/src/citronvalve/upstreams/failure.py
@@ -1,4 +1,4 @@
-"""Why a piece of an answer was not passed on, and what to do about it."""
+"""Failures of upstream calls and streams, and how to recover."""
 
 import enum
 
@@ -6,41 +6,41 @@
 
 
 class FailureKind(enum.StrEnum):
-    """What is wrong with a piece."""
+    """What is wrong with a piece, a stream or a call."""
 
-    #: It belongs to another request.
+    #: The piece belongs to another request.
     STRAY = "stray"
-    #: Text before it never came.
+    #: Text before the piece is missing.
     GAP = "gap"
-    #: It contradicts text that the caller already has.
+    #: The piece contradicts text that was already relayed.
     DIVERGED = "diverged"
-    #: It came after the end of the answer.
+    #: The piece came after the end of the answer.
     LATE = "late"
-    #: It could not be read as a piece.
+    #: The data could not be decoded as a piece.
     MALFORMED = "malformed"
-    #: The connection ended before the last piece.
+    #: The connection ended before the answer was complete.
     BROKEN = "broken"
-    #: The connection is open and says nothing, not even heartbeats.
+    #: The connection is open but idle, without even heartbeats.
     SILENT = "silent"
-    #: No connection was made, so that nothing was sent.
+    #: No connection was established, so nothing was sent.
     UNREACHED = "unreached"
-    #: The upstream said that it did not run the request.
+    #: The upstream reported that it did not run the request.
     REFUSED = "refused"
 
 
 class Recovery(enum.StrEnum):
-    """What the reader of a stream does next."""
+    """What the reader of a stream does after a failure."""
 
     IGNORE = "ignore"
-    #: Drop the connection; ask any upstream for the rest.
+    #: Close the connection; get the rest from any upstream.
     RESUME = "resume"
-    #: Drop the connection; ask another upstream for the rest.
+    #: Close the connection; get the rest from another upstream.
     RESUME_ELSEWHERE = "resume-elsewhere"
 
 
-#: A stray or late piece takes nothing from this answer: if the engine sent
-#: it in place of one of ours, the next one shows the gap.  An engine that
-#: contradicts itself would do so again, so it is not asked a second time.
+#: Stray and late pieces are ignored: if the engine sent one in place of a
+#: piece of this answer, the next piece reveals the gap.  An engine whose
+#: text diverged would diverge again, so it is not used a second time.
 RECOVERY_BY_KIND: dict[FailureKind, Recovery] = {
     FailureKind.STRAY: Recovery.IGNORE,
     FailureKind.GAP: Recovery.RESUME,
@@ -53,16 +53,16 @@
     FailureKind.REFUSED: Recovery.RESUME,
 }
 
-#: The only two that prove that the request did not run.
+#: The only kinds that prove that the request did not run.
 NOT_RUN = frozenset({FailureKind.UNREACHED, FailureKind.REFUSED})
 
 
 class Failure(missing.Missing):
-    """Nothing of this piece may reach the caller.
+    """Value returned in place of text or a response.
 
     :param kind: what is wrong.
-    :param reason: the values seen.
-    :param where: the request whose answer it is.
+    :param reason: details, with the offending values.
+    :param where: the request or the upstream's address.
     """
 
     __slots__ = ("kind",)
--- a/src/citronvalve/upstreams/heartbeat.py
+++ b/src/citronvalve/upstreams/heartbeat.py
@@ -1,10 +1,10 @@
-"""The sign of an engine that is alive and has no text yet."""
+"""Heartbeat of an engine that has no new text."""
 
 from typing import NamedTuple
 
 
 class Heartbeat(NamedTuple):
-    """A comment line of the stream."""
+    """A comment event of the stream."""
 
 
 HEARTBEAT = Heartbeat()
--- a/src/citronvalve/upstreams/httperror.py
+++ b/src/citronvalve/upstreams/httperror.py
@@ -1,10 +1,10 @@
-"""What an error of the HTTP library says about the work."""
+"""Maps exceptions of the HTTP library to failures."""
 
 import urllib3
 
 from citronvalve.upstreams import failure
 
-#: The most specific first: the library derives some from others.
+#: The first match applies; derived classes precede their bases.
 _KIND_BY_ERROR: tuple[tuple[type[Exception], failure.FailureKind], ...] = (
     (urllib3.exceptions.NewConnectionError, failure.FailureKind.UNREACHED),
     (urllib3.exceptions.ConnectTimeoutError, failure.FailureKind.UNREACHED),
@@ -12,15 +12,15 @@
     (Exception, failure.FailureKind.BROKEN),
 )
 
-#: What a call may raise; all else is a mistake of ours.
+#: What an HTTP call may raise; any other exception is a bug.
 ERRORS = (urllib3.exceptions.HTTPError, OSError, ValueError)
 
 
 def classify(error: Exception, address: str) -> failure.Failure:
-    """Turn an error into what it means for the request.
+    """Return the failure that an exception stands for.
 
-    :param error: raised by a call.
-    :param where: the upstream's address.
+    :param error: raised by an HTTP call.
+    :param address: host:port of the upstream.
     """
     kind = next(k for e, k in _KIND_BY_ERROR if isinstance(error, e))
     return failure.Failure(kind, str(error), address)
--- a/src/citronvalve/upstreams/loadclient.py
+++ b/src/citronvalve/upstreams/loadclient.py
@@ -1,4 +1,4 @@
-"""Asks upstreams for their load reports."""
+"""Reads load reports from upstreams."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 from citronvalve.upstreams import httperror
 from citronvalve.upstreams import pools
 
-#: A report that takes longer would be old before it is used.
+#: A slower report would be outdated before it is used.
 _TIMEOUT: clock.Ms = 800
 _MAX_BODY_SIZE = 65_536
 
@@ -22,10 +22,10 @@
 
 
 class LoadClient:
-    """Reads ``GET /load`` of any upstream.
+    """Client for ``GET /load``.
 
-    :param kept: the kept connections.
-    :param now: clock that reports are stamped by.
+    :param connections: the connection pools.
+    :param time_source: clock for the time stamps of reports.
     """
 
     def __init__(
@@ -37,10 +37,10 @@
     def fetch_report(
         self, upstream: str, address: str
     ) -> load.LoadReport | missing.Unavailable:
-        """Read one report.
+        """Fetch one report.
 
-        :param upstream: its name.
-        :param address: its host:port.
+        :param upstream: name of the upstream.
+        :param address: host:port of the upstream.
         """
         requested_at = self._clock.now()
         try:
@@ -48,8 +48,8 @@
         except (*httperror.ERRORS, msgspec.MsgspecError) as error:
             self._pools.drop(address)
             return missing.Unavailable(str(error), f"{upstream} {address}")
-        # Stamped with the time of asking: the report may have been made at
-        # any moment since, and must not look younger than it is.
+        # Stamped with the time of the request: the report may have been
+        # made at any moment since, and must not look newer than it is.
         return load.LoadReport(
             upstream,
             received.start_id,
--- a/src/citronvalve/upstreams/nextattempt.py
+++ b/src/citronvalve/upstreams/nextattempt.py
@@ -1,14 +1,15 @@
-"""Where the rest of a broken answer is asked for."""
+"""Where the next attempt of a request starts, and where it may go."""
 
 from typing import NamedTuple
 
 
 class NextAttempt(NamedTuple):
-    """Ask an upstream for the answer from ``offset`` on.
+    """Start offset of an attempt, and the upstreams that it should skip.
 
-    ``never`` names upstreams that contradicted the relayed text; they are
-    not asked again.  ``avoid`` names those whose stream broke; they are
-    asked only when there is no other.
+    ``offset`` counts the characters of the answer before the attempt.
+    ``excluded`` names upstreams that contradicted relayed text; they are
+    never used.  ``avoided`` names upstreams that failed; they are used only
+    when there is no other.
     """
 
     offset: int
--- a/src/citronvalve/upstreams/order.py
+++ b/src/citronvalve/upstreams/order.py
@@ -1,4 +1,4 @@
-"""What is sent to an engine to have an answer generated."""
+"""The request that makes an engine generate an answer."""
 
 from typing import TypedDict
 
@@ -14,7 +14,7 @@
     """The body of ``POST /generate``.
 
     ``offset`` is where the answer resumes, in characters; ``fence`` is the
-    fencing number of the group that the caller was placed on.
+    fencing token of the group that the request was placed on.
     """
 
     request: str
--- a/src/citronvalve/upstreams/piece.py
+++ b/src/citronvalve/upstreams/piece.py
@@ -1,13 +1,13 @@
-"""One piece of an answer, as a model engine sends it."""
+"""One piece of an answer, as an engine sends it."""
 
 from typing import NamedTuple
 
 
 class Piece(NamedTuple):
-    """Text of one answer and where in that answer it belongs.
+    """A span of an answer's text.
 
     ``offset`` counts the characters of the answer before ``text``.
-    ``finish`` is empty until the last piece, which gives the reason.
+    ``finish`` is the finish reason; it is empty except in the last piece.
     """
 
     request: str
--- a/src/citronvalve/upstreams/plainclient.py
+++ b/src/citronvalve/upstreams/plainclient.py
@@ -1,4 +1,4 @@
-"""Calls plain services and reads their whole answers."""
+"""HTTP client for plain services."""
 
 import eventlet
 import urllib3
@@ -10,17 +10,17 @@
 from citronvalve.upstreams import plainrequest
 from citronvalve.upstreams import pools
 
-#: An answer above this is not passed on; it would fill a daemon's memory
-#: when many callers ask for it at once.
+#: In bytes.  Larger responses are rejected; many of them at once would
+#: exhaust the daemon's memory.
 MAX_RESPONSE_SIZE = 8 * 1024 * 1024
 
 _DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainClient:
-    """Speaks to all plain services of this daemon.
+    """Sends requests to plain services and reads complete responses.
 
-    :param kept: the kept connections.
+    :param connections: the connection pools.
     """
 
     def __init__(self, connections: pools.Pools) -> None:
@@ -29,25 +29,26 @@
     def send(
         self, address: str, request: plainrequest.PlainRequest
     ) -> plainrequest.PlainResponse | failure.Failure:
-        """Carry out one call, once.
+        """Send a request once, without retries.
 
         :param address: host:port of the upstream.
-        :param call: what to pass on.
+        :param request: what to send.
+        :return: the complete response, or why there is none.
         """
         pool = self._pools.get(address)
         own_pool = None
         if request.new_connection:
             pool = own_pool = urllib3.HTTPConnectionPool(pool.host, pool.port)
         try:
-            # The library bounds each receive, not the whole: a service
-            # that sends a byte now and then would hold its caller for ever.
+            # The library's timeout applies to each receive: a service that
+            # sends a byte now and then would block its caller forever.
             with eventlet.Timeout(request.timeout / clock.SECOND):
                 return _read_response(_open(pool, request), address)
         except eventlet.Timeout:
             self._pools.drop(address)
             return failure.Failure(
                 failure.FailureKind.SILENT,
-                f"no whole answer within {request.timeout} ms",
+                f"no complete response within {request.timeout} ms",
                 address,
             )
         except httperror.ERRORS as error:
@@ -92,22 +93,24 @@
     response.release_conn()
     if response.status == 503 and engineclient.reports_not_run(body):
         return failure.Failure(
-            failure.FailureKind.REFUSED, "the service refused it", address
+            failure.FailureKind.REFUSED,
+            "the service refused the request",
+            address,
         )
     content_type = response.headers.get("Content-Type", _DEFAULT_CONTENT_TYPE)
     return plainrequest.PlainResponse(response.status, content_type, body)
 
 
 def _find_defect(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
-    """Tell why an answer can't be passed on as whole; empty if it can.
+    """Return why a response is unusable, or an empty string.
 
-    Read with a limit, the library takes the end of the connection for the
-    end of the body: half a certificate would go out as a whole one.
+    When reading with a limit, the library treats the end of the connection
+    as the end of the body: a truncated certificate would look complete.
     """
     if len(body) > MAX_RESPONSE_SIZE:
-        return "the answer is too large"
+        return "the response is too large"
     if response.length_remaining:
-        return f"the answer lacks {response.length_remaining} bytes"
+        return f"the response lacks {response.length_remaining} bytes"
     if response.length_remaining is None and not response.chunked:
-        return "the answer has no length and no chunks to tell its end by"
+        return "the response has neither Content-Length nor chunked encoding"
     return ""
--- a/src/citronvalve/upstreams/plainrequest.py
+++ b/src/citronvalve/upstreams/plainrequest.py
@@ -1,4 +1,4 @@
-"""A call to a plain service, and its answer."""
+"""A request to a plain service, and its response."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,11 @@
 
 
 class PlainRequest(NamedTuple):
-    """What is passed on; ``path`` holds the query too.
+    """The request to send; ``path`` includes the query.
 
-    ``fresh`` asks for a new connection: on a kept one that the other end
-    has just closed, it can't be told whether a call arrived.
+    ``timeout`` bounds the whole exchange.  ``new_connection`` disables
+    connection reuse: if the peer closes a reused connection, it is unknown
+    whether the request arrived.
     """
 
     method: str
@@ -21,7 +22,7 @@
 
 
 class PlainResponse(NamedTuple):
-    """The whole answer."""
+    """A complete response."""
 
     status: int
     content_type: str
--- a/src/citronvalve/upstreams/pools.py
+++ b/src/citronvalve/upstreams/pools.py
@@ -1,29 +1,29 @@
-"""Kept connections to upstreams, dropped after a silence."""
+"""Connection pools for upstreams."""
 
 import urllib3
 
 from citronvalve.model import clock
 
-#: Connections kept an upstream; further ones are made and closed again.
-#: A replica bears some tens of requests, shared by all daemons.
+#: Further connections are opened and not reused.  A replica has a capacity
+#: of some tens of requests, shared by all daemons.
 _CONNECTIONS_PER_UPSTREAM = 32
 
-#: Making a connection inside a data centre takes about a millisecond; one
-#: that takes this long meets a VM that is gone.
+#: Connecting within a data centre takes about a millisecond; after this
+#: time the VM counts as unreachable.
 CONNECT_TIMEOUT: clock.Ms = 1_000
 
-#: Engines send a heartbeat each second; three missed are a silence.
+#: Engines send a heartbeat each second; three may be missed.
 IDLE_TIMEOUT: clock.Ms = 3_000
 
 
 class Pools:
-    """One pool of connections an address."""
+    """Holds one connection pool per address."""
 
     def __init__(self) -> None:
         self._pool_by_address: dict[str, urllib3.HTTPConnectionPool] = {}
 
     def get(self, address: str) -> urllib3.HTTPConnectionPool:
-        """Return the pool of an upstream.
+        """Return the pool of an upstream, creating it on first use.
 
         :param address: host:port.
         """
@@ -37,11 +37,11 @@
         return pool
 
     def drop(self, address: str) -> None:
-        """Forget the kept connections of an upstream.
+        """Close the idle connections of an upstream.
 
-        One silent connection shows that something between the two ends
-        lost track of it.  The others of its age are in the same state and
-        would each cost a caller the idle limit; new ones work.
+        A silent connection means that an intermediary has lost its state.
+        Other connections of the same age are then dead too, and each would
+        cost a caller the idle timeout; new ones work.
 
         :param address: host:port.
         """
@@ -53,10 +53,10 @@
 def timeout(
     read: clock.Ms, connect: clock.Ms = CONNECT_TIMEOUT
 ) -> urllib3.Timeout:
-    """Return the limits of one call.
+    """Return the timeouts of one HTTP call.
 
-    :param read: ms without a byte.
-    :param connect: ms until connected.
+    :param read: longest time without a byte, in ms.
+    :param connect: longest time to connect, in ms.
     """
     return urllib3.Timeout(
         connect=min(connect, read) / clock.SECOND, read=read / clock.SECOND
--- a/src/citronvalve/upstreams/resumption.py
+++ b/src/citronvalve/upstreams/resumption.py
@@ -1,4 +1,4 @@
-"""Decides how an answer goes on after its stream broke."""
+"""Decides whether and where a failed stream is resumed."""
 
 from citronvalve.model import clock
 from citronvalve.model import ran
@@ -7,22 +7,22 @@
 from citronvalve.upstreams import failure
 from citronvalve.upstreams import nextattempt
 
-#: Resumes in a row that brought no text.  Made for an upstream lost at
-#: full load: one resume finds another upstream, the second a slot there.
-#: More of them would turn each lost upstream into a burst on the others.
+#: Limit of consecutive resumes without new text.  When an upstream is lost
+#: at full load, one resume finds another upstream and the second a slot
+#: there.  A higher limit would turn each loss into a burst on the others.
 MAX_FRUITLESS_RESUMES = 3
 
-#: Resumes of one answer in all.  An engine that breaks after each token
-#: makes progress each time, and would otherwise be asked once a token
+#: Limit of resumes of one answer.  An engine that fails after each token
+#: makes progress each time, and would otherwise get one attempt per token
 #: until the deadline.
 MAX_RESUMES = 8
 
 
 class Resumption:
-    """The resumes of one answer so far.
+    """Tracks the resumes of one answer.
 
-    :param answer: the answer that is put together.
-    :param deadline: monotonic time in ms that the answer is due by.
+    :param answer: the answer that is being assembled.
+    :param deadline: deadline of the answer, in monotonic ms.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
     def decide(
         self, cause: failure.Failure, upstream: str, now: clock.Ms
     ) -> nextattempt.NextAttempt | refusal.Refusal | None:
-        """Decide what follows a piece that was not passed on.
+        """Decide how to proceed after a failure.
 
-        :param wrong: the trouble.
-        :param upstream: name of the upstream that it came from.
+        :param cause: the failure.
+        :param upstream: name of the upstream that failed.
         :param now: monotonic time in ms.
-        :return: whom to ask for the rest, why the caller gets no whole
-            answer, or None to go on reading.
+        :return: the next attempt, the refusal that ends the answer, or
+            None to continue reading.
         """
         if cause.recovery is failure.Recovery.IGNORE:
             return None
@@ -84,12 +84,12 @@
     def _refusal(
         self, kind: refusal.RefusalKind, cause: failure.Failure
     ) -> refusal.Refusal:
-        # What was relayed was generated, so that "no" would be untrue; an
-        # answer of a model may be asked for again.
+        # Relayed text was generated, so "no" would be false.  Generating
+        # an answer again does no harm.
         return refusal.Refusal(
             kind,
-            f"the answer broke off at {self._answer.offset} characters"
+            f"the answer broke off after {self._answer.offset} characters"
             f" ({cause.kind}: {cause.reason})",
-            "drop what was streamed and send the request again",
+            "discard the streamed text and send the request again",
             ran.Ran.YES if self._answer.offset else ran.Ran.UNKNOWN,
         )
