--- a/src/citronvalve/daemon/decided.py
+++ b/src/citronvalve/daemon/decided.py
@@ -66,7 +66,7 @@
     def place(
         self,
         work: works.Work,
-        after: nextattempt.NextAttempt = dispatches.FIRST_ATTEMPT,
+        next_attempt: nextattempt.NextAttempt = dispatches.FIRST_ATTEMPT,
     ) -> dispatches.Placement | refusal.Refusal:
         key = _key(work)
         case = self._case_by_key.get(key)
--- a/src/citronvalve/entry/call.py
+++ b/src/citronvalve/entry/call.py
@@ -85,20 +85,20 @@
         return refused._replace(ran=ran.Ran.UNKNOWN)
 
     def deadline(
-        self, default: clock.Ms, longest: clock.Ms
+        self, default: clock.Ms, max_deadline: clock.Ms
     ) -> clock.Ms | refusal.Refusal:
         """Return the deadline in monotonic ms.
 
         :param default: ms from arrival if the caller gives no deadline.
-        :param longest: largest accepted value in ms from arrival.
+        :param max_deadline: largest accepted value in ms from arrival.
         """
         value = self.header("X-Deadline-Ms")
         if not value:
-            return self.arrived_at + min(default, longest)
-        if not value.isdecimal() or not 0 < int(value) <= longest:
+            return self.arrived_at + min(default, max_deadline)
+        if not value.isdecimal() or not 0 < int(value) <= max_deadline:
             return malformed(
                 f"X-Deadline-Ms is {value[:20]!r}; it must be a whole number "
-                f"of ms from 1 to {longest}"
+                f"of ms from 1 to {max_deadline}"
             )
         return self.arrived_at + int(value)
 
--- a/src/citronvalve/entry/chat.py
+++ b/src/citronvalve/entry/chat.py
@@ -101,7 +101,7 @@
         )
         if max_tokens > model.max_tokens:
             return calls.malformed(
-                f"max_tokens is {max_tokens}, the most is {model.max_tokens}"
+                f"max_tokens is {max_tokens}, the limit is {model.max_tokens}"
             )
         work = works.Work(
             call.request,
--- a/src/citronvalve/entry/chunk.py
+++ b/src/citronvalve/entry/chunk.py
@@ -22,7 +22,7 @@
     __slots__ = ("_head", "_tail")
 
     def __init__(self, request: str, model: str, created: int) -> None:
-        whole = _encode(
+        envelope = _encode(
             {
                 "id": request,
                 "object": "chat.completion.chunk",
@@ -31,7 +31,7 @@
             }
         )
         choice = b',"choices":[{"index":0,"delta":{"content":'
-        self._head = b"data: " + whole[:-1] + choice
+        self._head = b"data: " + envelope[:-1] + choice
         self._tail = b'},"finish_reason":null}]}\n\n'
 
     def text(self, piece: str) -> bytes:
--- a/src/citronvalve/entry/plain.py
+++ b/src/citronvalve/entry/plain.py
@@ -9,7 +9,7 @@
 from citronvalve.entry import dispatch as dispatches
 from citronvalve.entry import environment as environments
 from citronvalve.entry import handler
-from citronvalve.entry import keyedrunner as keying
+from citronvalve.entry import keyedrunner
 from citronvalve.entry import response as responses
 from citronvalve.entry import work as works
 from citronvalve.model import clock
@@ -52,7 +52,7 @@
         env: environments.Environment,
         dispatch: dispatches.Dispatch,
         client: plainclient.PlainClient,
-        keyed: keying.KeyedRunner,
+        keyed: keyedrunner.KeyedRunner,
     ) -> None:
         super().__init__(env, dispatch)
         self._client = client
@@ -120,7 +120,9 @@
         if work.repeatable or not key:
             return self._run_attempts(call, work, path, body)
         digest = fingerprint.digest(call.method, _path_and_query(call), body)
-        keyed_call = keying.make_call(work, key, digest, self._env.clock.now())
+        keyed_call = keyedrunner.make_call(
+            work, key, digest, self._env.clock.now()
+        )
         return self._keyed.run(
             keyed_call, lambda: self._run_attempts(call, work, path, body)
         )
--- a/src/citronvalve/entry/view.py
+++ b/src/citronvalve/entry/view.py
@@ -78,8 +78,8 @@
         """
         route = self.route_by_group.get(name)
         if route is not None:
-            fresh = self._clock.now() - route.observed_at < _MAX_ROUTE_AGE
-            return route.upstream if fresh else None
+            current = self._clock.now() - route.observed_at < _MAX_ROUTE_AGE
+            return route.upstream if current else None
         if not self._table:
             return None
         return self._table.upstream_by_name.get(name)
--- a/tests/answers/steps/assembler_steps.py
+++ b/tests/answers/steps/assembler_steps.py
@@ -35,9 +35,9 @@
 
 @behave.then("it gives {result:w}")
 def step_gives(context, result):
-    seen = context.result
-    kind = seen.kind.value if missing.is_missing(seen) else "text"
-    assert kind == result, seen
+    actual = context.result
+    kind = actual.kind.value if missing.is_missing(actual) else "text"
+    assert kind == result, actual
 
 
 @behave.then('the caller has "{text}"')
--- a/tests/entry/steps/badinput_steps.py
+++ b/tests/entry/steps/badinput_steps.py
@@ -75,8 +75,8 @@
         caller = _Anonymous(context.made.addresses().callers, "")
     elif token is not True:
         caller = context.made.caller(token=token)
-    context.answer = caller.open(method, path, raw, headers)
-    context.problem = json.loads(context.answer.data)
+    context.response = caller.open(method, path, raw, headers)
+    context.problem = json.loads(context.response.data)
 
 
 class _Anonymous(client.Client):
@@ -118,7 +118,7 @@
     'it is refused with {status:d} "{kind}", naming "{named}", not run'
 )
 def step_refused(context, status, kind, named):
-    assert context.answer.status == status, context.problem
+    assert context.response.status == status, context.problem
     assert context.problem["type"].endswith(f":{kind}"), context.problem
     assert named in context.problem["detail"], context.problem
     assert context.problem["ran"] == "no", context.problem
--- a/tests/entry/steps/plain_steps.py
+++ b/tests/entry/steps/plain_steps.py
@@ -21,11 +21,11 @@
 
 def _timed_call(context, timeout, *request):
     started = time.monotonic()
-    context.seen = context.made.caller().call(
+    context.response = context.made.caller().call(
         *request, headers={"X-Deadline-Ms": str(timeout)}
     )
     context.took = (time.monotonic() - started) * 1_000
-    context.span = timeout
+    context.timeout = timeout
 
 
 @behave.when("a caller looks a record up within {span:d} ms")
@@ -35,32 +35,32 @@
 
 @behave.when("a caller orders a certificate within {span:d} ms, without a key")
 def step_issue(context, span):
-    runs = urllib3.request("GET", f"http://{context.records}/asked").json()
-    context.asked = runs
+    count = urllib3.request("GET", f"http://{context.records}/asked").json()
+    context.request_count = count
     _timed_call(context, span, "POST", "records/certificates", b"{}")
 
 
 @behave.then("it gets the record in time")
 def step_record(context):
-    assert context.seen.status == 200, context.seen
-    assert context.took < context.span, context.took
+    assert context.response.status == 200, context.response
+    assert context.took < context.timeout, context.took
 
 
 @behave.then("it gets a timeout error in time")
 def step_timeout(context):
-    assert context.seen.status == 504, context.seen
-    assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _TOLERANCE, context.took
+    assert context.response.status == 504, context.response
+    assert context.response.problem["ran"] == "unknown", context.response
+    assert context.took < context.timeout + _TOLERANCE, context.took
 
 
 @behave.then("it gets an error in time that the outcome is unknown")
 def step_unknown(context):
-    assert context.seen.status == 502, context.seen
-    assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _TOLERANCE, context.took
+    assert context.response.status == 502, context.response
+    assert context.response.problem["ran"] == "unknown", context.response
+    assert context.took < context.timeout + _TOLERANCE, context.took
 
 
 @behave.then("the service got one request")
 def step_once(context):
-    asked = urllib3.request("GET", f"http://{context.records}/asked").json()
-    assert asked == context.asked + 1, (asked, context.asked)
+    count = urllib3.request("GET", f"http://{context.records}/asked").json()
+    assert count == context.request_count + 1, (count, context.request_count)
--- a/tests/entry/steps/whole_steps.py
+++ b/tests/entry/steps/whole_steps.py
@@ -39,7 +39,7 @@
 @behave.when("a caller asks for {count:d} tokens, {how}")
 def step_ask(context, count, how):
     context.count = count
-    context.seen = context.made.caller().chat(
+    context.response = context.made.caller().chat(
         _MODEL, _SHARED_PROMPT, tokens=count, stream=how == "streamed"
     )
 
@@ -47,26 +47,26 @@
 @behave.then("it reads the whole answer, word for word")
 def step_whole(context):
     expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
-    assert context.seen.whole, context.seen
-    assert context.seen.text == expected, context.seen
+    assert context.response.whole, context.response
+    assert context.response.text == expected, context.response
 
 
 @behave.then("it gets an error event, and the response does not end cleanly")
 def step_error(context):
-    seen = context.seen
+    response = context.response
     expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
-    assert not seen.whole, seen
-    assert expected.startswith(seen.text), seen
-    assert seen.problem["ran"] == "yes", seen
-    assert not seen.clean, seen
+    assert not response.whole, response
+    assert expected.startswith(response.text), response
+    assert response.problem["ran"] == "yes", response
+    assert not response.clean, response
 
 
 @behave.when("{count:d} callers ask different questions at the same time")
 def step_many(context, count):
     def ask(number):
         prompt = f"question {number}"
-        seen = context.made.caller().chat(_MODEL, prompt, tokens=30)
-        return seen, answer.whole(_MODEL, prompt, 30)
+        response = context.made.caller().chat(_MODEL, prompt, tokens=30)
+        return response, answer.whole(_MODEL, prompt, 30)
 
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         context.pairs = list(pool.map(ask, range(count)))
@@ -74,14 +74,14 @@
 
 @behave.then("each reads the answer to its own question")
 def step_own(context):
-    for seen, expected in context.pairs:
-        assert seen.whole and seen.text == expected, seen
+    for response, expected in context.pairs:
+        assert response.whole and response.text == expected, response
 
 
 @behave.when("a caller asks for {count:d} tokens within {span:d} ms")
 def step_within(context, count, span):
     started = time.monotonic()
-    context.seen = context.made.caller().chat(
+    context.response = context.made.caller().chat(
         _MODEL, _DEADLINE_PROMPT, tokens=count, deadline=span
     )
     context.took = (time.monotonic() - started) * 1_000
@@ -89,6 +89,6 @@
 
 @behave.then("it gets an error at once that the deadline passed")
 def step_late(context):
-    told = context.seen.problem["type"]
-    assert told.endswith(":deadline-passed"), context.seen
+    problem_type = context.response.problem["type"]
+    assert problem_type.endswith(":deadline-passed"), context.response
     assert context.took < 800, context.took
