--- a/src/citronvalve/entry/chat.py
+++ b/src/citronvalve/entry/chat.py
@@ -1,4 +1,4 @@
-"""Answers ``POST /v1/chat/completions``."""
+"""Handles ``POST /v1/chat/completions``."""
 
 from collections.abc import Iterator
 
@@ -21,15 +21,15 @@
 from citronvalve.upstreams import engineclient
 from citronvalve.upstreams import heartbeat
 
-_DEFAULT_TOKENS = 256
+_DEFAULT_MAX_TOKENS = 256
 
 
-class Chat(handler.Handler):
-    """Checks the body, relays the answer, streamed or whole.
+class ChatHandler(handler.Handler):
+    """Validates chat requests and relays the answers, streamed or whole.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
-    :param client: asks the engines.
+    :param dispatch: places each attempt on an upstream.
+    :param client: sends attempts to engines.
     """
 
     path = "chat"
@@ -43,46 +43,46 @@
         super().__init__(env, dispatch)
         self._client = client
 
-    def answer(
+    def handle(
         self,
         call: calls.Call,
         team: declared.Team,
         table: declared.Declared,
     ) -> responses.Response:
-        understood = self._understand(call, team, table)
-        if isinstance(understood, refusal.Refusal):
-            return responses.refused(understood, call.request)
-        work, body = understood
+        parsed = self._parse(call, team, table)
+        if isinstance(parsed, refusal.Refusal):
+            return responses.from_refusal(parsed, call.request)
+        work, body = parsed
         relay = relays.Relay(
             self._env, self._dispatch, self._client, work, body["messages"]
         )
         if body.get("stream", False):
-            return self._stream(call, work, relay)
-        return self._collect(call, work, relay)
+            return self._respond_streamed(call, work, relay)
+        return self._respond_whole(call, work, relay)
 
-    def _understand(
+    def _parse(
         self,
         call: calls.Call,
         team: declared.Team,
         table: declared.Declared,
     ) -> tuple[works.Work, chatbody.ChatBody] | refusal.Refusal:
         deadline = call.deadline(
-            table.switches.default_deadline, self._env.bounds.deadline
+            table.switches.default_deadline, self._env.limits.max_deadline
         )
         if isinstance(deadline, refusal.Refusal):
             return deadline
-        raw = call.body(self._env.bounds.body)
+        raw = call.body(self._env.limits.max_body_size)
         if isinstance(raw, refusal.Refusal):
             return raw
-        body = chatbody.read(raw)
+        body = chatbody.decode(raw)
         if isinstance(body, refusal.Refusal):
             return body
         model = table.model_by_name.get(body["model"])
         if model is None:
-            return _no_model(body["model"])
-        return self._work(call, team, model, deadline, body)
+            return _unknown_model(body["model"])
+        return self._make_work(call, team, model, deadline, body)
 
-    def _work(
+    def _make_work(
         self,
         call: calls.Call,
         team: declared.Team,
@@ -90,44 +90,46 @@
         deadline: clock.Ms,
         body: chatbody.ChatBody,
     ) -> tuple[works.Work, chatbody.ChatBody] | refusal.Refusal:
-        prompt = chatbody.text(body)
-        if len(prompt) > self._env.bounds.prompt:
+        prompt = chatbody.prompt_text(body)
+        if len(prompt) > self._env.limits.max_prompt_length:
             return calls.malformed(
-                f"the messages have {len(prompt)} characters, the most is "
-                f"{self._env.bounds.prompt}"
+                f"the messages have {len(prompt)} characters, the limit is "
+                f"{self._env.limits.max_prompt_length}"
             )
-        asked = body.get("max_tokens", min(_DEFAULT_TOKENS, model.max_tokens))
-        if asked > model.max_tokens:
+        max_tokens = body.get(
+            "max_tokens", min(_DEFAULT_MAX_TOKENS, model.max_tokens)
+        )
+        if max_tokens > model.max_tokens:
             return calls.malformed(
-                f"max_tokens is {asked}, the most is {model.max_tokens}"
+                f"max_tokens is {max_tokens}, the limit is {model.max_tokens}"
             )
         work = works.Work(
             call.request,
             team.name,
             model.name,
-            call.arrived,
+            call.arrived_at,
             deadline,
-            len(prompt) // chatbody.CHARACTERS_A_TOKEN + 1,
-            asked,
+            len(prompt) // chatbody.CHARACTERS_PER_TOKEN + 1,
+            max_tokens,
             chatbody.fingerprint(body),
             chatbody.prefixes(prompt),
         )
         return work, body
 
-    def _collect(
+    def _respond_whole(
         self, call: calls.Call, work: works.Work, relay: relays.Relay
     ) -> responses.Response:
         parts: list[str] = []
         items = iter(relay)
         for item in items:
             if isinstance(item, refusal.Refusal):
-                return responses.refused(item, call.request)
+                return responses.from_refusal(item, call.request)
             if isinstance(item, str):
                 parts.append(item)
-            elif presence.gone(call.environ):
+            elif presence.has_left(call.environ):
                 items.close()
-                return responses.refused(_left(), call.request)
-        self._env.metrics.relayed(len(parts))
+                return responses.from_refusal(_caller_left(), call.request)
+        self._env.metrics.record_pieces(len(parts))
         body = chunk.whole(
             work.request,
             work.target,
@@ -135,36 +137,36 @@
             "".join(parts),
             relay.finish,
         )
-        return responses.whole(body)
+        return responses.from_body(body)
 
-    def _stream(
+    def _respond_streamed(
         self, call: calls.Call, work: works.Work, relay: relays.Relay
     ) -> responses.Response:
         items = iter(relay)
-        first = self._first(call, items)
+        first = self._first_text(call, items)
         if isinstance(first, refusal.Refusal):
-            return responses.refused(first, call.request)
-        made = [
+            return responses.from_refusal(first, call.request)
+        headers = [
             ("Content-Type", responses.EVENTS),
             ("Cache-Control", "no-store"),
         ]
         body = self._chunks(work, relay, first, items)
-        return responses.Response(responses.OK, made, body, "", True)
+        return responses.Response(responses.OK, headers, body, "", True)
 
-    def _first(
+    def _first_text(
         self, call: calls.Call, items: Iterator[relays.Item]
     ) -> str | refusal.Refusal:
-        # The status is not sent before there is text: a refusal that comes
-        # until then still gets its own status and Retry-After.
+        # The status is sent only once there is text, so that an earlier
+        # refusal still gets its own status and Retry-After.
         for item in items:
             if item is not heartbeat.HEARTBEAT:
                 if isinstance(item, str):
-                    took = self._env.clock.now() - call.arrived
-                    self._env.metrics.first_token(took)
+                    took = self._env.clock.now() - call.arrived_at
+                    self._env.metrics.record_first_token(took)
                 return item
-            if presence.gone(call.environ):
+            if presence.has_left(call.environ):
                 items.close()
-                return _left()
+                return _caller_left()
         return ""
 
     def _chunks(
@@ -175,7 +177,7 @@
         items: Iterator[relays.Item],
     ) -> Iterator[bytes]:
         created = self._env.clock.wall() // clock.SECOND
-        chunks = chunk.Chunks(work.request, work.target, created)
+        chunks = chunk.ChunkEncoder(work.request, work.target, created)
         pieces = 1
         try:
             yield chunks.text(first)
@@ -188,25 +190,25 @@
                     raise broken.AnswerBroken(
                         str(item.kind),
                         where=work.request,
-                        remedy="see the error event of the answer",
+                        remedy="see the error event of the stream",
                     )
                 else:
                     yield chunk.HEARTBEAT
             yield chunks.end(relay.finish)
         finally:
             items.close()
-            self._env.metrics.relayed(pieces)
+            self._env.metrics.record_pieces(pieces)
 
 
-def _no_model(name: str) -> refusal.Refusal:
+def _unknown_model(name: str) -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.NOT_FOUND,
-        f"there is no model {name[:80]!r}",
-        "name a model that the table declares",
+        f"model {name[:80]!r} is not declared",
+        "use the name of a declared model",
     )
 
 
-def _left() -> refusal.Refusal:
+def _caller_left() -> refusal.Refusal:
     return refusal.Refusal(
         refusal.RefusalKind.CALLER_LEFT,
         "the caller closed its connection",
--- a/src/citronvalve/entry/environment.py
+++ b/src/citronvalve/entry/environment.py
@@ -1,4 +1,4 @@
-"""The one object that carries what every handler needs."""
+"""Dependencies that all handlers share."""
 
 import random
 from typing import NamedTuple
@@ -10,26 +10,26 @@
 from citronvalve.model import invariant
 
 
-class Bounds(NamedTuple):
+class RequestLimits(NamedTuple):
     """Limits on what a caller may send.
 
-    ``body``: bytes of a body.  ``deadline``: longest deadline in ms.
-    ``prompt``: characters of all messages.
+    ``max_body_size`` is in bytes, ``max_deadline`` in ms;
+    ``max_prompt_length`` is in characters of all messages together.
     """
 
-    body: int = 1_048_576
-    deadline: clock.Ms = 600_000
-    prompt: int = 524_288
+    max_body_size: int = 1_048_576
+    max_deadline: clock.Ms = 600_000
+    max_prompt_length: int = 524_288
 
 
 class Environment(NamedTuple):
-    """Configuration and services of one daemon, passed to all handlers."""
+    """Configuration and dependencies of one daemon."""
 
     name: str
     datacentre: str
     clock: clock.Clock
-    chance: random.Random
+    rng: random.Random
     log: logbook.Logger
     metrics: metrics.Metrics
     invariants: invariant.Invariants
-    bounds: Bounds
+    limits: RequestLimits
--- a/src/citronvalve/entry/relay.py
+++ b/src/citronvalve/entry/relay.py
@@ -1,4 +1,4 @@
-"""Reads one answer from one upstream after another until it is whole."""
+"""Relays one answer, resuming it on other upstreams after failures."""
 
 from collections.abc import Iterator
 import itertools
@@ -9,37 +9,37 @@
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.upstreams import ask
 from citronvalve.upstreams import assembler as assemblers
 from citronvalve.upstreams import engineclient
 from citronvalve.upstreams import enginestream
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import heartbeat
+from citronvalve.upstreams import nextattempt
 from citronvalve.upstreams import order as orders
 from citronvalve.upstreams import resumption
-from citronvalve.upstreams import trouble
 
-#: Text to pass on, a sign of life, or why there is no whole answer; a
+#: Text to relay, a heartbeat, or why there is no complete answer; a
 #: refusal is the last item.
 Item = str | heartbeat.Heartbeat | refusal.Refusal
 
 _ENDING_BY_KIND = {
-    trouble.TroubleKind.BROKEN: dispatches.Ending.BROKEN,
-    trouble.TroubleKind.SILENT: dispatches.Ending.SILENT,
-    trouble.TroubleKind.DIVERGED: dispatches.Ending.DIVERGED,
-    trouble.TroubleKind.UNREACHED: dispatches.Ending.NOT_RUN,
-    trouble.TroubleKind.REFUSED: dispatches.Ending.REFUSED,
+    failure.FailureKind.BROKEN: dispatches.Ending.BROKEN,
+    failure.FailureKind.SILENT: dispatches.Ending.SILENT,
+    failure.FailureKind.DIVERGED: dispatches.Ending.DIVERGED,
+    failure.FailureKind.UNREACHED: dispatches.Ending.NOT_RUN,
+    failure.FailureKind.REFUSED: dispatches.Ending.REFUSED,
 }
 
 
 class Relay:
-    """One caller's answer, over all the connections it takes.
+    """Iterates over one caller's answer, over all attempts.
 
     :param env: the daemon's environment.
-    :param dispatch: decides where each try goes.
-    :param client: asks the engines.
-    :param work: the request, as the decisions see it.
+    :param dispatch: places each attempt on an upstream.
+    :param client: sends attempts to engines.
+    :param work: the request as used for placement.
     :param messages: the conversation.
-    :ivar finish: the engine's reason for the end; empty until then.
+    :ivar finish: the engine's finish reason; empty until the last piece.
     """
 
     def __init__(
@@ -61,103 +61,111 @@
 
     @property
     def finish(self) -> str:
-        """Return the engine's reason for the end."""
+        """Return the engine's finish reason."""
         return self._answer.finish
 
     def __iter__(self) -> Iterator[Item]:
-        after: ask.Ask | refusal.Refusal = dispatches.FIRST
-        tries = itertools.count(1)
-        while isinstance(after, ask.Ask):
-            placed = self._dispatch.place(self._work, after)
-            if isinstance(placed, refusal.Refusal):
-                after = placed
+        next_attempt: nextattempt.NextAttempt | refusal.Refusal = (
+            dispatches.FIRST_ATTEMPT
+        )
+        attempt_numbers = itertools.count(1)
+        while isinstance(next_attempt, nextattempt.NextAttempt):
+            placement = self._dispatch.place(self._work, next_attempt)
+            if isinstance(placement, refusal.Refusal):
+                next_attempt = placement
                 break
-            # Each try has an id of its own: the cancelling of one that broke
-            # may arrive after the next has begun on the same engine, and
-            # would end that one too.
-            self._answer.request = f"{self._work.request}.{next(tries)}"
-            met = yield from self._try(placed, after.offset)
-            if met is None:
+            # Each attempt has its own id: the cancellation of a failed one
+            # may arrive after the next has started on the same engine, and
+            # would cancel that one too.
+            self._answer.request = (
+                f"{self._work.request}.{next(attempt_numbers)}"
+            )
+            cause = yield from self._attempt(placement, next_attempt.offset)
+            if cause is None:
                 return
-            self._env.metrics.resumed(met.kind)
-            after = self._resumption.after(
-                met, placed.upstream, self._env.clock.now()
+            self._env.metrics.record_resume(cause.kind)
+            next_attempt = self._resumption.decide(
+                cause, placement.upstream, self._env.clock.now()
             )
-        yield after._replace(ran=self._ran)
+        yield next_attempt._replace(ran=self._ran)
 
-    def _try(
-        self, placed: dispatches.Placement, offset: int
-    ) -> Iterator[Item | trouble.Trouble]:
-        # A caller that leaves raises GeneratorExit in here, and must free
-        # the upstream as surely as an answer that ends.
+    def _attempt(
+        self, placement: dispatches.Placement, offset: int
+    ) -> Iterator[Item | failure.Failure]:
+        # If the caller disconnects, GeneratorExit is raised here; the slot
+        # on the upstream must be released in that case too.
         ending = dispatches.Ending.ABANDONED
         try:
             stream = self._client.generate(
-                placed.address, self._order(placed, offset), self._remaining()
+                placement.address,
+                self._order(placement, offset),
+                self._remaining(),
             )
-            if isinstance(stream, trouble.Trouble):
-                met = stream
+            if isinstance(stream, failure.Failure):
+                cause = stream
             else:
-                met = yield from self._read(stream, placed)
-            ending = self._ending(met)
-            return met
+                cause = yield from self._read_stream(stream, placement)
+            ending = self._ending(cause)
+            return cause
         finally:
-            self._dispatch.release(placed, ending)
+            self._dispatch.release(placement, ending)
 
-    def _read(
+    def _read_stream(
         self,
         stream: enginestream.EngineStream,
-        placed: dispatches.Placement,
-    ) -> Iterator[Item | trouble.Trouble]:
+        placement: dispatches.Placement,
+    ) -> Iterator[Item | failure.Failure]:
         if self._ran is ran.Ran.NO:
             self._ran = ran.Ran.UNKNOWN
-        whole = False
+        complete = False
         try:
             for item in stream:
                 if item is heartbeat.HEARTBEAT:
                     yield item
                     continue
-                met = yield from self._accept(item)
-                if met is not None:
-                    return self._client.failed(met, placed.address)
+                cause = yield from self._accept(item)
+                if cause is not None:
+                    return self._client.handle_failure(
+                        cause, placement.address
+                    )
                 if self._answer.finished:
-                    whole = True
-                    stream.finish()
+                    complete = True
+                    stream.drain()
                     return None
         finally:
             stream.close()
-            if not whole:
-                self._client.cancel(placed.address, self._answer.request)
+            if not complete:
+                self._client.cancel(placement.address, self._answer.request)
 
-    def _accept(self, item) -> Iterator[Item | trouble.Trouble]:
-        if isinstance(item, trouble.Trouble):
+    def _accept(self, item) -> Iterator[Item | failure.Failure]:
+        if isinstance(item, failure.Failure):
             return item
         text = self._answer.accept(item)
-        if isinstance(text, trouble.Trouble):
-            return None if text.cure is trouble.Cure.IGNORE else text
+        if isinstance(text, failure.Failure):
+            return None if text.recovery is failure.Recovery.IGNORE else text
         if text:
             self._ran = ran.Ran.YES
             yield text
         return None
 
-    def _ending(self, met: trouble.Trouble | None) -> dispatches.Ending:
-        if met is None:
+    def _ending(self, cause: failure.Failure | None) -> dispatches.Ending:
+        if cause is None:
             return dispatches.Ending.WHOLE
         if self._remaining() <= 0:
             return dispatches.Ending.ABANDONED
-        return _ENDING_BY_KIND.get(met.kind, dispatches.Ending.WRONG)
+        return _ENDING_BY_KIND.get(cause.kind, dispatches.Ending.WRONG)
 
     def _order(
-        self, placed: dispatches.Placement, offset: int
+        self, placement: dispatches.Placement, offset: int
     ) -> orders.GenerateOrder:
         return orders.GenerateOrder(
             request=self._answer.request,
             model=self._work.target,
             messages=self._messages,
-            max_tokens=self._work.output,
-            priority=placed.priority,
+            max_tokens=self._work.max_tokens,
+            priority=placement.priority,
             offset=offset,
-            fence=placed.fence,
+            fence=placement.fence,
         )
 
     def _remaining(self) -> clock.Ms:
--- a/src/citronvalve/upstreams/assembler.py
+++ b/src/citronvalve/upstreams/assembler.py
@@ -1,149 +1,157 @@
-"""Puts the pieces of one answer together, or says which piece is wrong."""
+"""Assembles one answer from pieces and rejects pieces that do not fit."""
 
 from citronvalve.model import invariant
+from citronvalve.upstreams import failure
 from citronvalve.upstreams import piece as pieces
-from citronvalve.upstreams import trouble
 
-#: How much text that the caller already has is asked for again on a
-#: resume, in characters.  Another upstream may have sampled other words;
-#: without an overlap its text would be joined unseen in mid-sentence.
-#: Some ten tokens tell two answers apart, and cost an engine a fraction of
-#: a second of a resume that is rare.
-OVERLAP = 32
+#: Characters before the current offset that a resume requests again.
+#: Another upstream may have sampled a different answer; without an overlap
+#: its text would be appended unnoticed in mid-sentence.  About ten tokens
+#: are enough to tell two answers apart, and they cost an engine a fraction
+#: of a second on a rare path.
+RESUME_OVERLAP = 32
 
 _CONTIGUOUS = "relayed text continues the caller's own answer"
 _WHOLE = "a whole answer ends where its last piece says"
 
 
 class Assembler:
-    """What a caller has of one answer so far, over all its connections.
+    """The part of one answer that was relayed, over all connections.
 
-    It holds the relayed text, since a repeat is trimmed only when it is
-    the same text: 4,096 tokens are about 16 KB, so 200 streams hold some
-    3 MB of a daemon's 256 MB.
+    The relayed text is kept, because repeated text is trimmed only after
+    it has been compared: 4,096 tokens are about 16 KB, so 200 streams hold
+    some 3 MB of a daemon's 256 MB.
 
-    :param request: id of the request that the answer belongs to; whoever
-        gives each try an id of its own sets it before the try.
-    :param promises: counts the invariants; a fresh one by default.
+    :param request: id of the current attempt; the owner sets it before
+        each attempt if attempts have ids of their own.
+    :param invariants: counts the invariant checks; a new one by default.
     :ivar offset: characters relayed so far.
-    :ivar finish: the reason of the end; empty until then.
+    :ivar finish: the finish reason; empty until the last piece.
     """
 
-    __slots__ = ("_parts", "_promises", "finish", "offset", "request")
+    __slots__ = ("_invariants", "_parts", "finish", "offset", "request")
 
     def __init__(
-        self, request: str, promises: invariant.Invariants | None = None
+        self, request: str, invariants: invariant.Invariants | None = None
     ) -> None:
         self.request = request
         self.offset = 0
         self.finish = ""
         self._parts: list[str] = []
-        self._promises = promises or invariant.Invariants()
+        self._invariants = invariants or invariant.Invariants()
 
     @property
     def finished(self) -> bool:
-        """Tell whether the last piece came and the answer is whole."""
+        """Return whether the last piece was accepted."""
         return bool(self.finish)
 
     @property
     def resume_at(self) -> int:
-        """Return the offset to ask for when resuming; see `OVERLAP`."""
-        return max(0, self.offset - OVERLAP)
+        """Return the offset to resume from; see `RESUME_OVERLAP`."""
+        return max(0, self.offset - RESUME_OVERLAP)
 
-    def accept(self, piece: pieces.Piece) -> str | trouble.Trouble:
-        """Take the next piece of any connection.
+    def accept(self, piece: pieces.Piece) -> str | failure.Failure:
+        """Check a piece of any connection and append its new text.
 
         :param piece: as the engine sent it.
-        :return: the text to pass on, which may be empty, or what is wrong;
-            after trouble the answer is as it was before.
+        :return: the text to relay, which may be empty, or why the piece
+            was rejected; a rejected piece does not change the answer.
         """
-        wrong = self._wrong(piece)
-        if wrong is not None:
-            return wrong
+        defect = self._find_defect(piece)
+        if defect is not None:
+            return defect
         text = piece.text
         if piece.offset != self.offset:
             text = text[self.offset - piece.offset :]
         if piece.finish:
-            return self._end(piece, text)
-        return self._extend(text, piece.offset + len(piece.text))
+            return self._append_last(piece, text)
+        return self._append(text, piece.offset + len(piece.text))
 
-    def whole(self) -> str | trouble.Trouble:
-        """Return the whole answer, for a caller who does not stream."""
+    def whole(self) -> str | failure.Failure:
+        """Return the whole answer, or a failure if it has not ended."""
         if not self.finish:
-            return self._trouble(
-                trouble.TroubleKind.BROKEN, f"no end after {self.offset}"
+            return self._failure(
+                failure.FailureKind.BROKEN,
+                f"no last piece after offset {self.offset}",
             )
-        text = self._relayed()
-        self._promises.check(_WHOLE, len(text) == self.offset, self.request)
+        text = self._relayed_text()
+        self._invariants.check(_WHOLE, len(text) == self.offset, self.request)
         return text
 
-    def _wrong(self, piece: pieces.Piece) -> trouble.Trouble | None:
+    def _find_defect(self, piece: pieces.Piece) -> failure.Failure | None:
         if piece.request != self.request:
-            return self._trouble(
-                trouble.TroubleKind.STRAY, f"a piece of {piece.request!r}"
+            return self._failure(
+                failure.FailureKind.STRAY,
+                f"the piece belongs to {piece.request!r}",
             )
         if piece.offset == self.offset and not self.finish:
             return None
         if piece.offset > self.offset:
-            return self._beyond(piece)
-        return self._overlapping(piece)
+            return self._defect_beyond_offset(piece)
+        return self._defect_in_overlap(piece)
 
-    def _beyond(self, piece: pieces.Piece) -> trouble.Trouble:
+    def _defect_beyond_offset(self, piece: pieces.Piece) -> failure.Failure:
         if self.finish:
-            return self._late()
-        return self._trouble(
-            trouble.TroubleKind.GAP,
-            f"{self.offset} relayed, the piece starts at {piece.offset}",
+            return self._late_failure()
+        return self._failure(
+            failure.FailureKind.GAP,
+            f"expected offset {self.offset}, the piece has {piece.offset}",
         )
 
-    def _overlapping(self, piece: pieces.Piece) -> trouble.Trouble | None:
+    def _defect_in_overlap(
+        self, piece: pieces.Piece
+    ) -> failure.Failure | None:
         if piece.offset < 0:
-            return self._trouble(
-                trouble.TroubleKind.MALFORMED, f"offset {piece.offset}"
+            return self._failure(
+                failure.FailureKind.MALFORMED,
+                f"the offset is negative: {piece.offset}",
             )
         if self.finish:
-            return self._late()
-        common = self.offset - piece.offset
-        had = self._relayed()[piece.offset : piece.offset + len(piece.text)]
-        if piece.text[:common] != had:
-            return self._trouble(
-                trouble.TroubleKind.DIVERGED,
-                f"other text at {piece.offset} than was relayed",
+            return self._late_failure()
+        overlap = self.offset - piece.offset
+        relayed = self._relayed_text()[
+            piece.offset : piece.offset + len(piece.text)
+        ]
+        if piece.text[:overlap] != relayed:
+            return self._failure(
+                failure.FailureKind.DIVERGED,
+                f"the text at offset {piece.offset} differs from relayed text",
             )
-        if piece.finish and len(piece.text) < common:
-            return self._trouble(
-                trouble.TroubleKind.DIVERGED,
-                f"ends at {piece.offset}, {self.offset} are relayed",
+        if piece.finish and len(piece.text) < overlap:
+            return self._failure(
+                failure.FailureKind.DIVERGED,
+                f"the end is at {piece.offset}, but {self.offset} are relayed",
             )
         return None
 
-    def _extend(self, text: str, end: int) -> str:
+    def _append(self, text: str, end: int) -> str:
         if not text:
             return text
-        self._promises.check(
+        self._invariants.check(
             _CONTIGUOUS, self.offset + len(text) == end, self.request
         )
         self._parts.append(text)
         self.offset = end
         return text
 
-    def _end(self, piece: pieces.Piece, text: str) -> str:
-        text = self._extend(text, piece.offset + len(piece.text))
+    def _append_last(self, piece: pieces.Piece, text: str) -> str:
+        text = self._append(text, piece.offset + len(piece.text))
         self.finish = piece.finish
         return text
 
-    def _relayed(self) -> str:
-        # Joined only when a repeat comes, never on the way of a token.
+    def _relayed_text(self) -> str:
+        # Joined lazily: only repeated text needs it, not each token.
         if len(self._parts) > 1:
             self._parts = ["".join(self._parts)]
         return self._parts[0] if self._parts else ""
 
-    def _late(self) -> trouble.Trouble:
-        return self._trouble(
-            trouble.TroubleKind.LATE, "a piece after the end of the answer"
+    def _late_failure(self) -> failure.Failure:
+        return self._failure(
+            failure.FailureKind.LATE,
+            "the piece came after the end of the answer",
         )
 
-    def _trouble(
-        self, kind: trouble.TroubleKind, reason: str
-    ) -> trouble.Trouble:
-        return trouble.Trouble(kind, reason, self.request)
+    def _failure(
+        self, kind: failure.FailureKind, reason: str
+    ) -> failure.Failure:
+        return failure.Failure(kind, reason, self.request)
--- a/src/citronvalve/upstreams/engineclient.py
+++ b/src/citronvalve/upstreams/engineclient.py
@@ -1,4 +1,4 @@
-"""Asks engines for answers and cancels them."""
+"""HTTP client for model engines."""
 
 import eventlet
 import msgspec
@@ -6,76 +6,82 @@
 
 from citronvalve.model import clock
 from citronvalve.upstreams import enginestream
-from citronvalve.upstreams import failures
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
 from citronvalve.upstreams import order as orders
 from citronvalve.upstreams import pools
-from citronvalve.upstreams import trouble
 
 _JSON = {"Content-Type": "application/json"}
 _CANCEL_TIMEOUT: clock.Ms = 1_000
-_SHOWN = 200
+_MAX_SHOWN_BYTES = 200
 
 
 class EngineClient:
-    """Speaks to all engines of this daemon.
+    """Sends generate and cancel requests to engines.
 
-    :param kept: the kept connections.
+    :param connections: the connection pools.
     """
 
-    def __init__(self, kept: pools.Pools) -> None:
-        self._pools = kept
+    def __init__(self, connections: pools.Pools) -> None:
+        self._pools = connections
 
     def generate(
         self, address: str, order: orders.GenerateOrder, remaining: clock.Ms
-    ) -> enginestream.EngineStream | trouble.Trouble:
-        """Ask for an answer.
+    ) -> enginestream.EngineStream | failure.Failure:
+        """Start generating an answer.
 
         :param address: host:port of the upstream.
         :param order: what to generate, from which offset.
         :param remaining: ms until the caller's deadline.
+        :return: the open stream, or why there is none.
         """
-        idle = min(pools.IDLE_TIMEOUT, max(1, remaining))
+        idle_timeout = min(pools.IDLE_TIMEOUT, max(1, remaining))
         try:
-            response = self._pools.of(address).urlopen(
+            response = self._pools.get(address).urlopen(
                 "POST",
                 "/generate",
                 body=msgspec.json.encode(order),
                 headers=_JSON,
                 retries=False,
                 redirect=False,
-                timeout=pools.timeout(idle),
+                timeout=pools.timeout(idle_timeout),
                 preload_content=False,
             )
-        except failures.ERRORS as error:
-            return self.failed(failures.read(error, address), address)
+        except httperror.ERRORS as error:
+            return self.handle_failure(
+                httperror.classify(error, address), address
+            )
         if response.status != 200:
-            return _refused(response, address)
+            return _read_rejection(response, address)
         return enginestream.EngineStream(response, address, remaining)
 
-    def failed(self, met: trouble.Trouble, address: str) -> trouble.Trouble:
-        """Drop the kept connections after a silence.
+    def handle_failure(
+        self, cause: failure.Failure, address: str
+    ) -> failure.Failure:
+        """Drop the pooled connections of an upstream that went silent.
 
-        :param met: the trouble met.
+        :param cause: why the attempt failed.
         :param address: host:port of the upstream.
+        :return: ``cause``.
         """
-        if met.kind is trouble.TroubleKind.SILENT:
+        if cause.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
-        return met
+        return cause
 
     def cancel(self, address: str, request: str) -> None:
-        """Tell an engine, without waiting, that nobody wants an answer.
+        """Cancel an attempt in the background.
 
         :param address: host:port of the upstream.
-        :param request: the request.
+        :param request: id of the attempt.
         """
-        # The caller's task goes on at once: an upstream that is gone would
-        # hold its answer back for the time of a connection attempt.
-        eventlet.spawn_n(self._cancel, address, request)
+        # In a task of its own: an unreachable upstream would delay the
+        # caller's answer by the connect timeout.
+        eventlet.spawn_n(self._send_cancel, address, request)
 
-    def _cancel(self, address: str, request: str) -> None:
+    def _send_cancel(self, address: str, request: str) -> None:
         body = msgspec.json.encode({"request": request})
         try:
-            self._pools.of(address).urlopen(
+            self._pools.get(address).urlopen(
                 "POST",
                 "/cancel",
                 body=body,
@@ -83,35 +89,35 @@
                 retries=False,
                 timeout=pools.timeout(_CANCEL_TIMEOUT),
             )
-        except failures.ERRORS:
-            # The engine notices the closed connection by itself, later.
+        except httperror.ERRORS:
+            # The engine detects the closed connection by itself, later.
             return
 
 
-def _refused(
+def _read_rejection(
     response: urllib3.BaseHTTPResponse, address: str
-) -> trouble.Trouble:
-    body = response.read(_SHOWN)
+) -> failure.Failure:
+    body = response.read(_MAX_SHOWN_BYTES)
     response.close()
     reason = f"status {response.status}: {body.decode(errors='replace')}"
     kind = (
-        trouble.TroubleKind.REFUSED
-        if says_not_run(body)
-        else trouble.TroubleKind.BROKEN
+        failure.FailureKind.REFUSED
+        if reports_not_run(body)
+        else failure.FailureKind.BROKEN
     )
-    return trouble.Trouble(kind, reason, address)
+    return failure.Failure(kind, reason, address)
 
 
-def says_not_run(body: bytes) -> bool:
-    """Tell whether an upstream's own words prove that nothing was run.
+def reports_not_run(body: bytes) -> bool:
+    """Return whether a response body proves that the request did not run.
 
-    A status alone proves nothing: something between the two ends may have
-    made it up after the upstream had run the request.
+    A status alone proves nothing: an intermediary may have produced it
+    after the upstream had run the request.
 
-    :param body: JSON with ``"ran": "no"`` when it did not run.
+    :param body: JSON with ``"ran": "no"`` if the request did not run.
     """
     try:
-        said = msgspec.json.decode(body)
+        decoded = msgspec.json.decode(body)
     except msgspec.MsgspecError:
         return False
-    return isinstance(said, dict) and said.get("ran") == "no"
+    return isinstance(decoded, dict) and decoded.get("ran") == "no"
--- a/src/citronvalve/upstreams/enginestream.py
+++ b/src/citronvalve/upstreams/enginestream.py
@@ -1,4 +1,4 @@
-"""One connection that an answer arrives on."""
+"""The response stream of one attempt on an engine."""
 
 from collections.abc import Iterator
 
@@ -6,68 +6,68 @@
 import urllib3
 
 from citronvalve.model import clock
-from citronvalve.upstreams import events
-from citronvalve.upstreams import failures
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import eventparser
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
 
-_BLOCK = 65_536
+_BLOCK_SIZE = 65_536
 
 
 class EngineStream:
-    """Yields pieces, heartbeats and, at the end, trouble if there is any.
+    """Iterates over pieces and heartbeats; a failure is the last item.
 
-    :param response: headers read, body not.
-    :param where: the upstream's address.
-    :param remaining: ms until the deadline, when reading is cut off.
+    :param response: its headers are read, its body is not.
+    :param address: host:port of the upstream.
+    :param remaining: ms until the deadline, at which reading is aborted.
     """
 
     def __init__(
         self,
         response: urllib3.BaseHTTPResponse,
-        where: str,
+        address: str,
         remaining: clock.Ms,
     ) -> None:
         self._response = response
-        self._where = where
-        # The idle limit alone would hold a caller of a slow engine until
-        # the next heartbeat after its deadline.
-        self._timer = eventlet.spawn_after(
-            max(0, remaining) / clock.SECOND, self._cut
+        self._address = address
+        # With the idle timeout alone, the caller of a slow engine would
+        # wait for the first heartbeat after its deadline.
+        self._deadline_timer = eventlet.spawn_after(
+            max(0, remaining) / clock.SECOND, self._shut_down
         )
-        self._whole = False
+        self._body_read = False
 
-    def __iter__(self) -> Iterator[events.Item]:
-        split = events.Events(self._where)
+    def __iter__(self) -> Iterator[eventparser.Item]:
+        parser = eventparser.EventParser(self._address)
         try:
-            for block in self._response.read_chunked(_BLOCK):
-                yield from split.feed(block)
-        except failures.ERRORS as error:
-            yield failures.read(error, self._where)
+            for block in self._response.read_chunked(_BLOCK_SIZE):
+                yield from parser.feed(block)
+        except httperror.ERRORS as error:
+            yield httperror.classify(error, self._address)
             return
-        self._whole = True
-        yield trouble.Trouble(
-            trouble.TroubleKind.BROKEN, "ended without a last piece"
+        self._body_read = True
+        yield failure.Failure(
+            failure.FailureKind.BROKEN, "the stream ended without a last piece"
         )
 
-    def finish(self) -> None:
-        """Read to the end of the body so that the connection is kept."""
+    def drain(self) -> None:
+        """Read the rest of the body so that the connection can be reused."""
         try:
             self._response.drain_conn()
-        except failures.ERRORS:
+        except httperror.ERRORS:
             return
-        self._whole = True
+        self._body_read = True
 
     def close(self) -> None:
-        """Give the connection back, or end it if the body is unread."""
-        self._timer.cancel()
-        if self._whole:
+        """Release the connection, or close it if the body is unread."""
+        self._deadline_timer.cancel()
+        if self._body_read:
             self._response.release_conn()
         else:
             self._response.close()
 
-    def _cut(self) -> None:
-        # Shutting down wakes the reader; closing would leave it waiting.
+    def _shut_down(self) -> None:
+        # A shutdown wakes the reader; a close would leave it blocked.
         try:
             self._response.shutdown()
-        except failures.ERRORS:
+        except httperror.ERRORS:
             return
--- a/src/citronvalve/upstreams/loadclient.py
+++ b/src/citronvalve/upstreams/loadclient.py
@@ -1,16 +1,16 @@
-"""Asks upstreams for their load reports."""
+"""Reads load reports from upstreams."""
 
 import msgspec
 
 from citronvalve.model import clock
 from citronvalve.model import load
 from citronvalve.model import missing
-from citronvalve.upstreams import failures
+from citronvalve.upstreams import httperror
 from citronvalve.upstreams import pools
 
-#: A report that takes longer would be old before it is used.
+#: A slower report would be outdated before it is used.
 _TIMEOUT: clock.Ms = 800
-_LARGEST = 65_536
+_MAX_BODY_SIZE = 65_536
 
 
 class _Report(msgspec.Struct):
@@ -22,44 +22,46 @@
 
 
 class LoadClient:
-    """Reads ``GET /load`` of any upstream.
+    """Client for ``GET /load``.
 
-    :param kept: the kept connections.
-    :param now: clock that reports are stamped by.
+    :param connections: the connection pools.
+    :param time_source: clock for the time stamps of reports.
     """
 
-    def __init__(self, kept: pools.Pools, now: clock.Clock) -> None:
-        self._pools = kept
-        self._clock = now
+    def __init__(
+        self, connections: pools.Pools, time_source: clock.Clock
+    ) -> None:
+        self._pools = connections
+        self._clock = time_source
 
-    def report(
+    def fetch_report(
         self, upstream: str, address: str
     ) -> load.LoadReport | missing.Unavailable:
-        """Read one report.
+        """Fetch one report.
 
-        :param upstream: its name.
-        :param address: its host:port.
+        :param upstream: name of the upstream.
+        :param address: host:port of the upstream.
         """
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         try:
-            read = self._read(address)
-        except (*failures.ERRORS, msgspec.MsgspecError) as error:
+            received = self._request(address)
+        except (*httperror.ERRORS, msgspec.MsgspecError) as error:
             self._pools.drop(address)
             return missing.Unavailable(str(error), f"{upstream} {address}")
-        # Stamped with the time of asking: the report may have been made at
-        # any moment since, and must not look younger than it is.
+        # Stamped with the time of the request: the report may have been
+        # made at any moment since, and must not look newer than it is.
         return load.LoadReport(
             upstream,
-            read.start_id,
-            read.running,
-            read.queued,
-            read.bears,
-            asked_at,
-            read.vms_missing,
+            received.start_id,
+            received.running,
+            received.queued,
+            received.bears,
+            requested_at,
+            received.vms_missing,
         )
 
-    def _read(self, address: str) -> _Report:
-        response = self._pools.of(address).urlopen(
+    def _request(self, address: str) -> _Report:
+        response = self._pools.get(address).urlopen(
             "GET",
             "/load",
             retries=False,
@@ -67,7 +69,7 @@
             timeout=pools.timeout(_TIMEOUT),
             preload_content=False,
         )
-        body = response.read(_LARGEST)
+        body = response.read(_MAX_BODY_SIZE)
         response.release_conn()
         if response.status != 200:
             raise ValueError(f"status {response.status}")
--- a/src/citronvalve/upstreams/plainclient.py
+++ b/src/citronvalve/upstreams/plainclient.py
@@ -1,109 +1,116 @@
-"""Calls plain services and reads their whole answers."""
+"""HTTP client for plain services."""
 
 import eventlet
 import urllib3
 
 from citronvalve.model import clock
 from citronvalve.upstreams import engineclient
-from citronvalve.upstreams import failures
-from citronvalve.upstreams import plaincall
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import httperror
+from citronvalve.upstreams import plainrequest
 from citronvalve.upstreams import pools
-from citronvalve.upstreams import trouble
 
-#: An answer above this is not passed on; it would fill a daemon's memory
-#: when many callers ask for it at once.
-LARGEST_ANSWER = 8 * 1024 * 1024
+#: In bytes.  Larger responses are rejected; many of them at once would
+#: exhaust the daemon's memory.
+MAX_RESPONSE_SIZE = 8 * 1024 * 1024
 
-_OCTETS = "application/octet-stream"
+_DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class PlainClient:
-    """Speaks to all plain services of this daemon.
+    """Sends requests to plain services and reads complete responses.
 
-    :param kept: the kept connections.
+    :param connections: the connection pools.
     """
 
-    def __init__(self, kept: pools.Pools) -> None:
-        self._pools = kept
+    def __init__(self, connections: pools.Pools) -> None:
+        self._pools = connections
 
-    def call(
-        self, address: str, call: plaincall.PlainCall
-    ) -> plaincall.PlainAnswer | trouble.Trouble:
-        """Carry out one call, once.
+    def send(
+        self, address: str, request: plainrequest.PlainRequest
+    ) -> plainrequest.PlainResponse | failure.Failure:
+        """Send a request once, without retries.
 
         :param address: host:port of the upstream.
-        :param call: what to pass on.
+        :param request: what to send.
+        :return: the complete response, or why there is none.
         """
-        pool = self._pools.of(address)
-        fresh = None
-        if call.fresh:
-            pool = fresh = urllib3.HTTPConnectionPool(pool.host, pool.port)
+        pool = self._pools.get(address)
+        own_pool = None
+        if request.new_connection:
+            pool = own_pool = urllib3.HTTPConnectionPool(pool.host, pool.port)
         try:
-            # The library bounds each receive, not the whole: a service
-            # that sends a byte now and then would hold its caller for ever.
-            with eventlet.Timeout(call.remaining / clock.SECOND):
-                return _whole(_send(pool, call), address)
+            # The library's timeout applies to each receive: a service that
+            # sends a byte now and then would block its caller forever.
+            with eventlet.Timeout(request.timeout / clock.SECOND):
+                return _read_response(_open(pool, request), address)
         except eventlet.Timeout:
             self._pools.drop(address)
-            return trouble.Trouble(
-                trouble.TroubleKind.SILENT,
-                f"no whole answer within {call.remaining} ms",
+            return failure.Failure(
+                failure.FailureKind.SILENT,
+                f"no complete response within {request.timeout} ms",
                 address,
             )
-        except failures.ERRORS as error:
-            return self._failed(failures.read(error, address), address)
+        except httperror.ERRORS as error:
+            return self._handle_failure(
+                httperror.classify(error, address), address
+            )
         finally:
-            if fresh:
-                fresh.close()
+            if own_pool:
+                own_pool.close()
 
-    def _failed(self, met: trouble.Trouble, address: str) -> trouble.Trouble:
-        if met.kind is trouble.TroubleKind.SILENT:
+    def _handle_failure(
+        self, cause: failure.Failure, address: str
+    ) -> failure.Failure:
+        if cause.kind is failure.FailureKind.SILENT:
             self._pools.drop(address)
-        return met
+        return cause
 
 
-def _send(
-    pool: urllib3.HTTPConnectionPool, call: plaincall.PlainCall
+def _open(
+    pool: urllib3.HTTPConnectionPool, request: plainrequest.PlainRequest
 ) -> urllib3.BaseHTTPResponse:
     return pool.urlopen(
-        call.method,
-        call.path,
-        body=call.body or None,
-        headers=call.headers,
+        request.method,
+        request.path,
+        body=request.body or None,
+        headers=request.headers,
         retries=False,
         redirect=False,
-        timeout=pools.timeout(max(1, call.remaining)),
+        timeout=pools.timeout(max(1, request.timeout)),
         preload_content=False,
     )
 
 
-def _whole(
+def _read_response(
     response: urllib3.BaseHTTPResponse, address: str
-) -> plaincall.PlainAnswer | trouble.Trouble:
-    body = response.read(LARGEST_ANSWER + 1, decode_content=False)
-    wrong = _incomplete(response, body)
-    if wrong:
+) -> plainrequest.PlainResponse | failure.Failure:
+    body = response.read(MAX_RESPONSE_SIZE + 1, decode_content=False)
+    defect = _find_defect(response, body)
+    if defect:
         response.close()
-        return trouble.Trouble(trouble.TroubleKind.BROKEN, wrong, address)
+        return failure.Failure(failure.FailureKind.BROKEN, defect, address)
     response.release_conn()
-    if response.status == 503 and engineclient.says_not_run(body):
-        return trouble.Trouble(
-            trouble.TroubleKind.REFUSED, "the service refused it", address
+    if response.status == 503 and engineclient.reports_not_run(body):
+        return failure.Failure(
+            failure.FailureKind.REFUSED,
+            "the service refused the request",
+            address,
         )
-    kind = response.headers.get("Content-Type", _OCTETS)
-    return plaincall.PlainAnswer(response.status, kind, body)
+    content_type = response.headers.get("Content-Type", _DEFAULT_CONTENT_TYPE)
+    return plainrequest.PlainResponse(response.status, content_type, body)
 
 
-def _incomplete(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
-    """Tell why an answer can't be passed on as whole; empty if it can.
+def _find_defect(response: urllib3.BaseHTTPResponse, body: bytes) -> str:
+    """Return why a response is unusable, or an empty string.
 
-    Read with a limit, the library takes the end of the connection for the
-    end of the body: half a certificate would go out as a whole one.
+    When reading with a limit, the library treats the end of the connection
+    as the end of the body: a truncated certificate would look complete.
     """
-    if len(body) > LARGEST_ANSWER:
-        return "the answer is too large"
+    if len(body) > MAX_RESPONSE_SIZE:
+        return "the response is too large"
     if response.length_remaining:
-        return f"the answer lacks {response.length_remaining} bytes"
+        return f"the response lacks {response.length_remaining} bytes"
     if response.length_remaining is None and not response.chunked:
-        return "the answer has no length and no chunks to tell its end by"
+        return "the response has neither Content-Length nor chunked encoding"
     return ""
--- a/src/citronvalve/upstreams/resumption.py
+++ b/src/citronvalve/upstreams/resumption.py
@@ -1,28 +1,28 @@
-"""Decides how an answer goes on after its stream broke."""
+"""Decides whether and where a failed stream is resumed."""
 
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.upstreams import ask
 from citronvalve.upstreams import assembler
-from citronvalve.upstreams import trouble
+from citronvalve.upstreams import failure
+from citronvalve.upstreams import nextattempt
 
-#: Resumes in a row that brought no text.  Made for an upstream lost at
-#: full load: one resume finds another upstream, the second a slot there.
-#: More of them would turn each lost upstream into a burst on the others.
-MOST_FRUITLESS = 3
+#: Limit of consecutive resumes without new text.  When an upstream is lost
+#: at full load, one resume finds another upstream and the second a slot
+#: there.  A higher limit would turn each loss into a burst on the others.
+MAX_FRUITLESS_RESUMES = 3
 
-#: Resumes of one answer in all.  An engine that breaks after each token
-#: makes progress each time, and would otherwise be asked once a token
+#: Limit of resumes of one answer.  An engine that fails after each token
+#: makes progress each time, and would otherwise get one attempt per token
 #: until the deadline.
-MOST_IN_ALL = 8
+MAX_RESUMES = 8
 
 
 class Resumption:
-    """The resumes of one answer so far.
+    """Tracks the resumes of one answer.
 
-    :param answer: the answer that is put together.
-    :param deadline: monotonic time in ms that the answer is due by.
+    :param answer: the answer that is being assembled.
+    :param deadline: deadline of the answer, in monotonic ms.
     """
 
     def __init__(
@@ -31,58 +31,65 @@
         self._answer = answer
         self._deadline = deadline
         self._resumes = 0
-        self._fruitless = 0
-        self._reached = 0
-        self._never: list[str] = []
-        self._avoid: list[str] = []
+        self._fruitless_resumes = 0
+        self._last_offset = 0
+        self._excluded: list[str] = []
+        self._avoided: list[str] = []
 
-    def after(
-        self, wrong: trouble.Trouble, upstream: str, now: clock.Ms
-    ) -> ask.Ask | refusal.Refusal | None:
-        """Decide what follows a piece that was not passed on.
+    def decide(
+        self, cause: failure.Failure, upstream: str, now: clock.Ms
+    ) -> nextattempt.NextAttempt | refusal.Refusal | None:
+        """Decide how to proceed after a failure.
 
-        :param wrong: the trouble.
-        :param upstream: name of the upstream that it came from.
+        :param cause: the failure.
+        :param upstream: name of the upstream that failed.
         :param now: monotonic time in ms.
-        :return: whom to ask for the rest, why the caller gets no whole
-            answer, or None to go on reading.
+        :return: the next attempt, the refusal that ends the answer, or
+            None to continue reading.
         """
-        if wrong.cure is trouble.Cure.IGNORE:
+        if cause.recovery is failure.Recovery.IGNORE:
             return None
-        self._blame(wrong.cure, upstream)
-        self._count()
+        self._skip_upstream(cause.recovery, upstream)
+        self._count_resume()
         if now >= self._deadline:
-            return self._refusal(refusal.RefusalKind.DEADLINE_PASSED, wrong)
-        if self._resumes > MOST_IN_ALL or self._fruitless > MOST_FRUITLESS:
-            return self._refusal(refusal.RefusalKind.UPSTREAM_FAILED, wrong)
-        return ask.Ask(
-            self._answer.resume_at, tuple(self._never), tuple(self._avoid)
+            return self._refusal(refusal.RefusalKind.DEADLINE_PASSED, cause)
+        if (
+            self._resumes > MAX_RESUMES
+            or self._fruitless_resumes > MAX_FRUITLESS_RESUMES
+        ):
+            return self._refusal(refusal.RefusalKind.UPSTREAM_FAILED, cause)
+        return nextattempt.NextAttempt(
+            self._answer.resume_at, tuple(self._excluded), tuple(self._avoided)
         )
 
-    def _blame(self, cure: trouble.Cure, upstream: str) -> None:
-        blamed = (
-            self._never
-            if cure is trouble.Cure.RESUME_ELSEWHERE
-            else self._avoid
+    def _skip_upstream(
+        self, recovery: failure.Recovery, upstream: str
+    ) -> None:
+        skipped = (
+            self._excluded
+            if recovery is failure.Recovery.RESUME_ELSEWHERE
+            else self._avoided
         )
-        if upstream not in blamed:
-            blamed.append(upstream)
+        if upstream not in skipped:
+            skipped.append(upstream)
 
-    def _count(self) -> None:
-        grown = self._answer.offset > self._reached
-        self._reached = self._answer.offset
-        self._fruitless = 1 if grown else self._fruitless + 1
+    def _count_resume(self) -> None:
+        progressed = self._answer.offset > self._last_offset
+        self._last_offset = self._answer.offset
+        self._fruitless_resumes = (
+            1 if progressed else self._fruitless_resumes + 1
+        )
         self._resumes += 1
 
     def _refusal(
-        self, kind: refusal.RefusalKind, wrong: trouble.Trouble
+        self, kind: refusal.RefusalKind, cause: failure.Failure
     ) -> refusal.Refusal:
-        # What was relayed was generated, so that "no" would be untrue; an
-        # answer of a model may be asked for again.
+        # Relayed text was generated, so "no" would be false.  Generating
+        # an answer again does no harm.
         return refusal.Refusal(
             kind,
-            f"the answer broke off at {self._answer.offset} characters"
-            f" ({wrong.kind}: {wrong.reason})",
-            "drop what was streamed and send the request again",
+            f"the answer broke off after {self._answer.offset} characters"
+            f" ({cause.kind}: {cause.reason})",
+            "discard the streamed text and send the request again",
             ran.Ran.YES if self._answer.offset else ran.Ran.UNKNOWN,
         )
--- a/tests/answers/steps/assembler_steps.py
+++ b/tests/answers/steps/assembler_steps.py
@@ -1,4 +1,4 @@
-"""Steps about putting answers together."""
+"""Steps about the assembly of answers."""
 
 import behave
 import parse
@@ -35,9 +35,9 @@
 
 @behave.then("it gives {result:w}")
 def step_gives(context, result):
-    seen = context.result
-    kind = seen.kind.value if missing.is_missing(seen) else "text"
-    assert kind == result, seen
+    actual = context.result
+    kind = actual.kind.value if missing.is_missing(actual) else "text"
+    assert kind == result, actual
 
 
 @behave.then('the caller has "{text}"')
@@ -60,9 +60,9 @@
 
 @behave.when('the machine "{name}" runs')
 def step_machine(context, name):
-    context.count_by_promise = machinery.run(name)
+    context.count_by_invariant = machinery.run(name)
 
 
-@behave.then("both promises were looked at")
-def step_promises(context):
-    assert len(context.count_by_promise) == 2, context.count_by_promise
+@behave.then("both invariants were checked")
+def step_invariants(context):
+    assert len(context.count_by_invariant) == 2, context.count_by_invariant
--- a/tests/entry/environment.py
+++ b/tests/entry/environment.py
@@ -1,4 +1,4 @@
-"""One deployment serves all scenarios about callers."""
+"""Starts one deployment per feature."""
 
 import json
 
@@ -22,16 +22,16 @@
 
 
 def after_scenario(context, scenario):
-    """Assert that no scenario leaves a request behind."""
+    """Check that no request is left in progress."""
 
     def clean():
-        told = fleets.status(context.made.addresses())
+        status = fleets.status(context.made.addresses())
         loads = [
             json.loads(urllib3.request("GET", f"http://{a}/load").data)
             for a in context.engines
         ]
-        return told["in_progress"] == 0 and not any(
+        return status["in_progress"] == 0 and not any(
             load["running"] for load in loads
         )
 
-    drill.eventually(clean, "no request left in the daemon or an engine")
+    drill.eventually(clean, "no request is left in the daemon or an engine")
--- a/tests/entry/steps/leaving_steps.py
+++ b/tests/entry/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers that go away."""
+"""Steps about callers that disconnect or stop reading."""
 
 import json
 import socket
@@ -10,7 +10,7 @@
 from tests import drill
 
 
-def _ask(context, count, how, buffer=0):
+def _send_chat(context, count, how, buffer=0):
     host, _, port = context.made.addresses().callers.rpartition(":")
     body = json.dumps(
         {
@@ -30,7 +30,9 @@
         b"Authorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s"
         % (deployments.TOKEN.encode(), len(body), body)
     )
-    drill.eventually(lambda: _running(context) == 1, "the engine runs it")
+    drill.eventually(
+        lambda: _running(context) == 1, "the engine runs the request"
+    )
     return peer
 
 
@@ -43,17 +45,17 @@
 
 
 @behave.when(
-    "a caller leaves in the middle of a {how} answer of {count:d} tokens"
+    "a caller disconnects in the middle of a {how} answer of {count:d} tokens"
 )
 def step_leave(context, how, count):
     context.log_from = len(_lines(context))
-    _ask(context, count, how).close()
+    _send_chat(context, count, how).close()
 
 
 @behave.when("a caller of a streamed answer of {count:d} tokens reads nothing")
 def step_no_read(context, count):
     context.log_from = len(_lines(context))
-    _ask(context, count, "streamed", buffer=2_048)
+    _send_chat(context, count, "streamed", buffer=2_048)
 
 
 def _lines(context):
--- a/tests/entry/steps/plain_steps.py
+++ b/tests/entry/steps/plain_steps.py
@@ -1,68 +1,66 @@
-"""Steps about plain services that misbehave."""
+"""Steps about plain services with faults."""
 
 import time
 
 import behave
 import urllib3
 
-_SLACK = 400
+_TOLERANCE = 400
 
 
-def _order(address, fault, calls):
+def _inject_fault(address, fault, calls):
     body = {"fault": fault, "calls": calls}
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
 
 @behave.given("the record service will {fault} {often}")
 def step_fault(context, fault, often):
-    _order(context.records, fault, 1 if often == "once" else -1)
-    context.add_cleanup(_order, context.records, "", 0)
+    _inject_fault(context.records, fault, 1 if often == "once" else -1)
+    context.add_cleanup(_inject_fault, context.records, "", 0)
 
 
-def _timed(context, span, *ask):
-    began = time.monotonic()
-    context.seen = context.made.caller().call(
-        *ask, headers={"X-Deadline-Ms": str(span)}
+def _timed_call(context, timeout, *request):
+    started = time.monotonic()
+    context.response = context.made.caller().call(
+        *request, headers={"X-Deadline-Ms": str(timeout)}
     )
-    context.took = (time.monotonic() - began) * 1_000
-    context.span = span
+    context.took = (time.monotonic() - started) * 1_000
+    context.timeout = timeout
 
 
 @behave.when("a caller looks a record up within {span:d} ms")
 def step_look_up(context, span):
-    _timed(context, span, "GET", "records/bags/1")
+    _timed_call(context, span, "GET", "records/bags/1")
 
 
-@behave.when(
-    "a caller has a certificate issued within {span:d} ms, without a key"
-)
+@behave.when("a caller orders a certificate within {span:d} ms, without a key")
 def step_issue(context, span):
-    runs = urllib3.request("GET", f"http://{context.records}/asked").json()
-    context.asked = runs
-    _timed(context, span, "POST", "records/certificates", b"{}")
+    count = urllib3.request("GET", f"http://{context.records}/asked").json()
+    context.request_count = count
+    _timed_call(context, span, "POST", "records/certificates", b"{}")
 
 
 @behave.then("it gets the record in time")
 def step_record(context):
-    assert context.seen.status == 200, context.seen
-    assert context.took < context.span, context.took
+    assert context.response.status == 200, context.response
+    assert context.took < context.timeout, context.took
 
 
-@behave.then("it is told that there was no answer, in time")
-def step_none(context):
-    assert context.seen.status == 504, context.seen
-    assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _SLACK, context.took
+@behave.then("it gets a timeout error in time")
+def step_timeout(context):
+    assert context.response.status == 504, context.response
+    assert context.response.problem["ran"] == "unknown", context.response
+    assert context.took < context.timeout + _TOLERANCE, context.took
 
 
-@behave.then("it is told that the outcome is unknown, in time")
+@behave.then("it gets an error in time that the outcome is unknown")
 def step_unknown(context):
-    assert context.seen.status == 502, context.seen
-    assert context.seen.problem["ran"] == "unknown", context.seen
-    assert context.took < context.span + _SLACK, context.took
+    assert context.response.status == 502, context.response
+    assert context.response.problem["ran"] == "unknown", context.response
+    assert context.took < context.timeout + _TOLERANCE, context.took
 
 
-@behave.then("the service was asked once")
+@behave.then("the service got one request")
 def step_once(context):
-    asked = urllib3.request("GET", f"http://{context.records}/asked").json()
-    assert asked == context.asked + 1, (asked, context.asked)
+    count = urllib3.request("GET", f"http://{context.records}/asked").json()
+    assert count == context.request_count + 1, (count, context.request_count)
--- a/tests/entry/steps/whole_steps.py
+++ b/tests/entry/steps/whole_steps.py
@@ -9,15 +9,15 @@
 from standins import answer
 from standins import deployment as deployments
 
-_PROMPT = "Which code fits a leather case?"
+_SHARED_PROMPT = "Which code fits a leather case?"
 
-#: Scenarios before this one break connections with the other prompt, and a
-#: request that may have crashed engines waits for their next reports.
-_OWN_PROMPT = "How old is bag 7?"
+#: Earlier scenarios break connections with the other prompt, and a request
+#: that may have crashed engines is held back until their next reports.
+_DEADLINE_PROMPT = "How old is bag 7?"
 _MODEL = deployments.MODEL
 
 
-def _order(address, fault, calls):
+def _inject_fault(address, fault, calls):
     body = {"fault": fault, "calls": calls}
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
@@ -25,50 +25,48 @@
 @behave.given("the engines will {fault} once")
 def step_fault(context, fault):
     for address in context.engines:
-        _order(address, fault, 1)
-        context.add_cleanup(_order, address, "", 0)
+        _inject_fault(address, fault, 1)
+        context.add_cleanup(_inject_fault, address, "", 0)
 
 
 @behave.given("every engine cuts every answer")
 def step_cut(context):
     for address in context.engines:
-        _order(address, "cut", -1)
-        context.add_cleanup(_order, address, "", 0)
+        _inject_fault(address, "cut", -1)
+        context.add_cleanup(_inject_fault, address, "", 0)
 
 
 @behave.when("a caller asks for {count:d} tokens, {how}")
 def step_ask(context, count, how):
     context.count = count
-    context.seen = context.made.caller().chat(
-        _MODEL, _PROMPT, tokens=count, stream=how == "streamed"
+    context.response = context.made.caller().chat(
+        _MODEL, _SHARED_PROMPT, tokens=count, stream=how == "streamed"
     )
 
 
 @behave.then("it reads the whole answer, word for word")
 def step_whole(context):
-    expected = answer.whole(_MODEL, _PROMPT, context.count)
-    assert context.seen.whole, context.seen
-    assert context.seen.text == expected, context.seen
+    expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
+    assert context.response.whole, context.response
+    assert context.response.text == expected, context.response
 
 
-@behave.then(
-    "it is told by an error event, and the connection does not end clean"
-)
-def step_told(context):
-    seen = context.seen
-    expected = answer.whole(_MODEL, _PROMPT, context.count)
-    assert not seen.whole, seen
-    assert expected.startswith(seen.text), seen
-    assert seen.problem["ran"] == "yes", seen
-    assert not seen.clean, seen
+@behave.then("it gets an error event, and the response does not end cleanly")
+def step_error(context):
+    response = context.response
+    expected = answer.whole(_MODEL, _SHARED_PROMPT, context.count)
+    assert not response.whole, response
+    assert expected.startswith(response.text), response
+    assert response.problem["ran"] == "yes", response
+    assert not response.clean, response
 
 
 @behave.when("{count:d} callers ask different questions at the same time")
 def step_many(context, count):
     def ask(number):
         prompt = f"question {number}"
-        seen = context.made.caller().chat(_MODEL, prompt, tokens=30)
-        return seen, answer.whole(_MODEL, prompt, 30)
+        response = context.made.caller().chat(_MODEL, prompt, tokens=30)
+        return response, answer.whole(_MODEL, prompt, 30)
 
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
         context.pairs = list(pool.map(ask, range(count)))
@@ -76,21 +74,21 @@
 
 @behave.then("each reads the answer to its own question")
 def step_own(context):
-    for seen, expected in context.pairs:
-        assert seen.whole and seen.text == expected, seen
+    for response, expected in context.pairs:
+        assert response.whole and response.text == expected, response
 
 
 @behave.when("a caller asks for {count:d} tokens within {span:d} ms")
 def step_within(context, count, span):
-    began = time.monotonic()
-    context.seen = context.made.caller().chat(
-        _MODEL, _OWN_PROMPT, tokens=count, deadline=span
+    started = time.monotonic()
+    context.response = context.made.caller().chat(
+        _MODEL, _DEADLINE_PROMPT, tokens=count, deadline=span
     )
-    context.took = (time.monotonic() - began) * 1_000
+    context.took = (time.monotonic() - started) * 1_000
 
 
-@behave.then("it is told that the deadline passed, at once")
+@behave.then("it gets an error at once that the deadline passed")
 def step_late(context):
-    told = context.seen.problem["type"]
-    assert told.endswith(":deadline-passed"), context.seen
+    problem_type = context.response.problem["type"]
+    assert problem_type.endswith(":deadline-passed"), context.response
     assert context.took < 800, context.took
