--- a/src/citronvalve/policy/crashfence.py
+++ b/src/citronvalve/policy/crashfence.py
@@ -8,7 +8,6 @@
 #: dozen, so that this holds hundreds of crashes.
 _MAX_FINGERPRINTS = 10_000
 
-
 #: A healthy upstream reports within this time after a connection to it
 #: broke.  One that doesn't is considered dead.
 _REPORT_TIMEOUT: clock.Ms = 5_000
@@ -134,8 +133,8 @@
         if not fingerprint or not self._suspicions_by_upstream:
             return 0
         return sum(
-            fingerprint in seen
-            for seen in self._suspicions_by_upstream.values()
+            fingerprint in suspicions
+            for suspicions in self._suspicions_by_upstream.values()
         )
 
     def record_remote_loss(self, loss: Loss, now: clock.Ms) -> None:
