--- a/tests/entry/badinput.feature
+++ b/tests/entry/badinput.feature
@@ -8,7 +8,7 @@
 
     Examples:
       | mistake                | status | kind          | named           |
-      | a body that is no JSON | 400    | malformed     | JSON            |
+      | a body that isn't JSON | 400    | malformed     | JSON            |
       | an empty body          | 400    | malformed     | chat request    |
       | no messages            | 400    | malformed     | messages        |
       | empty messages         | 400    | malformed     | messages        |
--- a/tests/entry/steps/badinput_steps.py
+++ b/tests/entry/steps/badinput_steps.py
@@ -26,7 +26,7 @@
 
 
 _CHAT_BY_MISTAKE = {
-    "a body that is no JSON": _request(b"hello JSON"),
+    "a body that isn't JSON": _request(b"hello JSON"),
     "an empty body": _request(b""),
     "no messages": _request(_without("messages")),
     "empty messages": _request(_VALID_BODY | {"messages": []}),
--- a/tests/entry/steps/plain_steps.py
+++ b/tests/entry/steps/plain_steps.py
@@ -13,7 +13,7 @@
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
 
-@behave.given("the record service will {fault} {often}")
+@behave.given("the record service injects the fault {fault} {often}")
 def step_fault(context, fault, often):
     _inject_fault(context.records, fault, 1 if often == "once" else -1)
     context.add_cleanup(_inject_fault, context.records, "", 0)
@@ -28,7 +28,7 @@
     context.timeout = timeout
 
 
-@behave.when("a caller looks a record up within {span:d} ms")
+@behave.when("a caller looks up a record within {span:d} ms")
 def step_look_up(context, span):
     _timed_call(context, span, "GET", "records/bags/1")
 
--- a/tests/entry/steps/whole_steps.py
+++ b/tests/entry/steps/whole_steps.py
@@ -22,7 +22,7 @@
     urllib3.request("POST", f"http://{address}/faults", json=body)
 
 
-@behave.given("the engines will {fault} once")
+@behave.given("each engine injects the fault {fault} once")
 def step_fault(context, fault):
     for address in context.engines:
         _inject_fault(address, fault, 1)
--- a/tests/entry/whole.feature
+++ b/tests/entry/whole.feature
@@ -5,7 +5,7 @@
   an error.
 
   Scenario Outline: an engine with fault <fault>, answer <how>
-    Given the engines will <fault> once
+    Given each engine injects the fault <fault> once
     When a caller asks for 40 tokens, <how>
     Then it reads the whole answer, word for word
 
@@ -21,7 +21,7 @@
       | refuse | streamed  |
 
   Scenario: an engine goes silent in the middle of an answer
-    Given the engines will silent once
+    Given each engine injects the fault silent once
     When a caller asks for 40 tokens, streamed
     Then it reads the whole answer, word for word
 
