--- a/src/citronvalve/entry/view.py
+++ b/src/citronvalve/entry/view.py
@@ -10,7 +10,9 @@
 #: Older group routes are not used: the group's watcher may have stopped,
 #: and a VM may have died since.  Equal to the bound on failure detection.
 _MAX_ROUTE_AGE: clock.Ms = 3_000
-_NEVER_FALLS = "an accepted table version is never replaced by a lower one"
+_VERSION_NEVER_DECREASES = (
+    "an accepted table version is never replaced by a lower one"
+)
 
 
 class View:
@@ -63,7 +65,7 @@
         ]
 
     def serving_groups(self) -> tuple[declared.Upstream, ...]:
-        """Return the groups that serve as upstreams, sorted by name."""
+        """Return the serving groups as upstreams, sorted by name."""
         now = self._clock.now()
         return tuple(
             route.upstream
@@ -103,6 +105,8 @@
     def update_table(self, table: declared.Declared) -> bool:
         """Put a table in force if its version is newer.
 
+        An equal version confirms the table in force.
+
         :param table: a valid table; one with a lower version, from a late
             response or an outdated peer, is ignored.
         :return: whether the version was newer.
@@ -113,7 +117,7 @@
         if table.version == self.version:
             return False
         self._invariants.check(
-            _NEVER_FALLS,
+            _VERSION_NEVER_DECREASES,
             table.version > self.version,
             f"{self.version} to {table.version}",
         )
@@ -129,7 +133,7 @@
         if table.version < self.version:
             return False
         self._invariants.check(
-            _NEVER_FALLS,
+            _VERSION_NEVER_DECREASES,
             table.version >= self.version,
             f"{self.version} to {table.version}",
         )
