--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -19,16 +19,16 @@
 from citronvalve.daemon import ports as ports_
 from citronvalve.daemon import runnerlist
 from citronvalve.forward import acceptor
-from citronvalve.forward import crashes
+from citronvalve.forward import admission
+from citronvalve.forward import connectionpool
+from citronvalve.forward import crashdetector
+from citronvalve.forward import dependencies as means_
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
 from citronvalve.forward import forwarder
-from citronvalve.forward import intake
-from citronvalve.forward import links
-from citronvalve.forward import means as means_
-from citronvalve.forward import placing
-from citronvalve.forward import repeats
-from citronvalve.forward import stalls
+from citronvalve.forward import placement
+from citronvalve.forward import retrybudgets
+from citronvalve.forward import stalldetector
 from citronvalve.model import clock
 from citronvalve.model import errors
 from citronvalve.policy import upstreamchoice
@@ -102,21 +102,23 @@
 
     def _make_forwarding(self) -> None:
         env, settings = self.env, self._settings
-        self._stalls = stalls.Stalls(env, self._book)
-        kept = links.Links(env.clock)
-        self._crashes = crashes.Crashes(env, kept)
-        self._means = means_.Means(
+        self._stalls = stalldetector.StallDetector(env, self._book)
+        kept = connectionpool.ConnectionPool(env.clock)
+        self._crashes = crashdetector.CrashDetector(env, kept)
+        self._means = means_.Dependencies(
             env,
             self.directory,
             self._book,
             kept,
-            placing.Placing(env, self.directory, self._book, settings.cold),
-            repeats.Repeats(env, settings.repeats),
+            placement.Placement(
+                env, self.directory, self._book, settings.cold
+            ),
+            retrybudgets.RetryBudgets(env, settings.repeats),
             self._stalls,
             self._crashes,
         )
         self._forwarder = forwarder.Forwarder(
-            self._means, intake.Intake(env, self.directory)
+            self._means, admission.Admission(env, self.directory)
         )
 
     def _make_leading(self) -> None:
--- a/src/citronvalve/daemon/entrysettings.py
+++ b/src/citronvalve/daemon/entrysettings.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from citronvalve.forward import placing
+from citronvalve.forward import placement
 from citronvalve.model import clock
 from citronvalve.policy import retrybudget
 
@@ -21,7 +21,7 @@
     operators: str
     peers: str
     repeats: retrybudget.RetryLimits
-    cold: placing.ColdTerms
+    cold: placement.ColdLimits
     grace: clock.Ms
     stall: clock.Ms
     first_start: bool
--- a/src/citronvalve/daemon/ports.py
+++ b/src/citronvalve/daemon/ports.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from citronvalve.daemon import entrysettings
-from citronvalve.forward import dialect
+from citronvalve.forward import headernames
 from citronvalve.model import missing
 from citronvalve.replicas import runner
 from citronvalve.replicas import runnerclient
@@ -31,6 +31,6 @@
     datacentre_out: Callable[[str], str | None]
     catalogue_key: str
     orders: runnerclient.RunnerClient
-    dialect: dialect.Dialect
+    dialect: headernames.HeaderNames
     ready_path: str
     reload: Callable[[], entrysettings.EntrySettings]
--- a/src/citronvalve/forward/intake.py
+++ b/src/citronvalve/forward/admission.py
@@ -1,9 +1,9 @@
 """Decides whether a caller's request is one that may be served at all."""
 
 from citronvalve.forward import callerrequest
-from citronvalve.forward import demand as demands
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
+from citronvalve.forward import routedrequest as demands
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.routes import catalogue as catalogues
@@ -22,7 +22,7 @@
 _Kind = refusal.RefusalKind
 
 
-class Intake:
+class Admission:
     """Finds route, team and service of a request.
 
     :param env: the daemon's environment.
@@ -39,7 +39,7 @@
 
     def admit(
         self, request: callerrequest.CallerRequest
-    ) -> demands.Demand | refusal.Refusal:
+    ) -> demands.RoutedRequest | refusal.Refusal:
         """Return what is asked for, or why it can't be served.
 
         :param request: the caller's.
@@ -65,7 +65,7 @@
         if service is None:
             return self._absent(_Kind.NO_UPSTREAM, "the service is unknown")
         prompt, answer = demands.sizes(request, dialect)
-        return demands.Demand(
+        return demands.RoutedRequest(
             number.decode("latin-1"),
             request,
             route,
--- a/src/citronvalve/forward/attempt.py
+++ b/src/citronvalve/forward/attemptresult.py
@@ -3,7 +3,7 @@
 import enum
 from typing import NamedTuple
 
-from citronvalve.forward import answer as answers
+from citronvalve.forward import responsehead as answers
 
 
 class Ending(enum.Enum):
@@ -21,10 +21,10 @@
     STALLED = enum.auto()
 
 
-class Ended(NamedTuple):
+class AttemptResult(NamedTuple):
     """The ending, why, and a failed answer with its body if there is one."""
 
     ending: Ending
     why: str = ""
-    answer: answers.Answer | None = None
+    answer: answers.ResponseHead | None = None
     body: bytes = b""
--- a/src/citronvalve/forward/links.py
+++ b/src/citronvalve/forward/connectionpool.py
@@ -5,8 +5,8 @@
 
 from eventlet.green import socket as green_socket
 
-from citronvalve.forward import link as links_
-from citronvalve.forward import linkerror
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import upstreamconnection as links_
 from citronvalve.model import clock
 
 #: A connection to a sound upstream opens within some ms; a first packet that
@@ -31,7 +31,7 @@
 _SILENT_PEER: clock.Ms = 10_000
 
 
-class Links:
+class ConnectionPool:
     """Opens connections and keeps idle ones by address.
 
     :param now: the clock.
@@ -43,7 +43,9 @@
         self._idle_by_address: dict[str, collections.deque] = {}
         self.opened = 0
 
-    def take(self, address: str, repeatable: bool) -> links_.Link:
+    def take(
+        self, address: str, repeatable: bool
+    ) -> links_.UpstreamConnection:
         """Return a connection that is ready for a request.
 
         :param address: host:port.
@@ -60,7 +62,9 @@
             link.close()
         return self._open(address)
 
-    def give_back(self, address: str, link: links_.Link, kept: int) -> None:
+    def give_back(
+        self, address: str, link: links_.UpstreamConnection, kept: int
+    ) -> None:
         """Keep a connection after a whole exchange, if it can be kept.
 
         :param address: host:port.
@@ -100,7 +104,7 @@
         for link, _ in self._idle_by_address.pop(address, ()):
             link.close()
 
-    def _open(self, address: str) -> links_.Link:
+    def _open(self, address: str) -> links_.UpstreamConnection:
         host, _, port = address.rpartition(":")
         sock = green_socket.socket()
         sock.settimeout(_CONNECT / clock.SECOND)
@@ -112,13 +116,13 @@
             )
         except ConnectionRefusedError as error:
             sock.close()
-            raise linkerror.LinkError(
-                linkerror.LinkTrouble.REFUSED, str(error)
+            raise exchangeerror.ExchangeError(
+                exchangeerror.ExchangeFailure.REFUSED, str(error)
             ) from error
         except OSError as error:
             sock.close()
-            raise linkerror.LinkError(
-                linkerror.LinkTrouble.UNREACHED, str(error)
+            raise exchangeerror.ExchangeError(
+                exchangeerror.ExchangeFailure.UNREACHED, str(error)
             ) from error
         self.opened += 1
-        return links_.Link(sock, self._clock)
+        return links_.UpstreamConnection(sock, self._clock)
--- a/src/citronvalve/forward/crashes.py
+++ b/src/citronvalve/forward/crashdetector.py
@@ -5,10 +5,10 @@
 import xxhash
 
 from citronvalve.forward import callerrequest
-from citronvalve.forward import demand as demands
+from citronvalve.forward import connectionpool as links_
 from citronvalve.forward import environment as environments
-from citronvalve.forward import linkerror
-from citronvalve.forward import links as links_
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import routedrequest as demands
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.policy import crashfence
@@ -21,7 +21,7 @@
 _SPAN: clock.Ms = 60_000
 
 
-class Crashes:
+class CrashDetector:
     """Finds out whether an upstream died with a request, and tells others.
 
     The caller of such a request sends it again, at any daemon: with no
@@ -33,14 +33,14 @@
     """
 
     def __init__(
-        self, env: environments.Environment, links: links_.Links
+        self, env: environments.Environment, links: links_.ConnectionPool
     ) -> None:
         self._env = env
         self._links = links
         self._fence = crashfence.CrashFence()
         self.on_crash: Callable[[str, str], None] = lambda *_: None
 
-    def refuse(self, demand: demands.Demand) -> refusal.Refusal | None:
+    def refuse(self, demand: demands.RoutedRequest) -> refusal.Refusal | None:
         """Return the refusal of a request that is known to crash upstreams.
 
         :param demand: the request.
@@ -59,7 +59,7 @@
         )
 
     def broke(
-        self, demand: demands.Demand, upstream: str, address: str
+        self, demand: demands.RoutedRequest, upstream: str, address: str
     ) -> None:
         """Look into a connection that broke while a request ran.
 
@@ -72,7 +72,7 @@
         """
         try:
             self._links.check(address)
-        except linkerror.LinkError as error:
+        except exchangeerror.ExchangeError as error:
             mark = fingerprint(demand.request, self._env.dialect.key)
             self.learn(mark, upstream)
             self._env.log.change(
@@ -83,7 +83,7 @@
             )
             self.on_crash(mark, upstream)
 
-    def done(self, demand: demands.Demand) -> None:
+    def done(self, demand: demands.RoutedRequest) -> None:
         """Take back what speaks against a request that was answered.
 
         :param demand: the request.
--- a/src/citronvalve/forward/passage.py
+++ b/src/citronvalve/forward/dispatch.py
@@ -1,11 +1,11 @@
 """One request on its way, over all the upstreams it takes."""
 
-from citronvalve.forward import attempt as attempts
-from citronvalve.forward import demand as demands
+from citronvalve.forward import attemptresult as attempts
+from citronvalve.forward import dependencies as means_
 from citronvalve.forward import headers
-from citronvalve.forward import means as means_
-from citronvalve.forward import relayed
 from citronvalve.forward import reply as replies
+from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import streamprogress
 from citronvalve.forward import trial as trials
 from citronvalve.model import clock
 from citronvalve.model import ran
@@ -23,7 +23,7 @@
 _Kind = refusal.RefusalKind
 
 
-class Passage:
+class Dispatch:
     """Sends a request on until it is answered, refused or given up.
 
     :param means: what it works with.
@@ -35,8 +35,8 @@
 
     def __init__(
         self,
-        means: means_.Means,
-        demand: demands.Demand,
+        means: means_.Dependencies,
+        demand: demands.RoutedRequest,
         reply: replies.Reply,
     ) -> None:
         self._means = means
@@ -46,8 +46,8 @@
         self._runs = 0
         self._refused = 0
         self._ran = ran.Ran.NO
-        self._failed: attempts.Ended | None = None
-        self._relayed = relayed.Relayed()
+        self._failed: attempts.AttemptResult | None = None
+        self._relayed = streamprogress.StreamProgress()
         self.outcome = "failed"
         self.reason = ""
 
@@ -76,9 +76,9 @@
                 self._end_with(ended)
                 return
 
-    def _try(self, placed: upstreamchoice.Chosen) -> attempts.Ended:
+    def _try(self, placed: upstreamchoice.Chosen) -> attempts.AttemptResult:
         self._tried.append(placed.upstream)
-        trial = trials.Trial(
+        trial = trials.Attempt(
             self._means,
             self._demand,
             self._reply,
@@ -121,7 +121,7 @@
             and means.placing.has_place(self._demand, self._tried)
         )
 
-    def _may_go_on(self, ended: attempts.Ended) -> bool:
+    def _may_go_on(self, ended: attempts.AttemptResult) -> bool:
         if not self._may_try_again():
             return False
         has_run = ended.ending is not _Ending.NOT_RUN
@@ -142,11 +142,13 @@
 
     def _end_without(self, refused: refusal.Refusal) -> None:
         if self._failed is not None or self._runs:
-            self._end_with(attempts.Ended(_Ending.BROKEN, refused.detail))
+            self._end_with(
+                attempts.AttemptResult(_Ending.BROKEN, refused.detail)
+            )
             return
         self._refuse(refused)
 
-    def _end_with(self, ended: attempts.Ended) -> None:
+    def _end_with(self, ended: attempts.AttemptResult) -> None:
         self.reason = ended.ending.name.lower()
         if self._reply.begun:
             self.outcome = "broken"
@@ -158,7 +160,7 @@
         else:
             self._refuse(self._unknown(ended))
 
-    def _pass_on(self, failed: attempts.Ended) -> None:
+    def _pass_on(self, failed: attempts.AttemptResult) -> None:
         # The upstream's own word on what it ran, as it said it.
         self.outcome = "failed"
         dialect = self._means.env.dialect
@@ -185,7 +187,7 @@
         )
         self._reply.refuse(refused, self._demand.id)
 
-    def _unknown(self, ended: attempts.Ended) -> refusal.Refusal:
+    def _unknown(self, ended: attempts.AttemptResult) -> refusal.Refusal:
         late = self._demand.until - self._means.env.clock.now()
         kind = (
             _Kind.DEADLINE_PASSED
--- a/src/citronvalve/forward/environment.py
+++ b/src/citronvalve/forward/environment.py
@@ -2,7 +2,7 @@
 
 import random
 
-from citronvalve.forward import dialect as dialects
+from citronvalve.forward import headernames as dialects
 from citronvalve.forward import metrics as metrics_
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
@@ -28,7 +28,7 @@
         clock_: clock.Clock,
         chance: random.Random,
         log: decisionlog.DecisionLog,
-        dialect: dialects.Dialect,
+        dialect: dialects.HeaderNames,
     ) -> None:
         self.name = name
         self.datacentre = datacentre
--- a/src/citronvalve/forward/eventcutter.py
+++ b/src/citronvalve/forward/eventsplitter.py
@@ -12,7 +12,7 @@
     id: int | None
 
 
-class EventCutter:
+class EventSplitter:
     """Holds back what is not yet a whole event.
 
     Made for an upstream that ends in the middle of an event: half an event
--- a/src/citronvalve/forward/linkerror.py
+++ b/src/citronvalve/forward/exchangeerror.py
@@ -5,7 +5,7 @@
 from citronvalve.model import errors
 
 
-class LinkTrouble(enum.StrEnum):
+class ExchangeFailure(enum.StrEnum):
     """What was seen; the first two prove that nothing was sent."""
 
     UNREACHED = "unreached"
@@ -16,13 +16,13 @@
     GARBLED = "garbled"
 
 
-class LinkError(errors.UpstreamError):
+class ExchangeError(errors.UpstreamError):
     """The exchange can't go on.
 
     :param trouble: what was seen.
     :param why: in words.
     """
 
-    def __init__(self, trouble: LinkTrouble, why: str) -> None:
+    def __init__(self, trouble: ExchangeFailure, why: str) -> None:
         super().__init__(why, remedy="try another upstream if it may repeat")
         self.trouble = trouble
--- a/src/citronvalve/forward/forwarder.py
+++ b/src/citronvalve/forward/forwarder.py
@@ -1,12 +1,12 @@
 """Handles the callers' requests from their arrival to their end."""
 
+from citronvalve.forward import admission as intakes
 from citronvalve.forward import callergone
 from citronvalve.forward import callerrequest
-from citronvalve.forward import demand as demands
-from citronvalve.forward import intake as intakes
-from citronvalve.forward import means as means_
-from citronvalve.forward import passage as passages
+from citronvalve.forward import dependencies as means_
+from citronvalve.forward import dispatch as passages
 from citronvalve.forward import reply as replies
+from citronvalve.forward import routedrequest as demands
 from citronvalve.model import refusal
 
 
@@ -19,7 +19,9 @@
     :ivar served: requests that have come so far.
     """
 
-    def __init__(self, means: means_.Means, intake: intakes.Intake) -> None:
+    def __init__(
+        self, means: means_.Dependencies, intake: intakes.Admission
+    ) -> None:
         self._means = means
         self._intake = intake
         self.in_progress = 0
@@ -58,10 +60,12 @@
         )
         reply.refuse(refused, number)
 
-    def _pass_on(self, demand: demands.Demand, reply: replies.Reply) -> None:
+    def _pass_on(
+        self, demand: demands.RoutedRequest, reply: replies.Reply
+    ) -> None:
         env = self._means.env
         self._means.repeats.requested(demand.service.name)
-        passage = passages.Passage(self._means, demand, reply)
+        passage = passages.Dispatch(self._means, demand, reply)
         try:
             passage.run()
         except callergone.CallerGoneError:
@@ -75,7 +79,7 @@
             self._ended(demand, passage)
 
     def _ended(
-        self, demand: demands.Demand, passage: passages.Passage
+        self, demand: demands.RoutedRequest, passage: passages.Dispatch
     ) -> None:
         env = self._means.env
         catalogue = self._means.directory.catalogue
--- a/src/citronvalve/forward/dialect.py
+++ b/src/citronvalve/forward/headernames.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Dialect(NamedTuple):
+class HeaderNames(NamedTuple):
     """Header names in lower case, and what each one holds.
 
     ``request`` the id of one try of a caller, echoed by upstreams;
--- a/src/citronvalve/forward/placing.py
+++ b/src/citronvalve/forward/placement.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from citronvalve.forward import attempt as attempts
-from citronvalve.forward import demand as demands
+from citronvalve.forward import attemptresult as attempts
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
+from citronvalve.forward import routedrequest as demands
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.policy import coldrate
@@ -53,7 +53,7 @@
 _NOWHERE = upstreamchoice.Full(0, 0)
 
 
-class ColdTerms(NamedTuple):
+class ColdLimits(NamedTuple):
     """How far a cold upstream's declared rate may be passed.
 
     ``over`` is a factor on the rate, ``slack`` requests a second on top.
@@ -63,7 +63,7 @@
     slack: float = 0.0
 
 
-class Placing:
+class Placement:
     """Places requests by what is known of the upstreams.
 
     :param env: the daemon's environment.
@@ -78,7 +78,7 @@
         env: environments.Environment,
         directory: directories.Directory,
         book: upstreamchoice.LoadTable,
-        cold: ColdTerms,
+        cold: ColdLimits,
     ) -> None:
         self._env = env
         self._directory = directory
@@ -88,7 +88,7 @@
         self._rates = coldrate.ColdRate(env.chance)
 
     def place(
-        self, demand: demands.Demand, tried: list[str]
+        self, demand: demands.RoutedRequest, tried: list[str]
     ) -> upstreamchoice.Chosen | refusal.Refusal:
         """Choose an upstream that has not been tried.
 
@@ -110,7 +110,9 @@
             )
         return self._refuse(demand, _why_none(demand), _REPAIR)
 
-    def has_place(self, demand: demands.Demand, tried: list[str]) -> bool:
+    def has_place(
+        self, demand: demands.RoutedRequest, tried: list[str]
+    ) -> bool:
         """Tell whether an upstream that has not been tried takes it now.
 
         :param demand: the request.
@@ -126,7 +128,7 @@
         return self._env.clock.now() - self._pressed_at < _PRESSED
 
     def turned_away(
-        self, demand: demands.Demand, ended: attempts.Ended
+        self, demand: demands.RoutedRequest, ended: attempts.AttemptResult
     ) -> refusal.Refusal:
         """Return the refusal of a request that upstreams did not run.
 
@@ -136,7 +138,7 @@
         return self._refuse(demand, f"not run: {ended.why}", _SOONEST)
 
     def _choose(
-        self, demand: demands.Demand, tried: list[str], now: clock.Ms
+        self, demand: demands.RoutedRequest, tried: list[str], now: clock.Ms
     ) -> upstreamchoice.Chosen | upstreamchoice.Full:
         service, engine = demand.service, demand.service.engine
         if engine is None:
@@ -159,7 +161,7 @@
     def _note_pressure(
         self,
         chosen: upstreamchoice.Chosen | upstreamchoice.Full,
-        demand: demands.Demand,
+        demand: demands.RoutedRequest,
         now: clock.Ms,
     ) -> None:
         room = _NEARLY_FULL * demand.route.latency_objective
@@ -168,7 +170,7 @@
             self._pressed_at = now
 
     def _job(
-        self, demand: demands.Demand, tried: list[str], now: clock.Ms
+        self, demand: demands.RoutedRequest, tried: list[str], now: clock.Ms
     ) -> upstreamchoice.Job:
         left = float(demand.until - now)
         # What was begun elsewhere is not put behind others once more.
@@ -180,7 +182,7 @@
             left if tried else min(left, self._latest(demand)),
         )
 
-    def _latest(self, demand: demands.Demand) -> float:
+    def _latest(self, demand: demands.RoutedRequest) -> float:
         given = demand.until - demand.request.arrived
         with_less = given < _WITH_LESS * demand.route.timeout
         return _LATE_RETURN if with_less else _LATE
@@ -188,7 +190,7 @@
     def _bearing(
         self,
         candidates: Iterable[upstreamchoice.Candidate],
-        demand: demands.Demand,
+        demand: demands.RoutedRequest,
         tried: list[str],
         now: clock.Ms,
     ) -> list[upstreamchoice.Candidate]:
@@ -213,14 +215,14 @@
         runner = self._directory.runner_by_id.get(upstream)
         return runner is not None and now < runner.cold_until
 
-    def _rate(self, demand: demands.Demand) -> float:
+    def _rate(self, demand: demands.RoutedRequest) -> float:
         declared = demand.service.cold_rate
         if not declared:
             return 0.0
         return declared * self.cold.over + self.cold.slack
 
     def _sent(
-        self, upstream: str, demand: demands.Demand, now: clock.Ms
+        self, upstream: str, demand: demands.RoutedRequest, now: clock.Ms
     ) -> None:
         if self._rate(demand):
             # Counted while warm too: an upstream falls back into a cold
@@ -228,7 +230,7 @@
             self._rates.record_sent(upstream, now)
 
     def _refuse(
-        self, demand: demands.Demand, why: str, back_in: clock.Ms
+        self, demand: demands.RoutedRequest, why: str, back_in: clock.Ms
     ) -> refusal.Refusal:
         left = max(0, demand.until - self._env.clock.now())
         # Callers told the same time would come back together.
@@ -241,7 +243,7 @@
         )
 
 
-def _why_none(demand: demands.Demand) -> str:
+def _why_none(demand: demands.RoutedRequest) -> str:
     engine = demand.service.engine
     if engine is None:
         return "no upstream of the service"
--- a/src/citronvalve/forward/answer.py
+++ b/src/citronvalve/forward/responsehead.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from citronvalve.forward import dialect as dialects
+from citronvalve.forward import headernames as dialects
 from citronvalve.forward import headers as headers_
 
 
@@ -14,13 +14,13 @@
     slots: int
 
 
-class Answer(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status and headers, without the body."""
 
     status: int
     headers: list[headers_.Header]
 
-    def is_for(self, request: bytes, dialect: dialects.Dialect) -> bool:
+    def is_for(self, request: bytes, dialect: dialects.HeaderNames) -> bool:
         """Tell whether the answer is to this request.
 
         :param request: the id that was sent.
@@ -28,7 +28,7 @@
         """
         return headers_.value(self.headers, dialect.request) == request
 
-    def has_run(self, dialect: dialects.Dialect) -> bool:
+    def has_run(self, dialect: dialects.HeaderNames) -> bool:
         """Tell whether the request may have run.
 
         :param dialect: names of headers.
@@ -46,7 +46,7 @@
         """Tell whether it has a success status."""
         return 200 <= self.status < 300
 
-    def is_proper(self, dialect: dialects.Dialect) -> bool:
+    def is_proper(self, dialect: dialects.HeaderNames) -> bool:
         """Tell whether a success is the upstream's own, as it made it.
 
         :param dialect: names of headers.
@@ -55,7 +55,7 @@
         coded = headers_.value(self.headers, b"content-encoding")
         return bool(sealed) and coded in (b"", b"identity")
 
-    def load(self, dialect: dialects.Dialect) -> Load | None:
+    def load(self, dialect: dialects.HeaderNames) -> Load | None:
         """Return the load that the upstream told, or None.
 
         :param dialect: names of headers.
--- a/src/citronvalve/forward/patience.py
+++ b/src/citronvalve/forward/responsereader.py
@@ -4,10 +4,10 @@
 
 import h11
 
-from citronvalve.forward import demand as demands
-from citronvalve.forward import link as links_
-from citronvalve.forward import linkerror
-from citronvalve.forward import means as means_
+from citronvalve.forward import dependencies as means_
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import upstreamconnection as links_
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 
@@ -38,10 +38,10 @@
 #: what may be repeated is then sent to another.
 _PLAIN_OBJECTIVES = 2.5
 
-_Trouble = linkerror.LinkTrouble
+_Trouble = exchangeerror.ExchangeFailure
 
 
-class Patience:
+class ResponseReader:
     """Waits for the parts of an answer, as long as it makes sense.
 
     :param means: tells of replicas that stand still.
@@ -54,8 +54,8 @@
 
     def __init__(
         self,
-        means: means_.Means,
-        demand: demands.Demand,
+        means: means_.Dependencies,
+        demand: demands.RoutedRequest,
         placed: upstreamchoice.Chosen,
         elsewhere: Callable[[], bool],
     ) -> None:
@@ -65,7 +65,7 @@
         self._placed = placed
         self._elsewhere = elsewhere
 
-    def first(self, link: links_.Link) -> h11.Event:
+    def first(self, link: links_.UpstreamConnection) -> h11.Event:
         """Wait for a part of the answer's beginning, or of a whole answer.
 
         :param link: the connection.
@@ -77,7 +77,7 @@
         objective = self._demand.route.latency_objective
         return self._wait(link, round(_PLAIN_OBJECTIVES * objective))
 
-    def next(self, link: links_.Link) -> h11.Event:
+    def next(self, link: links_.UpstreamConnection) -> h11.Event:
         """Wait for the next part of a stream.
 
         :param link: the connection.
@@ -86,7 +86,9 @@
         expected = _SPANS * self._placed.forecast.gap
         return self._wait(link, max(_LEAST_GAP, round(expected)))
 
-    def _wait(self, link: links_.Link, patience: clock.Ms) -> h11.Event:
+    def _wait(
+        self, link: links_.UpstreamConnection, patience: clock.Ms
+    ) -> h11.Event:
         end = self._demand.until + _GRACE
         waited: clock.Ms = 0
         while True:
@@ -94,7 +96,7 @@
             turn = min(end, began + _LOOK)
             try:
                 return link.next(turn)
-            except linkerror.LinkError as error:
+            except exchangeerror.ExchangeError as error:
                 if error.trouble is not _Trouble.SILENT or turn >= end:
                     raise
                 waited += self._looked(self._clock.now() - began)
--- a/src/citronvalve/forward/repeats.py
+++ b/src/citronvalve/forward/retrybudgets.py
@@ -4,7 +4,7 @@
 from citronvalve.policy import retrybudget
 
 
-class Repeats:
+class RetryBudgets:
     """Counts requests and repeats of each service.
 
     :param env: the daemon's environment.
--- a/src/citronvalve/forward/demand.py
+++ b/src/citronvalve/forward/routedrequest.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from citronvalve.forward import callerrequest
-from citronvalve.forward import dialect as dialects
+from citronvalve.forward import headernames as dialects
 from citronvalve.forward import headers
 from citronvalve.model import clock
 from citronvalve.routes import keyholder
@@ -14,7 +14,7 @@
 _ANSWER = 128
 
 
-class Demand(NamedTuple):
+class RoutedRequest(NamedTuple):
     """``until`` is monotonic ms: the caller's deadline or the route's
     timeout, whichever comes first.  ``holder`` is None on public routes.
     """
@@ -39,7 +39,7 @@
 def until(
     request: callerrequest.CallerRequest,
     route: routes_.Route,
-    dialect: dialects.Dialect,
+    dialect: dialects.HeaderNames,
 ) -> clock.Ms:
     """Return the moment after which no answer is of use.
 
@@ -53,7 +53,7 @@
 
 
 def sizes(
-    request: callerrequest.CallerRequest, dialect: dialects.Dialect
+    request: callerrequest.CallerRequest, dialect: dialects.HeaderNames
 ) -> tuple[int, int]:
     """Return the prompt's tokens and those expected of the answer.
 
--- a/src/citronvalve/forward/stalls.py
+++ b/src/citronvalve/forward/stalldetector.py
@@ -15,7 +15,7 @@
 _AVOIDED: clock.Ms = 2_500
 
 
-class Stalls:
+class StallDetector:
     """Tells a replica that stands still from one silent connection.
 
     A replica that lost a member stands still for seconds before it says so,
--- a/src/citronvalve/forward/relayed.py
+++ b/src/citronvalve/forward/streamprogress.py
@@ -3,7 +3,7 @@
 from citronvalve.model import clock
 
 
-class Relayed:
+class StreamProgress:
     """What a caller has got of a stream, over all tries.
 
     :ivar last: id of the last event, or None before the first.
--- a/src/citronvalve/forward/trial.py
+++ b/src/citronvalve/forward/trial.py
@@ -4,18 +4,18 @@
 
 import h11
 
-from citronvalve.forward import answer as answers
-from citronvalve.forward import attempt as attempts
-from citronvalve.forward import demand as demands
-from citronvalve.forward import eventcutter
+from citronvalve.forward import attemptresult as attempts
+from citronvalve.forward import dependencies as means_
+from citronvalve.forward import eventsplitter
+from citronvalve.forward import exchangeerror
 from citronvalve.forward import headers
-from citronvalve.forward import link as links_
-from citronvalve.forward import linkerror
-from citronvalve.forward import means as means_
-from citronvalve.forward import patience
-from citronvalve.forward import placing
-from citronvalve.forward import relayed as relayeds
+from citronvalve.forward import placement
 from citronvalve.forward import reply as replies
+from citronvalve.forward import responsehead as answers
+from citronvalve.forward import responsereader
+from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import streamprogress as relayeds
+from citronvalve.forward import upstreamconnection as links_
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 from citronvalve.routes import kind as kinds
@@ -31,10 +31,10 @@
 _FULL: clock.Ms = 120
 
 _Ending = attempts.Ending
-_Trouble = linkerror.LinkTrouble
+_Trouble = exchangeerror.ExchangeFailure
 
 
-class Trial:
+class Attempt:
     """Sends a request to an upstream and brings its answer back.
 
     :param means: what it works with.
@@ -48,11 +48,11 @@
 
     def __init__(
         self,
-        means: means_.Means,
-        demand: demands.Demand,
+        means: means_.Dependencies,
+        demand: demands.RoutedRequest,
         reply: replies.Reply,
         placed: upstreamchoice.Chosen,
-        relayed: relayeds.Relayed,
+        relayed: relayeds.StreamProgress,
         elsewhere: Callable[[], bool],
     ) -> None:
         self._means = means
@@ -61,27 +61,29 @@
         self._reply = reply
         self._placed = placed
         self._relayed = relayed
-        self._patience = patience.Patience(means, demand, placed, elsewhere)
+        self._patience = responsereader.ResponseReader(
+            means, demand, placed, elsewhere
+        )
         self._load = means.book.of(placed.upstream)
         self._counted_begun = False
         self._address = ""
-        self._got: answers.Answer | None = None
+        self._got: answers.ResponseHead | None = None
 
-    def run(self) -> attempts.Ended:
+    def run(self) -> attempts.AttemptResult:
         """Make the try."""
         runner = self._means.directory.runner_by_id.get(self._placed.upstream)
         if runner is None:
-            return attempts.Ended(_Ending.NOT_RUN, "it left the list")
+            return attempts.AttemptResult(_Ending.NOT_RUN, "it left the list")
         self._address = runner.address
         repeatable = self._demand.route.may_repeat
         try:
             link = self._means.links.take(runner.address, repeatable)
-        except linkerror.LinkError as error:
+        except exchangeerror.ExchangeError as error:
             self._load.circuit.record_failure(
                 self._env.clock.now(), fatal=True
             )
             self._means.stalls.silent(self._placed.upstream)
-            return attempts.Ended(_Ending.NOT_RUN, str(error))
+            return attempts.AttemptResult(_Ending.NOT_RUN, str(error))
         self._load.own += 1
         self._load.late += self._placed.late
         whole = False
@@ -90,7 +92,7 @@
             whole = ended.ending in (_Ending.DELIVERED, _Ending.FAILED)
             whole = whole or ended.ending is _Ending.NOT_RUN
             return ended
-        except linkerror.LinkError as error:
+        except exchangeerror.ExchangeError as error:
             return self._failed(error, runner.address)
         finally:
             self._load.own -= 1
@@ -101,7 +103,9 @@
             else:
                 link.close()
 
-    def _exchange(self, link: links_.Link) -> attempts.Ended:
+    def _exchange(
+        self, link: links_.UpstreamConnection
+    ) -> attempts.AttemptResult:
         self._reply.check_caller()
         request = self._demand.request
         link.send(request.method, request.target, self._head(), request.body)
@@ -116,9 +120,11 @@
             self._load.circuit.record_failure(
                 self._env.clock.now(), fatal=False
             )
-            return attempts.Ended(_Ending.FAILED, str(got.status), got, body)
+            return attempts.AttemptResult(
+                _Ending.FAILED, str(got.status), got, body
+            )
         if not got.is_proper(dialect):
-            raise linkerror.LinkError(_Trouble.GARBLED, "not sealed")
+            raise exchangeerror.ExchangeError(_Trouble.GARBLED, "not sealed")
         if self._demand.route.kind is kinds.RequestKind.STREAM:
             self._relay(link, got)
         else:
@@ -127,7 +133,7 @@
             took = self._env.clock.now() - self._demand.request.arrived
             self._env.metrics.first_event(took, 0.0)
         self._load.circuit.record_success()
-        return attempts.Ended(_Ending.DELIVERED, "", got)
+        return attempts.AttemptResult(_Ending.DELIVERED, "", got)
 
     def _head(self) -> list[headers.Header]:
         dialect = self._env.dialect
@@ -139,9 +145,9 @@
         if demand.holder is not None:
             made.append((dialect.team, demand.holder.name.encode()))
         if demand.service.engine is not None:
-            rank = min(placing.LATE_RANK - 1, max(0, demand.priority))
+            rank = min(placement.LATE_RANK - 1, max(0, demand.priority))
             if self._placed.late:
-                rank = placing.LATE_RANK
+                rank = placement.LATE_RANK
             made.append((dialect.rank, b"%d" % rank))
         after = self._resume_after()
         if after:
@@ -153,17 +159,21 @@
             return b"%d" % self._relayed.last
         return self._demand.request.header(self._env.dialect.resume_after)
 
-    def _first(self, link: links_.Link) -> answers.Answer:
+    def _first(self, link: links_.UpstreamConnection) -> answers.ResponseHead:
         request = self._demand.id.encode("latin-1")
         while True:
             event = self._patience.first(link)
             if not isinstance(event, h11.Response):
-                raise linkerror.LinkError(_Trouble.GARBLED, "no answer")
-            got = answers.Answer(event.status_code, list(event.headers))
+                raise exchangeerror.ExchangeError(
+                    _Trouble.GARBLED, "no answer"
+                )
+            got = answers.ResponseHead(event.status_code, list(event.headers))
             if got.is_for(request, self._env.dialect):
                 return got
             if not headers.value(got.headers, self._env.dialect.request):
-                raise linkerror.LinkError(_Trouble.GARBLED, "without an id")
+                raise exchangeerror.ExchangeError(
+                    _Trouble.GARBLED, "without an id"
+                )
             # A late second answer to an earlier request; ours follows.
             self._body(link)
             link.again()
@@ -174,7 +184,7 @@
             self._counted_begun = True
             self._load.late -= 1
 
-    def _heard(self, got: answers.Answer) -> None:
+    def _heard(self, got: answers.ResponseHead) -> None:
         self._means.stalls.heard(self._placed.upstream)
         self._begun()
         load = got.load(self._env.dialect)
@@ -183,8 +193,8 @@
             self._load.record_report(load.running, load.waiting, now)
 
     def _turned_away(
-        self, link: links_.Link, got: answers.Answer
-    ) -> attempts.Ended:
+        self, link: links_.UpstreamConnection, got: answers.ResponseHead
+    ) -> attempts.AttemptResult:
         self._body(link)
         fault = headers.value(got.headers, self._env.dialect.at_fault)
         span = _LIST_LAG if got.status == 421 else _FULL
@@ -192,21 +202,25 @@
         if fault and fault != self._placed.upstream.encode():
             self._means.stalls.on_stall(self._placed.upstream)
         why = f"{got.status} {fault.decode('latin-1')}"
-        return attempts.Ended(_Ending.NOT_RUN, why)
+        return attempts.AttemptResult(_Ending.NOT_RUN, why)
 
-    def _body(self, link: links_.Link) -> bytes:
+    def _body(self, link: links_.UpstreamConnection) -> bytes:
         held = bytearray()
         while True:
             event = self._patience.first(link)
             if isinstance(event, h11.Data):
                 held += event.data
                 if len(held) > _MOST_HELD:
-                    raise linkerror.LinkError(_Trouble.GARBLED, "too long")
+                    raise exchangeerror.ExchangeError(
+                        _Trouble.GARBLED, "too long"
+                    )
             elif isinstance(event, h11.EndOfMessage):
                 self._check_end()
                 return bytes(held)
             else:
-                raise linkerror.LinkError(_Trouble.BROKEN, "it ended early")
+                raise exchangeerror.ExchangeError(
+                    _Trouble.BROKEN, "it ended early"
+                )
 
     def _check_end(self) -> None:
         """Refuse an end that may be a crash.
@@ -221,33 +235,37 @@
             return
         try:
             self._means.links.check(self._address)
-        except linkerror.LinkError as error:
-            raise linkerror.LinkError(
+        except exchangeerror.ExchangeError as error:
+            raise exchangeerror.ExchangeError(
                 _Trouble.BROKEN, f"ended with its upstream: {error}"
             ) from error
 
-    def _relay(self, link: links_.Link, got: answers.Answer) -> None:
-        cutter = eventcutter.EventCutter()
+    def _relay(
+        self, link: links_.UpstreamConnection, got: answers.ResponseHead
+    ) -> None:
+        cutter = eventsplitter.EventSplitter()
         while True:
             event = self._patience.next(link)
             if isinstance(event, h11.EndOfMessage):
                 self._check_end()
                 break
             if not isinstance(event, h11.Data):
-                raise linkerror.LinkError(_Trouble.BROKEN, "it ended early")
+                raise exchangeerror.ExchangeError(
+                    _Trouble.BROKEN, "it ended early"
+                )
             self._means.stalls.heard(self._placed.upstream)
             whole = cutter.feed(bytes(event.data))
             data = b"".join(e.raw for e in whole if self._is_next(e))
             if data:
                 self._pass_on(got, data)
         if cutter.rest.strip():
-            raise linkerror.LinkError(_Trouble.BROKEN, "half an event")
+            raise exchangeerror.ExchangeError(_Trouble.BROKEN, "half an event")
         if not self._reply.begun:
             self._reply.begin(got.status, headers.crossing(got.headers))
         self._reply.finish()
         self._env.metrics.gap(self._relayed.longest)
 
-    def _is_next(self, event: eventcutter.Event) -> bool:
+    def _is_next(self, event: eventsplitter.Event) -> bool:
         last = self._relayed.last
         if event.id is None or last is None:
             self._relayed.last = event.id if event.id is not None else last
@@ -256,11 +274,13 @@
             # A resumed stream may begin with what the caller has.
             return False
         if event.id != last + 1:
-            raise linkerror.LinkError(_Trouble.GARBLED, "an event is missing")
+            raise exchangeerror.ExchangeError(
+                _Trouble.GARBLED, "an event is missing"
+            )
         self._relayed.last = event.id
         return True
 
-    def _pass_on(self, got: answers.Answer, data: bytes) -> None:
+    def _pass_on(self, got: answers.ResponseHead, data: bytes) -> None:
         now = self._env.clock.now()
         relayed = self._relayed
         if not self._reply.begun:
@@ -274,16 +294,16 @@
         self._reply.send(data)
 
     def _failed(
-        self, error: linkerror.LinkError, address: str
-    ) -> attempts.Ended:
+        self, error: exchangeerror.ExchangeError, address: str
+    ) -> attempts.AttemptResult:
         now = self._env.clock.now()
         if now < self._demand.until:
             self._load.circuit.record_failure(now, fatal=False)
         if error.trouble is _Trouble.SILENT:
             # What went silent may be all connections, while new ones work.
             self._means.links.drop(address)
-            return attempts.Ended(_Ending.STALLED, str(error))
+            return attempts.AttemptResult(_Ending.STALLED, str(error))
         if error.trouble is _Trouble.BROKEN:
             upstream = self._placed.upstream
             self._means.crashes.broke(self._demand, upstream, address)
-        return attempts.Ended(_Ending.BROKEN, str(error))
+        return attempts.AttemptResult(_Ending.BROKEN, str(error))
--- a/src/citronvalve/forward/link.py
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -6,8 +6,8 @@
 import eventlet
 import h11
 
+from citronvalve.forward import exchangeerror
 from citronvalve.forward import headers
-from citronvalve.forward import linkerror
 from citronvalve.forward import receiving
 from citronvalve.model import clock
 
@@ -18,10 +18,10 @@
 #: before it has read them.
 _SENT_AT_ONCE = 16_384
 
-_Trouble = linkerror.LinkTrouble
+_Trouble = exchangeerror.ExchangeFailure
 
 
-class Link:
+class UpstreamConnection:
     """An h11 client on one socket.
 
     :param sock: connected.
@@ -78,13 +78,13 @@
             try:
                 event = self._parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise linkerror.LinkError(
+                raise exchangeerror.ExchangeError(
                     _trouble(error), str(error)
                 ) from error
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.ConnectionClosed):
-                raise linkerror.LinkError(
+                raise exchangeerror.ExchangeError(
                     _Trouble.BROKEN, "closed without an answer"
                 )
             if event is not h11.NEED_DATA:
@@ -100,10 +100,14 @@
         :raises linkerror.LinkError: when nothing more can come.
         """
         if self._parser.their_state is not h11.DONE:
-            raise linkerror.LinkError(_Trouble.GARBLED, "not our answer")
+            raise exchangeerror.ExchangeError(
+                _Trouble.GARBLED, "not our answer"
+            )
         rest, closed = self._parser.trailing_data
         if closed:
-            raise linkerror.LinkError(_Trouble.BROKEN, "closed after another")
+            raise exchangeerror.ExchangeError(
+                _Trouble.BROKEN, "closed after another"
+            )
         # The request is on its way already; of it only the method matters
         # to a parser that reads the next answer.
         self._parser = h11.Connection(h11.CLIENT)
@@ -155,28 +159,34 @@
             self._sock.settimeout(None)
             self._sock.sendall(data)
         except OSError as error:
-            raise linkerror.LinkError(_Trouble.BROKEN, str(error)) from error
+            raise exchangeerror.ExchangeError(
+                _Trouble.BROKEN, str(error)
+            ) from error
 
     def _send_quietly(self, data: bytes) -> None:
         # What goes wrong here shows as a broken answer to the reader.
-        with contextlib.suppress(linkerror.LinkError):
+        with contextlib.suppress(exchangeerror.ExchangeError):
             self._send(data)
 
     def _receive(self, until: clock.Ms) -> bytes:
         left = until - self._clock.now()
         if left <= 0:
-            raise linkerror.LinkError(_Trouble.SILENT, "nothing came in time")
+            raise exchangeerror.ExchangeError(
+                _Trouble.SILENT, "nothing came in time"
+            )
         try:
             return receiving.receive(self._sock, _PIECE, left)
         except TimeoutError as error:
-            raise linkerror.LinkError(
+            raise exchangeerror.ExchangeError(
                 _Trouble.SILENT, "nothing came in time"
             ) from error
         except OSError as error:
-            raise linkerror.LinkError(_Trouble.BROKEN, str(error)) from error
+            raise exchangeerror.ExchangeError(
+                _Trouble.BROKEN, str(error)
+            ) from error
 
 
-def _trouble(error: h11.RemoteProtocolError) -> linkerror.LinkTrouble:
+def _trouble(error: h11.RemoteProtocolError) -> exchangeerror.ExchangeFailure:
     # The parser reports an end in the middle and bytes that are no answer
     # by the same type.
     cut = "closed" in str(error).lower()
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -5,9 +5,9 @@
 import behave
 
 from citronvalve.daemon import runnerlist
-from citronvalve.forward import dialect
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
+from citronvalve.forward import headernames
 from citronvalve.model import manualclock
 from citronvalve.policy import coldrate
 from citronvalve.policy import retrybudget
@@ -145,7 +145,7 @@
         context.clock,
         random.Random(1),
         quietlog.QuietLog(),
-        dialect.Dialect(),
+        headernames.HeaderNames(),
     )
     context.directory = directories.Directory("z-1")
     context.list = runnerlist.RunnerList(
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -6,8 +6,8 @@
 from citronvalve.daemon import entrydaemon
 from citronvalve.daemon import entrysettings
 from citronvalve.daemon import ports
-from citronvalve.forward import dialect
-from citronvalve.forward import placing
+from citronvalve.forward import headernames
+from citronvalve.forward import placement
 from citronvalve.model import missing
 from citronvalve.policy import retrybudget
 from citronvalve.replicas import order
@@ -44,7 +44,7 @@
         _ANY_PORT,
         _ANY_PORT,
         retrybudget.RetryLimits(0.2, 100, 10_000),
-        placing.ColdTerms(),
+        placement.ColdLimits(),
         grace=5_000,
         stall=world.STALL,
         first_start=False,
@@ -62,7 +62,7 @@
         lambda key: None,
         "catalogue",
         taken,
-        dialect.Dialect(),
+        headernames.HeaderNames(),
         "/readyz",
         _settings,
     )
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -3,17 +3,17 @@
 import random
 
 from citronvalve.forward import acceptor
-from citronvalve.forward import crashes
-from citronvalve.forward import dialect
+from citronvalve.forward import admission
+from citronvalve.forward import connectionpool
+from citronvalve.forward import crashdetector
+from citronvalve.forward import dependencies
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
 from citronvalve.forward import forwarder
-from citronvalve.forward import intake
-from citronvalve.forward import links
-from citronvalve.forward import means
-from citronvalve.forward import placing
-from citronvalve.forward import repeats
-from citronvalve.forward import stalls
+from citronvalve.forward import headernames
+from citronvalve.forward import placement
+from citronvalve.forward import retrybudgets
+from citronvalve.forward import stalldetector
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
 from citronvalve.policy import retrybudget
@@ -58,7 +58,7 @@
             clock.SystemClock(),
             random.Random(7),
             self.log,
-            dialect.Dialect(key=b"x-key"),
+            headernames.HeaderNames(key=b"x-key"),
         )
         self.directory = directories.Directory("zone-0")
         self.runners = {}
@@ -69,23 +69,23 @@
         self.directory.confirmed_at = self.env.clock.now()
         book = upstreamchoice.LoadTable()
         terms = retrybudget.RetryLimits(0.2, 100, 10_000)
-        self.stalls = stalls.Stalls(self.env, book)
-        kept = links.Links(self.env.clock)
-        self.repeats = repeats.Repeats(self.env, terms)
-        made = means.Means(
+        self.stalls = stalldetector.StallDetector(self.env, book)
+        kept = connectionpool.ConnectionPool(self.env.clock)
+        self.repeats = retrybudgets.RetryBudgets(self.env, terms)
+        made = dependencies.Dependencies(
             self.env,
             self.directory,
             book,
             kept,
-            placing.Placing(
-                self.env, self.directory, book, placing.ColdTerms()
+            placement.Placement(
+                self.env, self.directory, book, placement.ColdLimits()
             ),
             self.repeats,
             self.stalls,
-            crashes.Crashes(self.env, kept),
+            crashdetector.CrashDetector(self.env, kept),
         )
         self.forwarder = forwarder.Forwarder(
-            made, intake.Intake(self.env, self.directory)
+            made, admission.Admission(self.env, self.directory)
         )
         self.acceptor = acceptor.Acceptor(
             "127.0.0.1:0", self.env, lambda: LIMITS, self.forwarder.handle
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -5,12 +5,12 @@
 import behave
 import h11
 
-from citronvalve.forward import demand as demands
-from citronvalve.forward import dialect
 from citronvalve.forward import environment as environments
-from citronvalve.forward import linkerror
-from citronvalve.forward import patience as patiences
-from citronvalve.forward import stalls
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import headernames
+from citronvalve.forward import responsereader as patiences
+from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import stalldetector
 from citronvalve.model import clock
 from citronvalve.policy import enginepace
 from citronvalve.policy import upstreamchoice
@@ -62,8 +62,8 @@
         raise self._silent()
 
     def _silent(self):
-        trouble = linkerror.LinkTrouble.SILENT
-        return linkerror.LinkError(trouble, "nothing came in time")
+        trouble = exchangeerror.ExchangeFailure.SILENT
+        return exchangeerror.ExchangeError(trouble, "nothing came in time")
 
 
 class _Means:
@@ -76,10 +76,10 @@
             _Clock(),
             random.Random(1),
             rigs.Lines(),
-            dialect.Dialect(),
+            headernames.HeaderNames(),
         )
         self.book = upstreamchoice.LoadTable()
-        self.stalls = stalls.Stalls(self.env, self.book)
+        self.stalls = stalldetector.StallDetector(self.env, self.book)
 
 
 class _Demand:
@@ -95,26 +95,26 @@
 def step_try(context):
     context.means = _Means()
     time = context.means.env.clock
-    demand: demands.Demand = _Demand(time.now())
+    demand: demands.RoutedRequest = _Demand(time.now())
     placed = upstreamchoice.Chosen(
         "head-1", enginepace.Forecast(100.0, 40.0, 2_000.0)
     )
     context.means.stalls.heard("head-1")
-    context.patience = patiences.Patience(
+    context.patience = patiences.ResponseReader(
         context.means, demand, placed, lambda: True
     )
 
 
 _WAIT_BY_WHAT = {
-    "it waits for the first event": patiences.Patience.first,
-    "it waits for the next event": patiences.Patience.next,
+    "it waits for the first event": patiences.ResponseReader.first,
+    "it waits for the next event": patiences.ResponseReader.next,
 }
 
 
 def _wait(context, what, link):
     try:
         context.got = _WAIT_BY_WHAT[what](context.patience, link)
-    except linkerror.LinkError as error:
+    except exchangeerror.ExchangeError as error:
         context.got = error
 
 
@@ -154,5 +154,5 @@
 
 @behave.then("the try is given up, and the replica stands still")
 def step_given_up(context):
-    assert isinstance(context.got, linkerror.LinkError), context.got
+    assert isinstance(context.got, exchangeerror.ExchangeError), context.got
     assert _standing(context)
--- a/tests/routes/steps/catalogue_steps.py
+++ b/tests/routes/steps/catalogue_steps.py
@@ -5,11 +5,11 @@
 
 import behave
 
+from citronvalve.forward import admission
 from citronvalve.forward import callerrequest
-from citronvalve.forward import dialect
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
-from citronvalve.forward import intake
+from citronvalve.forward import headernames
 from citronvalve.model import manualclock
 from citronvalve.routes import catalogue
 from citronvalve.routes import keyholder
@@ -118,13 +118,13 @@
         context.clock,
         random.Random(1),
         quietlog.QuietLog(),
-        dialect.Dialect(),
+        headernames.HeaderNames(),
     )
     context.directory = directories.Directory("z")
     context.directory.adopt(_catalogue([_route("r", "h", "/a/")]))
     context.directory.known = True
     context.directory.confirmed_at = context.clock.now() - 10_000
-    context.intake = intake.Intake(env, context.directory)
+    context.intake = admission.Admission(env, context.directory)
 
 
 def _send_request(context):
--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -4,9 +4,9 @@
 
 from citronvalve.daemon import declarations
 from citronvalve.daemon import runnerlist
-from citronvalve.forward import dialect
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
+from citronvalve.forward import headernames
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import runner as runners
 from citronvalve.storage import rows
@@ -36,7 +36,7 @@
         time_source,
         random.Random(1),
         quietlog.QuietLog(),
-        dialect.Dialect(),
+        headernames.HeaderNames(),
     )
 
 
