--- a/src/citronvalve/daemon/conductor.py
+++ b/src/citronvalve/daemon/conductor.py
@@ -103,7 +103,7 @@
         return {
             model: sum(
                 self._book.of(head.upstream).total(now)
-                for head in self._directory.heads(name, model)
+                for head in self._directory.open_heads(name, model)
             )
             for model in service.engine.model_by_name
         }
@@ -138,7 +138,7 @@
     ) -> None:
         told = self._giver.send(target, what)
         planner.record_result(what, told, self._env.clock.now())
-        self._env.metrics.ordered(what.kind, told.name.lower())
+        self._env.metrics.record_order(what.kind, told.name.lower())
         self._env.log.change(
             "order given",
             order=what.kind,
--- a/src/citronvalve/daemon/declarations.py
+++ b/src/citronvalve/daemon/declarations.py
@@ -36,7 +36,7 @@
     def apply_changes(
         self, found: tuple[rows.Row, ...], gone: tuple[str, ...]
     ) -> None:
-        out = set(self._directory.out)
+        out = set(self._directory.datacentres_out)
         out |= set(filter(None, map(self._out, found)))
         back = {self._ports.datacentre_out(key) for key in gone}
         self._set_out(frozenset(out - back))
@@ -50,9 +50,9 @@
         return self._ports.datacentre_out(row.key)
 
     def _set_out(self, out: frozenset[str]) -> None:
-        if out != self._directory.out:
+        if out != self._directory.datacentres_out:
             self._env.log.change("data centres out", out=sorted(out))
-            self._directory.set_out(out)
+            self._directory.set_datacentres_out(out)
 
     def _declared(self, row: rows.Row) -> None:
         if row.key != self._ports.catalogue_key:
--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -22,7 +22,7 @@
 from citronvalve.forward import admission
 from citronvalve.forward import connectionpool
 from citronvalve.forward import crashdetector
-from citronvalve.forward import dependencies as means_
+from citronvalve.forward import dependencies
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
 from citronvalve.forward import forwarder
@@ -105,7 +105,7 @@
         self._stalls = stalldetector.StallDetector(env, self._book)
         kept = connectionpool.ConnectionPool(env.clock)
         self._crashes = crashdetector.CrashDetector(env, kept)
-        self._means = means_.Dependencies(
+        self._means = dependencies.Dependencies(
             env,
             self.directory,
             self._book,
@@ -144,13 +144,13 @@
         )
         self._news.on_standstill = self._on_standstill
         self._lease.has_majority = self._news.has_company
-        self._news.on_crash = self._crashes.learn
+        self._news.on_crash = self._crashes.record_loss
         self._crashes.on_crash = self._news.tell_crash
-        self._news.loads.is_pressed = self._means.placing.is_pressed
+        self._news.loads.is_pressed = self._means.placement.is_pressed
         self._stalls.on_stall = self._news.tell_standstill
 
     def _on_standstill(self, upstream: str) -> None:
-        self._stalls.told(upstream)
+        self._stalls.record_remote_stall(upstream)
         if self._lease.held:
             self._conductor.accuse(upstream)
 
@@ -172,7 +172,7 @@
         return catalogue.limits if catalogue else callerlimits.CallerLimits()
 
     def _is_early(self) -> bool:
-        return self._settings.first_start and not self._forwarder.served
+        return self._settings.first_start and not self._forwarder.received
 
     def _follow(self) -> None:
         listed = runnerlist.RunnerList(
@@ -197,7 +197,7 @@
             self._news.tables.tail_by_table[table] = followed
             followed.is_reader = self._news.is_reader
             followed.on_call = functools.partial(
-                self.env.metrics.read_platform, table
+                self.env.metrics.record_platform_read, table
             )
             followed.on_unreadable = functools.partial(
                 self._news.request_whole, table
@@ -211,7 +211,7 @@
         while True:
             if not self.env.stopping:
                 self._lease.step()
-                self.env.daemons = self._lease.daemon_count
+                self.env.daemon_count = self._lease.daemon_count
             eventlet.sleep(lease.RENEW_INTERVAL / clock.SECOND)
 
     def _tidy(self) -> None:
@@ -261,8 +261,8 @@
         self._settings = self._settings._replace(
             repeats=read.repeats, cold=read.cold, grace=read.grace
         )
-        self._means.repeats.terms = read.repeats
-        self._means.placing.cold = read.cold
+        self._means.retry_budgets.limits = read.repeats
+        self._means.placement.cold_limits = read.cold
         self.env.log.change("reloaded", grace_ms=read.grace)
 
     def _drain(self) -> None:
--- a/src/citronvalve/daemon/runnerlist.py
+++ b/src/citronvalve/daemon/runnerlist.py
@@ -54,7 +54,7 @@
         self.apply_changes(
             found, tuple(self._directory.runner_by_id.keys() - here)
         )
-        self._directory.known = True
+        self._directory.list_known = True
 
     def apply_changes(
         self, found: tuple[rows.Row, ...], gone: tuple[str, ...]
@@ -101,7 +101,7 @@
         return held is not None and held.list_version >= row.version
 
     def _put(self, runner: runners.Runner) -> None:
-        held = self._directory.put(runner)
+        held = self._directory.update_runner(runner)
         if held is not None and held.list_version >= runner.list_version:
             return
         group = runner.membership
--- a/src/citronvalve/forward/admission.py
+++ b/src/citronvalve/forward/admission.py
@@ -3,7 +3,7 @@
 from citronvalve.forward import callerrequest
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import routedrequest
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.routes import catalogue as catalogues
@@ -39,7 +39,7 @@
 
     def admit(
         self, request: callerrequest.CallerRequest
-    ) -> demands.RoutedRequest | refusal.Refusal:
+    ) -> routedrequest.RoutedRequest | refusal.Refusal:
         """Return what is asked for, or why it can't be served.
 
         :param request: the caller's.
@@ -49,8 +49,8 @@
             return _refused(
                 _Kind.STOPPING, "this daemon knows no configuration yet"
             )._replace(retry_after=_UNREADY)
-        dialect = self._env.dialect
-        number = request.header(dialect.request)
+        dialect = self._env.header_names
+        number = request.header(dialect.request_id)
         if not number:
             return _refused(_Kind.MALFORMED, "the request has no id")
         route = catalogue.find_route(request.host, request.path)
@@ -60,18 +60,18 @@
         if isinstance(holder, refusal.Refusal):
             return holder
         service = catalogue.service_by_name.get(
-            route.pick_service(self._env.chance)
+            route.pick_service(self._env.rng)
         )
         if service is None:
             return self._absent(_Kind.NO_UPSTREAM, "the service is unknown")
-        prompt, answer = demands.sizes(request, dialect)
-        return demands.RoutedRequest(
+        prompt, answer = routedrequest.token_counts(request, dialect)
+        return routedrequest.RoutedRequest(
             number.decode("latin-1"),
             request,
             route,
             service,
             holder,
-            demands.until(request, route, dialect),
+            routedrequest.deadline(request, route, dialect),
             request.header(dialect.model).decode("latin-1"),
             prompt,
             answer,
@@ -85,7 +85,7 @@
     ) -> keyholder.KeyHolder | refusal.Refusal | None:
         if route.public or not catalogue.needs_key:
             return None
-        key = request.header(self._env.dialect.key).decode("latin-1")
+        key = request.header(self._env.header_names.api_key).decode("latin-1")
         holder = catalogue.holder_by_key.get(key)
         if holder is None:
             return self._absent(_Kind.UNKNOWN_TOKEN, "no team has this key")
--- a/src/citronvalve/forward/attemptresult.py
+++ b/src/citronvalve/forward/attemptresult.py
@@ -3,7 +3,7 @@
 import enum
 from typing import NamedTuple
 
-from citronvalve.forward import responsehead as answers
+from citronvalve.forward import responsehead
 
 
 class Ending(enum.Enum):
@@ -26,5 +26,5 @@
 
     ending: Ending
     why: str = ""
-    answer: answers.ResponseHead | None = None
+    response: responsehead.ResponseHead | None = None
     body: bytes = b""
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -72,7 +72,7 @@
         self._ahead = 0
         self._quiet = False
         self.idle = True
-        self.begun = False
+        self.started = False
 
     def run(self) -> None:
         """Serve until the connection ends."""
@@ -104,7 +104,7 @@
         except (OSError, h11.RemoteProtocolError) as error:
             raise _gone(error) from error
 
-    def whole(
+    def send_whole(
         self, status: int, head: Iterable[headers.Header], body: bytes
     ) -> None:
         length = (b"content-length", b"%d" % len(body))
@@ -115,7 +115,7 @@
         data += self._parser.send(h11.EndOfMessage())
         self._write(data)
 
-    def begin(self, status: int, head: Iterable[headers.Header]) -> None:
+    def start(self, status: int, head: Iterable[headers.Header]) -> None:
         self._start(status, [*head, (b"transfer-encoding", b"chunked")])
         self._write(self._out)
 
@@ -128,12 +128,12 @@
     def abort(self) -> None:
         self._aborted = True
 
-    def refuse(self, refused: refusal.Refusal, request: str) -> None:
+    def send_refusal(self, refused: refusal.Refusal, request: str) -> None:
         made = problem.render(refused, request)
-        self.whole(made.status, made.headers, made.body)
+        self.send_whole(made.status, made.headers, made.body)
 
     def _start(self, status: int, head: list[headers.Header]) -> None:
-        self.begun = True
+        self.started = True
         if self._env.stopping:
             head.append((b"connection", b"close"))
         self._out = self._parser.send(
@@ -153,7 +153,7 @@
         if request is None:
             return False
         self.idle = False
-        self.begun = False
+        self.started = False
         self._aborted = False
         self._quiet = request.method == b"HEAD"
         self._answer(request)
@@ -251,11 +251,11 @@
             self._parser.receive_data(data)
 
     def _refuse_bytes(self, error: h11.RemoteProtocolError) -> None:
-        self._env.metrics.refused_bytes(error.error_status_hint)
+        self._env.metrics.record_malformed(error.error_status_hint)
         if self._parser.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
-            made = problem.of_bytes(error.error_status_hint, str(error))
+            made = problem.for_malformed(error.error_status_hint, str(error))
             head = [*made.headers, (b"connection", b"close")]
-            self.whole(made.status, head, made.body)
+            self.send_whole(made.status, head, made.body)
 
     def _close_gently(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
--- a/src/citronvalve/forward/callerrequest.py
+++ b/src/citronvalve/forward/callerrequest.py
@@ -13,7 +13,7 @@
     target: bytes
     headers: list[headers_.Header]
     body: bytes
-    arrived: clock.Ms
+    arrived_at: clock.Ms
 
     @property
     def host(self) -> str:
--- a/src/citronvalve/forward/connectionpool.py
+++ b/src/citronvalve/forward/connectionpool.py
@@ -6,7 +6,7 @@
 from eventlet.green import socket as green_socket
 
 from citronvalve.forward import exchangeerror
-from citronvalve.forward import upstreamconnection as links_
+from citronvalve.forward import upstreamconnection
 from citronvalve.model import clock
 
 #: A connection to a sound upstream opens within some ms; a first packet that
@@ -43,9 +43,9 @@
         self._idle_by_address: dict[str, collections.deque] = {}
         self.opened = 0
 
-    def take(
+    def acquire(
         self, address: str, repeatable: bool
-    ) -> links_.UpstreamConnection:
+    ) -> upstreamconnection.UpstreamConnection:
         """Return a connection that is ready for a request.
 
         :param address: host:port.
@@ -57,13 +57,16 @@
         while idle:
             link, since = idle.pop()
             young = repeatable or now - since <= _FRESH
-            if young and now < link.kept_until and link.is_quiet():
+            if young and now < link.reusable_until and link.is_idle():
                 return link
             link.close()
         return self._open(address)
 
-    def give_back(
-        self, address: str, link: links_.UpstreamConnection, kept: int
+    def release(
+        self,
+        address: str,
+        link: upstreamconnection.UpstreamConnection,
+        kept: int,
     ) -> None:
         """Keep a connection after a whole exchange, if it can be kept.
 
@@ -72,15 +75,15 @@
         :param kept: seconds that the upstream says it keeps it, or 0.
         """
         idle = self._idle_by_address.setdefault(address, collections.deque())
-        if len(idle) >= _MOST_KEPT or not link.recycle():
+        if len(idle) >= _MOST_KEPT or not link.prepare_reuse():
             link.close()
             return
         now = self._clock.now()
         span = kept * clock.SECOND - _MARGIN if kept else _KEPT
-        link.kept_until = now + max(span, _MARGIN // 2)
+        link.reusable_until = now + max(span, _MARGIN // 2)
         idle.append((link, now))
 
-    def check(self, address: str) -> None:
+    def check_listening(self, address: str) -> None:
         """Find out whether anybody still listens at an address.
 
         The connection that is opened for it is kept for the next request.
@@ -89,11 +92,11 @@
         :raises linkerror.LinkError: when nobody does.
         """
         link = self._open(address)
-        link.kept_until = self._clock.now() + _KEPT
+        link.reusable_until = self._clock.now() + _KEPT
         idle = self._idle_by_address.setdefault(address, collections.deque())
         idle.append((link, self._clock.now()))
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address.
 
         One that went silent tells of the others: something between may
@@ -104,7 +107,7 @@
         for link, _ in self._idle_by_address.pop(address, ()):
             link.close()
 
-    def _open(self, address: str) -> links_.UpstreamConnection:
+    def _open(self, address: str) -> upstreamconnection.UpstreamConnection:
         host, _, port = address.rpartition(":")
         sock = green_socket.socket()
         sock.settimeout(_CONNECT / clock.SECOND)
@@ -125,4 +128,4 @@
                 exchangeerror.ExchangeFailure.UNREACHED, str(error)
             ) from error
         self.opened += 1
-        return links_.UpstreamConnection(sock, self._clock)
+        return upstreamconnection.UpstreamConnection(sock, self._clock)
--- a/src/citronvalve/forward/crashdetector.py
+++ b/src/citronvalve/forward/crashdetector.py
@@ -5,10 +5,10 @@
 import xxhash
 
 from citronvalve.forward import callerrequest
-from citronvalve.forward import connectionpool as links_
+from citronvalve.forward import connectionpool
 from citronvalve.forward import environment as environments
 from citronvalve.forward import exchangeerror
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import routedrequest
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.policy import crashfence
@@ -33,20 +33,24 @@
     """
 
     def __init__(
-        self, env: environments.Environment, links: links_.ConnectionPool
+        self,
+        env: environments.Environment,
+        links: connectionpool.ConnectionPool,
     ) -> None:
         self._env = env
         self._links = links
         self._fence = crashfence.CrashFence()
         self.on_crash: Callable[[str, str], None] = lambda *_: None
 
-    def refuse(self, demand: demands.RoutedRequest) -> refusal.Refusal | None:
+    def find_refusal(
+        self, demand: routedrequest.RoutedRequest
+    ) -> refusal.Refusal | None:
         """Return the refusal of a request that is known to crash upstreams.
 
         :param demand: the request.
         """
         lost = self._fence.loss_count(
-            fingerprint(demand.request, self._env.dialect.key),
+            fingerprint(demand.request, self._env.header_names.api_key),
             self._env.clock.now(),
             _SPAN,
         )
@@ -58,8 +62,8 @@
             "change the request before sending it again",
         )
 
-    def broke(
-        self, demand: demands.RoutedRequest, upstream: str, address: str
+    def check_upstream(
+        self, demand: routedrequest.RoutedRequest, upstream: str, address: str
     ) -> None:
         """Look into a connection that broke while a request ran.
 
@@ -71,10 +75,10 @@
         :param address: host:port.
         """
         try:
-            self._links.check(address)
+            self._links.check_listening(address)
         except exchangeerror.ExchangeError as error:
-            mark = fingerprint(demand.request, self._env.dialect.key)
-            self.learn(mark, upstream)
+            mark = fingerprint(demand.request, self._env.header_names.api_key)
+            self.record_loss(mark, upstream)
             self._env.log.change(
                 "upstream lost with a request",
                 upstream=upstream,
@@ -83,14 +87,16 @@
             )
             self.on_crash(mark, upstream)
 
-    def done(self, demand: demands.RoutedRequest) -> None:
+    def clear(self, demand: routedrequest.RoutedRequest) -> None:
         """Take back what speaks against a request that was answered.
 
         :param demand: the request.
         """
-        self._fence.clear(fingerprint(demand.request, self._env.dialect.key))
+        self._fence.clear(
+            fingerprint(demand.request, self._env.header_names.api_key)
+        )
 
-    def learn(self, mark: str, upstream: str) -> None:
+    def record_loss(self, mark: str, upstream: str) -> None:
         """Take in a loss that another daemon saw.
 
         :param mark: the request's fingerprint.
--- a/src/citronvalve/forward/dependencies.py
+++ b/src/citronvalve/forward/dependencies.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple
 
-from citronvalve.forward import connectionpool as links_
-from citronvalve.forward import crashdetector as crashes_
+from citronvalve.forward import connectionpool
+from citronvalve.forward import crashdetector
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
-from citronvalve.forward import placement as placings
-from citronvalve.forward import retrybudgets as repeats_
-from citronvalve.forward import stalldetector as stalls_
+from citronvalve.forward import placement as placements
+from citronvalve.forward import retrybudgets
+from citronvalve.forward import stalldetector
 from citronvalve.policy import upstreamchoice
 
 
@@ -17,9 +17,9 @@
 
     env: environments.Environment
     directory: directories.Directory
-    book: upstreamchoice.LoadTable
-    links: links_.ConnectionPool
-    placing: placings.Placement
-    repeats: repeats_.RetryBudgets
-    stalls: stalls_.StallDetector
-    crashes: crashes_.CrashDetector
+    loads: upstreamchoice.LoadTable
+    pool: connectionpool.ConnectionPool
+    placement: placements.Placement
+    retry_budgets: retrybudgets.RetryBudgets
+    stall_detector: stalldetector.StallDetector
+    crash_detector: crashdetector.CrashDetector
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -24,8 +24,8 @@
         self._datacentre = datacentre
         self.catalogue: catalogues.Catalogue | None = None
         self.runner_by_id: dict[str, runners.Runner] = {}
-        self.known = False
-        self.out: frozenset[str] = frozenset()
+        self.list_known = False
+        self.datacentres_out: frozenset[str] = frozenset()
         self.confirmed_at: clock.Ms = 0
         self._heads: dict[tuple[str, str], list[runners.Runner]] = {}
         self._plain: dict[str, list[runners.Runner]] = {}
@@ -33,7 +33,7 @@
     @property
     def ready(self) -> bool:
         """Tell whether requests can be answered from what is known."""
-        return self.catalogue is not None and self.known
+        return self.catalogue is not None and self.list_known
 
     def adopt(self, catalogue: catalogues.Catalogue) -> bool:
         """Put a version in force unless a newer one is.
@@ -49,7 +49,7 @@
         self.catalogue = catalogue
         return True
 
-    def put(self, runner: runners.Runner) -> runners.Runner | None:
+    def update_runner(self, runner: runners.Runner) -> runners.Runner | None:
         """Take in what the list says of an upstream; return what it said.
 
         :param runner: ignored if the list said something newer before.
@@ -70,15 +70,15 @@
         self._sort()
         return held
 
-    def set_out(self, datacentres: frozenset[str]) -> None:
+    def set_datacentres_out(self, datacentres: frozenset[str]) -> None:
         """Say which data centres get no new work.
 
         :param datacentres: their names.
         """
-        self.out = datacentres
+        self.datacentres_out = datacentres
         self._sort()
 
-    def heads(
+    def open_heads(
         self, service: str, model: str
     ) -> list[upstreamchoice.Candidate]:
         """Return the open replicas of a model.
@@ -90,7 +90,7 @@
             self._candidate(r) for r in self._heads.get((service, model), ())
         ]
 
-    def plain(self, service: str) -> list[upstreamchoice.Candidate]:
+    def plain_upstreams(self, service: str) -> list[upstreamchoice.Candidate]:
         """Return the upstreams of a plain service.
 
         :param service: its name.
@@ -107,7 +107,7 @@
         heads: dict[tuple[str, str], list[runners.Runner]] = {}
         plain: dict[str, list[runners.Runner]] = {}
         for runner in self.runner_by_id.values():
-            if runner.leaving or runner.datacentre in self.out:
+            if runner.leaving or runner.datacentre in self.datacentres_out:
                 continue
             if runner.is_open_head:
                 place = runner.service, runner.membership.key.model
--- a/src/citronvalve/forward/dispatch.py
+++ b/src/citronvalve/forward/dispatch.py
@@ -1,12 +1,12 @@
 """One request on its way, over all the upstreams it takes."""
 
-from citronvalve.forward import attemptresult as attempts
-from citronvalve.forward import dependencies as means_
+from citronvalve.forward import attempt as attempts
+from citronvalve.forward import attemptresult
+from citronvalve.forward import dependencies
 from citronvalve.forward import headers
 from citronvalve.forward import reply as replies
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import routedrequest
 from citronvalve.forward import streamprogress
-from citronvalve.forward import trial as trials
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
@@ -19,7 +19,7 @@
 #: Least time worth another try, in ms.
 _WORTH_A_TRY: clock.Ms = 60
 
-_Ending = attempts.Ending
+_Ending = attemptresult.Ending
 _Kind = refusal.RefusalKind
 
 
@@ -35,8 +35,8 @@
 
     def __init__(
         self,
-        means: means_.Dependencies,
-        demand: demands.RoutedRequest,
+        means: dependencies.Dependencies,
+        demand: routedrequest.RoutedRequest,
         reply: replies.Reply,
     ) -> None:
         self._means = means
@@ -46,7 +46,7 @@
         self._runs = 0
         self._refused = 0
         self._ran = ran.Ran.NO
-        self._failed: attempts.AttemptResult | None = None
+        self._failed: attemptresult.AttemptResult | None = None
         self._relayed = streamprogress.StreamProgress()
         self.outcome = "failed"
         self.reason = ""
@@ -58,27 +58,29 @@
 
     def run(self) -> None:
         """Answer the caller."""
-        fenced = self._means.crashes.refuse(self._demand)
+        fenced = self._means.crash_detector.find_refusal(self._demand)
         if fenced is not None:
             self._refuse(fenced)
             return
         while True:
-            placed = self._means.placing.place(self._demand, self._tried)
+            placed = self._means.placement.place(self._demand, self._tried)
             if isinstance(placed, refusal.Refusal):
                 self._end_without(placed)
                 return
             ended = self._try(placed)
             if ended.ending is _Ending.DELIVERED:
-                self.outcome, self.reason = "whole", str(ended.answer.status)
-                self._means.crashes.done(self._demand)
+                self.outcome, self.reason = "whole", str(ended.response.status)
+                self._means.crash_detector.clear(self._demand)
                 return
             if not self._may_go_on(ended):
                 self._end_with(ended)
                 return
 
-    def _try(self, placed: upstreamchoice.Chosen) -> attempts.AttemptResult:
+    def _try(
+        self, placed: upstreamchoice.Chosen
+    ) -> attemptresult.AttemptResult:
         self._tried.append(placed.upstream)
-        trial = trials.Attempt(
+        trial = attempts.Attempt(
             self._means,
             self._demand,
             self._reply,
@@ -87,14 +89,14 @@
             self._has_elsewhere,
         )
         ended = trial.run()
-        self._means.env.metrics.tried(ended.ending.name.lower())
+        self._means.env.metrics.record_attempt(ended.ending.name.lower())
         self._means.env.log.note(
             "try ended",
             self._demand.id,
             upstream=placed.upstream,
             ending=ended.ending.name,
             why=ended.why,
-            after=self._relayed.last,
+            after=self._relayed.last_event_id,
             expected_ms=round(placed.forecast.first),
         )
         if ended.ending is _Ending.NOT_RUN:
@@ -102,7 +104,7 @@
         else:
             self._runs += 1
             self._ran = ran.Ran.UNKNOWN
-        if ended.answer is not None:
+        if ended.response is not None:
             self._failed = ended
         return ended
 
@@ -117,23 +119,23 @@
         return (
             self._may_try_again()
             and self._may_run_again(self._runs + 1)
-            and means.repeats.holds(service)
-            and means.placing.has_place(self._demand, self._tried)
+            and means.retry_budgets.allows(service)
+            and means.placement.can_place(self._demand, self._tried)
         )
 
-    def _may_go_on(self, ended: attempts.AttemptResult) -> bool:
+    def _may_go_on(self, ended: attemptresult.AttemptResult) -> bool:
         if not self._may_try_again():
             return False
         has_run = ended.ending is not _Ending.NOT_RUN
         if has_run and not self._may_run_again(self._runs):
             return False
-        return self._means.repeats.spend(self._demand.service.name)
+        return self._means.retry_budgets.spend(self._demand.service.name)
 
     def _may_try_again(self) -> bool:
-        left = self._demand.until - self._means.env.clock.now()
+        left = self._demand.deadline - self._means.env.clock.now()
         if left < _WORTH_A_TRY or self._refused > _MOST_REFUSED:
             return False
-        return self._means.crashes.refuse(self._demand) is None
+        return self._means.crash_detector.find_refusal(self._demand) is None
 
     def _may_run_again(self, runs: int) -> bool:
         # What may have run and may not be repeated would run twice.
@@ -143,34 +145,38 @@
     def _end_without(self, refused: refusal.Refusal) -> None:
         if self._failed is not None or self._runs:
             self._end_with(
-                attempts.AttemptResult(_Ending.BROKEN, refused.detail)
+                attemptresult.AttemptResult(_Ending.BROKEN, refused.detail)
             )
             return
         self._refuse(refused)
 
-    def _end_with(self, ended: attempts.AttemptResult) -> None:
+    def _end_with(self, ended: attemptresult.AttemptResult) -> None:
         self.reason = ended.ending.name.lower()
-        if self._reply.begun:
+        if self._reply.started:
             self.outcome = "broken"
             self._reply.abort()
         elif self._failed is not None:
             self._pass_on(self._failed)
         elif self._ran is ran.Ran.NO:
-            self._refuse(self._means.placing.turned_away(self._demand, ended))
+            self._refuse(
+                self._means.placement.not_run_refusal(self._demand, ended)
+            )
         else:
             self._refuse(self._unknown(ended))
 
-    def _pass_on(self, failed: attempts.AttemptResult) -> None:
+    def _pass_on(self, failed: attemptresult.AttemptResult) -> None:
         # The upstream's own word on what it ran, as it said it.
         self.outcome = "failed"
-        dialect = self._means.env.dialect
-        status = failed.answer.status
-        if status in (408, 421, 429, 503) and failed.answer.has_run(dialect):
+        dialect = self._means.env.header_names
+        status = failed.response.status
+        if status in (408, 421, 429, 503) and failed.response.may_have_run(
+            dialect
+        ):
             # These promise that nothing ran, which it did not say.
             self._refuse(self._unknown(failed))
             return
-        self._reply.whole(
-            status, headers.crossing(failed.answer.headers), failed.body
+        self._reply.send_whole(
+            status, headers.end_to_end(failed.response.headers), failed.body
         )
 
     def _refuse(self, refused: refusal.Refusal) -> None:
@@ -185,10 +191,10 @@
             ran=refused.ran,
             retry_after_ms=refused.retry_after,
         )
-        self._reply.refuse(refused, self._demand.id)
+        self._reply.send_refusal(refused, self._demand.id)
 
-    def _unknown(self, ended: attempts.AttemptResult) -> refusal.Refusal:
-        late = self._demand.until - self._means.env.clock.now()
+    def _unknown(self, ended: attemptresult.AttemptResult) -> refusal.Refusal:
+        late = self._demand.deadline - self._means.env.clock.now()
         kind = (
             _Kind.DEADLINE_PASSED
             if late < _WORTH_A_TRY
--- a/src/citronvalve/forward/environment.py
+++ b/src/citronvalve/forward/environment.py
@@ -2,7 +2,7 @@
 
 import random
 
-from citronvalve.forward import headernames as dialects
+from citronvalve.forward import headernames
 from citronvalve.forward import metrics as metrics_
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
@@ -26,16 +26,16 @@
         name: str,
         datacentre: str,
         clock_: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
         log: decisionlog.DecisionLog,
-        dialect: dialects.HeaderNames,
+        header_names: headernames.HeaderNames,
     ) -> None:
         self.name = name
         self.datacentre = datacentre
         self.clock = clock_
-        self.chance = chance
+        self.rng = rng
         self.log = log
-        self.dialect = dialect
+        self.header_names = header_names
         self.metrics = metrics_.Metrics()
         self.stopping = False
-        self.daemons = 1
+        self.daemon_count = 1
--- a/src/citronvalve/forward/eventsplitter.py
+++ b/src/citronvalve/forward/eventsplitter.py
@@ -21,22 +21,22 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last border."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
         """Return the events that are whole now.
 
         :param data: the next bytes.
         """
-        data = self._rest + data
+        data = self._remainder + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-        *whole, self._rest = data.split(_BORDER)
+        *whole, self._remainder = data.split(_BORDER)
         return [Event(raw + _BORDER, _id(raw)) for raw in whole]
 
 
--- a/src/citronvalve/forward/exchangeerror.py
+++ b/src/citronvalve/forward/exchangeerror.py
@@ -23,6 +23,6 @@
     :param why: in words.
     """
 
-    def __init__(self, trouble: ExchangeFailure, why: str) -> None:
+    def __init__(self, failure: ExchangeFailure, why: str) -> None:
         super().__init__(why, remedy="try another upstream if it may repeat")
-        self.trouble = trouble
+        self.failure = failure
--- a/src/citronvalve/forward/forwarder.py
+++ b/src/citronvalve/forward/forwarder.py
@@ -1,12 +1,12 @@
 """Handles the callers' requests from their arrival to their end."""
 
-from citronvalve.forward import admission as intakes
+from citronvalve.forward import admission as admissions
 from citronvalve.forward import callergone
 from citronvalve.forward import callerrequest
-from citronvalve.forward import dependencies as means_
-from citronvalve.forward import dispatch as passages
+from citronvalve.forward import dependencies
+from citronvalve.forward import dispatch as dispatches
 from citronvalve.forward import reply as replies
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import routedrequest
 from citronvalve.model import refusal
 
 
@@ -20,12 +20,12 @@
     """
 
     def __init__(
-        self, means: means_.Dependencies, intake: intakes.Admission
+        self, means: dependencies.Dependencies, intake: admissions.Admission
     ) -> None:
         self._means = means
         self._intake = intake
         self.in_progress = 0
-        self.served = 0
+        self.received = 0
 
     def handle(
         self, request: callerrequest.CallerRequest, reply: replies.Reply
@@ -36,7 +36,7 @@
         :param reply: takes the answer.
         """
         self.in_progress += 1
-        self.served += 1
+        self.received += 1
         try:
             demand = self._intake.admit(request)
             if isinstance(demand, refusal.Refusal):
@@ -53,19 +53,19 @@
         refused: refusal.Refusal,
     ) -> None:
         env = self._means.env
-        number = request.header(env.dialect.request).decode("latin-1")
-        env.metrics.ended("unknown", "refused", refused.kind)
+        number = request.header(env.header_names.request_id).decode("latin-1")
+        env.metrics.record_request("unknown", "refused", refused.kind)
         env.log.note(
             "turned away", number, kind=refused.kind, why=refused.detail
         )
-        reply.refuse(refused, number)
+        reply.send_refusal(refused, number)
 
     def _pass_on(
-        self, demand: demands.RoutedRequest, reply: replies.Reply
+        self, demand: routedrequest.RoutedRequest, reply: replies.Reply
     ) -> None:
         env = self._means.env
-        self._means.repeats.requested(demand.service.name)
-        passage = passages.Dispatch(self._means, demand, reply)
+        self._means.retry_budgets.record_request(demand.service.name)
+        passage = dispatches.Dispatch(self._means, demand, reply)
         try:
             passage.run()
         except callergone.CallerGoneError:
@@ -79,11 +79,13 @@
             self._ended(demand, passage)
 
     def _ended(
-        self, demand: demands.RoutedRequest, passage: passages.Dispatch
+        self, demand: routedrequest.RoutedRequest, passage: dispatches.Dispatch
     ) -> None:
         env = self._means.env
         catalogue = self._means.directory.catalogue
-        env.metrics.ended(demand.route.kind, passage.outcome, passage.reason)
+        env.metrics.record_request(
+            demand.route.kind, passage.outcome, passage.reason
+        )
         env.log.note(
             "request ended",
             demand.id,
@@ -92,6 +94,6 @@
             route=demand.route.name,
             model=demand.model,
             upstreams=passage.tried,
-            took_ms=env.clock.now() - demand.request.arrived,
+            took_ms=env.clock.now() - demand.request.arrived_at,
             config=catalogue.version if catalogue else 0,
         )
--- a/src/citronvalve/forward/headernames.py
+++ b/src/citronvalve/forward/headernames.py
@@ -17,24 +17,24 @@
     last event id that the caller has; ``expect_version`` the weights.
     """
 
-    request: bytes = b"x-request-id"
+    request_id: bytes = b"x-request-id"
     deadline: bytes = b"x-deadline-ms"
-    key: bytes = b"authorization"
+    api_key: bytes = b"authorization"
     team: bytes = b"x-team"
-    expect: bytes = b"x-expect-upstream"
+    expected_upstream: bytes = b"x-expect-upstream"
     seal: bytes = b"x-seal"
     not_run: bytes = b"x-not-run"
     at_fault: bytes = b"x-at-fault"
     load: bytes = b"x-load"
     rank: bytes = b"x-rank"
     model: bytes = b"x-model"
-    sizes: bytes = b"x-tokens"
+    token_counts: bytes = b"x-tokens"
     length_hint: bytes = b"x-length-hint"
     resume_after: bytes = b"last-event-id"
-    expect_version: bytes = b"x-expect-version"
+    expected_version: bytes = b"x-expect-version"
 
     @property
-    def own(self) -> frozenset[bytes]:
+    def system_only(self) -> frozenset[bytes]:
         """Return the names that only the system may set on a request.
 
         A caller that sent one of them itself could pass for another team,
@@ -43,11 +43,11 @@
         return frozenset(
             {
                 self.deadline,
-                self.key,
+                self.api_key,
                 self.team,
-                self.expect,
+                self.expected_upstream,
                 self.rank,
                 self.resume_after,
-                self.expect_version,
+                self.expected_version,
             }
         )
--- a/src/citronvalve/forward/headers.py
+++ b/src/citronvalve/forward/headers.py
@@ -36,7 +36,7 @@
     return b""
 
 
-def crossing(
+def end_to_end(
     headers: Iterable[Header], dropped: frozenset[bytes] = frozenset()
 ) -> list[Header]:
     """Return the headers that are passed on.
@@ -61,7 +61,7 @@
     ]
 
 
-def number(text: bytes) -> int | None:
+def parse_number(text: bytes) -> int | None:
     """Return a whole number that is not negative, or None.
 
     :param text: a header's value.
--- a/src/citronvalve/forward/metrics.py
+++ b/src/citronvalve/forward/metrics.py
@@ -42,7 +42,7 @@
             "forecast_error_seconds", "First event after its forecast."
         )
 
-    def ended(self, kind: str, outcome: str, reason: str) -> None:
+    def record_request(self, kind: str, outcome: str, reason: str) -> None:
         """Count a request's end.
 
         :param kind: of its route.
@@ -52,21 +52,21 @@
         """
         self._ended.inc({"kind": kind, "outcome": outcome, "reason": reason})
 
-    def tried(self, result: str) -> None:
+    def record_attempt(self, result: str) -> None:
         """Count a try at an upstream.
 
         :param result: how it ended.
         """
         self._tries.inc({"result": result})
 
-    def refused_bytes(self, status: int) -> None:
+    def record_malformed(self, status: int) -> None:
         """Count bytes that were no request.
 
         :param status: what they were answered with.
         """
         self._bytes.inc({"status": str(status)})
 
-    def ordered(self, order: str, result: str) -> None:
+    def record_order(self, order: str, result: str) -> None:
         """Count an order to an engine.
 
         :param order: its kind.
@@ -74,7 +74,7 @@
         """
         self._orders.inc({"order": order, "result": result})
 
-    def read_platform(self, table: str, answered: bool) -> None:
+    def record_platform_read(self, table: str, answered: bool) -> None:
         """Count a call for the changes of a table.
 
         :param table: its name; the daemon follows a fixed few.
@@ -83,7 +83,7 @@
         result = "answered" if answered else "failed"
         self._readings.inc({"table": table, "result": result})
 
-    def first_event(self, took: clock.Ms, forecast: float) -> None:
+    def observe_first_event(self, took: clock.Ms, forecast: float) -> None:
         """Note the time to a first event.
 
         :param took: ms from arrival.
@@ -93,7 +93,7 @@
         late = max(0.0, took - forecast)
         self._error.observe({}, late / clock.SECOND)
 
-    def gap(self, longest: clock.Ms) -> None:
+    def observe_gap(self, longest: clock.Ms) -> None:
         """Note a stream's longest pause.
 
         :param longest: ms.
--- a/src/citronvalve/forward/placement.py
+++ b/src/citronvalve/forward/placement.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from citronvalve.forward import attemptresult as attempts
+from citronvalve.forward import attemptresult
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import routedrequest
 from citronvalve.model import clock
 from citronvalve.model import refusal
 from citronvalve.policy import coldrate
@@ -78,17 +78,17 @@
         env: environments.Environment,
         directory: directories.Directory,
         book: upstreamchoice.LoadTable,
-        cold: ColdLimits,
+        cold_limits: ColdLimits,
     ) -> None:
         self._env = env
         self._directory = directory
-        self.cold = cold
+        self.cold_limits = cold_limits
         self._pressed_at: clock.Ms | None = None
-        self._choice = upstreamchoice.UpstreamChoice(book, env.chance)
-        self._rates = coldrate.ColdRate(env.chance)
+        self._choice = upstreamchoice.UpstreamChoice(book, env.rng)
+        self._rates = coldrate.ColdRate(env.rng)
 
     def place(
-        self, demand: demands.RoutedRequest, tried: list[str]
+        self, demand: routedrequest.RoutedRequest, tried: list[str]
     ) -> upstreamchoice.Chosen | refusal.Refusal:
         """Choose an upstream that has not been tried.
 
@@ -110,8 +110,8 @@
             )
         return self._refuse(demand, _why_none(demand), _REPAIR)
 
-    def has_place(
-        self, demand: demands.RoutedRequest, tried: list[str]
+    def can_place(
+        self, demand: routedrequest.RoutedRequest, tried: list[str]
     ) -> bool:
         """Tell whether an upstream that has not been tried takes it now.
 
@@ -127,8 +127,10 @@
             return False
         return self._env.clock.now() - self._pressed_at < _PRESSED
 
-    def turned_away(
-        self, demand: demands.RoutedRequest, ended: attempts.AttemptResult
+    def not_run_refusal(
+        self,
+        demand: routedrequest.RoutedRequest,
+        ended: attemptresult.AttemptResult,
     ) -> refusal.Refusal:
         """Return the refusal of a request that upstreams did not run.
 
@@ -138,11 +140,14 @@
         return self._refuse(demand, f"not run: {ended.why}", _SOONEST)
 
     def _choose(
-        self, demand: demands.RoutedRequest, tried: list[str], now: clock.Ms
+        self,
+        demand: routedrequest.RoutedRequest,
+        tried: list[str],
+        now: clock.Ms,
     ) -> upstreamchoice.Chosen | upstreamchoice.Full:
         service, engine = demand.service, demand.service.engine
         if engine is None:
-            there = self._directory.plain(service.name)
+            there = self._directory.plain_upstreams(service.name)
             found = self._bearing(there, demand, tried, now)
             chosen = self._choice.least_loaded(found, now)
             if chosen is None:
@@ -151,7 +156,7 @@
         model = engine.model_by_name.get(demand.model)
         if model is None:
             return _NOWHERE
-        there = self._directory.heads(service.name, model.name)
+        there = self._directory.open_heads(service.name, model.name)
         found = self._bearing(there, demand, tried, now)
         pace = enginepace.EnginePace(engine, model.time_factor)
         return self._choice.choose(
@@ -161,7 +166,7 @@
     def _note_pressure(
         self,
         chosen: upstreamchoice.Chosen | upstreamchoice.Full,
-        demand: demands.RoutedRequest,
+        demand: routedrequest.RoutedRequest,
         now: clock.Ms,
     ) -> None:
         room = _NEARLY_FULL * demand.route.latency_objective
@@ -170,27 +175,30 @@
             self._pressed_at = now
 
     def _job(
-        self, demand: demands.RoutedRequest, tried: list[str], now: clock.Ms
+        self,
+        demand: routedrequest.RoutedRequest,
+        tried: list[str],
+        now: clock.Ms,
     ) -> upstreamchoice.Job:
-        left = float(demand.until - now)
+        left = float(demand.deadline - now)
         # What was begun elsewhere is not put behind others once more.
         objective = left if tried else demand.route.latency_objective
         return upstreamchoice.Job(
-            demand.prompt,
-            demand.answer,
-            _IN_TIME * objective - (now - demand.request.arrived),
+            demand.prompt_tokens,
+            demand.response_tokens,
+            _IN_TIME * objective - (now - demand.request.arrived_at),
             left if tried else min(left, self._latest(demand)),
         )
 
-    def _latest(self, demand: demands.RoutedRequest) -> float:
-        given = demand.until - demand.request.arrived
+    def _latest(self, demand: routedrequest.RoutedRequest) -> float:
+        given = demand.deadline - demand.request.arrived_at
         with_less = given < _WITH_LESS * demand.route.timeout
         return _LATE_RETURN if with_less else _LATE
 
     def _bearing(
         self,
         candidates: Iterable[upstreamchoice.Candidate],
-        demand: demands.RoutedRequest,
+        demand: routedrequest.RoutedRequest,
         tried: list[str],
         now: clock.Ms,
     ) -> list[upstreamchoice.Candidate]:
@@ -209,20 +217,20 @@
     def _bears(self, upstream: str, rate: float, now: clock.Ms) -> bool:
         if not rate or not self._is_cold(upstream, now):
             return True
-        return self._rates.allows(upstream, rate, self._env.daemons, now)
+        return self._rates.allows(upstream, rate, self._env.daemon_count, now)
 
     def _is_cold(self, upstream: str, now: clock.Ms) -> bool:
         runner = self._directory.runner_by_id.get(upstream)
         return runner is not None and now < runner.cold_until
 
-    def _rate(self, demand: demands.RoutedRequest) -> float:
+    def _rate(self, demand: routedrequest.RoutedRequest) -> float:
         declared = demand.service.cold_rate
         if not declared:
             return 0.0
-        return declared * self.cold.over + self.cold.slack
+        return declared * self.cold_limits.over + self.cold_limits.slack
 
     def _sent(
-        self, upstream: str, demand: demands.RoutedRequest, now: clock.Ms
+        self, upstream: str, demand: routedrequest.RoutedRequest, now: clock.Ms
     ) -> None:
         if self._rate(demand):
             # Counted while warm too: an upstream falls back into a cold
@@ -230,11 +238,11 @@
             self._rates.record_sent(upstream, now)
 
     def _refuse(
-        self, demand: demands.RoutedRequest, why: str, back_in: clock.Ms
+        self, demand: routedrequest.RoutedRequest, why: str, back_in: clock.Ms
     ) -> refusal.Refusal:
-        left = max(0, demand.until - self._env.clock.now())
+        left = max(0, demand.deadline - self._env.clock.now())
         # Callers told the same time would come back together.
-        spread = back_in * self._env.chance.uniform(1.0, 1.5)
+        spread = back_in * self._env.rng.uniform(1.0, 1.5)
         return refusal.Refusal(
             refusal.RefusalKind.NO_UPSTREAM,
             why,
@@ -243,7 +251,7 @@
         )
 
 
-def _why_none(demand: demands.RoutedRequest) -> str:
+def _why_none(demand: routedrequest.RoutedRequest) -> str:
     engine = demand.service.engine
     if engine is None:
         return "no upstream of the service"
--- a/src/citronvalve/forward/problem.py
+++ b/src/citronvalve/forward/problem.py
@@ -36,7 +36,7 @@
     return Rendered(refused.status, head, problem.body(refused, request))
 
 
-def of_bytes(status: int, why: str) -> Rendered:
+def for_malformed(status: int, why: str) -> Rendered:
     """Return the answer for bytes that are no request.
 
     :param status: the parser's hint.
--- a/src/citronvalve/forward/reply.py
+++ b/src/citronvalve/forward/reply.py
@@ -13,7 +13,7 @@
     :ivar begun: whether the caller has got a status.
     """
 
-    begun = False
+    started = False
 
     @abc.abstractmethod
     def check_caller(self) -> None:
@@ -23,7 +23,7 @@
         """
 
     @abc.abstractmethod
-    def whole(
+    def send_whole(
         self, status: int, head: Iterable[headers.Header], body: bytes
     ) -> None:
         """Send an answer in one piece.
@@ -34,7 +34,7 @@
         """
 
     @abc.abstractmethod
-    def begin(self, status: int, head: Iterable[headers.Header]) -> None:
+    def start(self, status: int, head: Iterable[headers.Header]) -> None:
         """Begin an answer whose length is not known.
 
         :param status: HTTP status.
@@ -57,7 +57,7 @@
         """Close the connection so that the answer can't look complete."""
 
     @abc.abstractmethod
-    def refuse(self, refused: refusal.Refusal, request: str) -> None:
+    def send_refusal(self, refused: refusal.Refusal, request: str) -> None:
         """Send a refusal.
 
         :param refused: why there is no answer.
--- a/src/citronvalve/forward/responsehead.py
+++ b/src/citronvalve/forward/responsehead.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from citronvalve.forward import headernames as dialects
+from citronvalve.forward import headernames
 from citronvalve.forward import headers as headers_
 
 
@@ -20,22 +20,24 @@
     status: int
     headers: list[headers_.Header]
 
-    def is_for(self, request: bytes, dialect: dialects.HeaderNames) -> bool:
+    def is_for(
+        self, request_id: bytes, names: headernames.HeaderNames
+    ) -> bool:
         """Tell whether the answer is to this request.
 
         :param request: the id that was sent.
         :param dialect: names of headers.
         """
-        return headers_.value(self.headers, dialect.request) == request
+        return headers_.value(self.headers, names.request_id) == request_id
 
-    def has_run(self, dialect: dialects.HeaderNames) -> bool:
+    def may_have_run(self, names: headernames.HeaderNames) -> bool:
         """Tell whether the request may have run.
 
         :param dialect: names of headers.
         """
         if self.status == 421:
             return False
-        return not headers_.value(self.headers, dialect.not_run)
+        return not headers_.value(self.headers, names.not_run)
 
     def is_framed(self) -> bool:
         """Tell whether its end can be told from a connection that broke."""
@@ -46,31 +48,31 @@
         """Tell whether it has a success status."""
         return 200 <= self.status < 300
 
-    def is_proper(self, dialect: dialects.HeaderNames) -> bool:
+    def is_authentic(self, names: headernames.HeaderNames) -> bool:
         """Tell whether a success is the upstream's own, as it made it.
 
         :param dialect: names of headers.
         """
-        sealed = headers_.value(self.headers, dialect.seal)
-        coded = headers_.value(self.headers, b"content-encoding")
-        return bool(sealed) and coded in (b"", b"identity")
+        seal = headers_.value(self.headers, names.seal)
+        encoding = headers_.value(self.headers, b"content-encoding")
+        return bool(seal) and encoding in (b"", b"identity")
 
-    def load(self, dialect: dialects.HeaderNames) -> Load | None:
+    def load(self, names: headernames.HeaderNames) -> Load | None:
         """Return the load that the upstream told, or None.
 
         :param dialect: names of headers.
         """
-        parts = headers_.value(self.headers, dialect.load).split(b",")
-        numbers = [headers_.number(part) for part in parts]
+        parts = headers_.value(self.headers, names.load).split(b",")
+        numbers = [headers_.parse_number(part) for part in parts]
         if len(numbers) != 3 or None in numbers:
             return None
         return Load(*numbers)
 
-    def kept(self) -> int:
+    def keep_alive_seconds(self) -> int:
         """Return for how many seconds the connection is kept, or 0."""
         text = headers_.value(self.headers, b"keep-alive")
         for part in text.split(b","):
             name, _, content = part.strip().partition(b"=")
             if name.lower() == b"timeout":
-                return headers_.number(content) or 0
+                return headers_.parse_number(content) or 0
         return 0
--- a/src/citronvalve/forward/responsereader.py
+++ b/src/citronvalve/forward/responsereader.py
@@ -4,10 +4,10 @@
 
 import h11
 
-from citronvalve.forward import dependencies as means_
+from citronvalve.forward import dependencies
 from citronvalve.forward import exchangeerror
-from citronvalve.forward import routedrequest as demands
-from citronvalve.forward import upstreamconnection as links_
+from citronvalve.forward import routedrequest
+from citronvalve.forward import upstreamconnection
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 
@@ -54,18 +54,20 @@
 
     def __init__(
         self,
-        means: means_.Dependencies,
-        demand: demands.RoutedRequest,
+        means: dependencies.Dependencies,
+        demand: routedrequest.RoutedRequest,
         placed: upstreamchoice.Chosen,
         elsewhere: Callable[[], bool],
     ) -> None:
         self._clock = means.env.clock
-        self._stalls = means.stalls
+        self._stalls = means.stall_detector
         self._demand = demand
         self._placed = placed
         self._elsewhere = elsewhere
 
-    def first(self, link: links_.UpstreamConnection) -> h11.Event:
+    def next_part(
+        self, link: upstreamconnection.UpstreamConnection
+    ) -> h11.Event:
         """Wait for a part of the answer's beginning, or of a whole answer.
 
         :param link: the connection.
@@ -77,7 +79,9 @@
         objective = self._demand.route.latency_objective
         return self._wait(link, round(_PLAIN_OBJECTIVES * objective))
 
-    def next(self, link: links_.UpstreamConnection) -> h11.Event:
+    def next_stream_part(
+        self, link: upstreamconnection.UpstreamConnection
+    ) -> h11.Event:
         """Wait for the next part of a stream.
 
         :param link: the connection.
@@ -87,17 +91,17 @@
         return self._wait(link, max(_LEAST_GAP, round(expected)))
 
     def _wait(
-        self, link: links_.UpstreamConnection, patience: clock.Ms
+        self, link: upstreamconnection.UpstreamConnection, patience: clock.Ms
     ) -> h11.Event:
-        end = self._demand.until + _GRACE
+        end = self._demand.deadline + _GRACE
         waited: clock.Ms = 0
         while True:
             began = self._clock.now()
             turn = min(end, began + _LOOK)
             try:
-                return link.next(turn)
+                return link.next_event(turn)
             except exchangeerror.ExchangeError as error:
-                if error.trouble is not _Trouble.SILENT or turn >= end:
+                if error.failure is not _Trouble.SILENT or turn >= end:
                     raise
                 waited += self._looked(self._clock.now() - began)
                 # Asked anew at each look: a replica may open meanwhile.
@@ -107,17 +111,17 @@
     def _looked(self, took: clock.Ms) -> clock.Ms:
         """Return how much of a look was the upstream's silence."""
         if took > _LONGEST_LOOK:
-            self._stalls.stood_still(took)
+            self._stalls.record_pause(took)
         return min(took, _LONGEST_LOOK)
 
     def _is_lost(self, waited: clock.Ms, patience: clock.Ms) -> bool:
         if self._demand.service.engine is None:
             return waited >= patience
         upstream = self._placed.upstream
-        if self._stalls.stands_still(upstream):
+        if self._stalls.is_stalled(upstream):
             return True
         if waited < patience:
             return False
-        if self._stalls.silent(upstream):
+        if self._stalls.record_silence(upstream):
             return True
         return waited >= _ALONE * patience
--- a/src/citronvalve/forward/retrybudgets.py
+++ b/src/citronvalve/forward/retrybudgets.py
@@ -15,26 +15,26 @@
     def __init__(
         self,
         env: environments.Environment,
-        terms: retrybudget.RetryLimits,
+        limits: retrybudget.RetryLimits,
     ) -> None:
         self._env = env
-        self.terms = terms
+        self.limits = limits
         self._budget_by_service: dict[str, retrybudget.RetryBudget] = {}
 
-    def requested(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request of a caller.
 
         :param service: the one it goes to.
         """
         self._budget(service).record_request(self._env.clock.now())
 
-    def holds(self, service: str) -> bool:
+    def allows(self, service: str) -> bool:
         """Tell whether one more repeat may be taken now.
 
         :param service: the one it goes to.
         """
         now = self._env.clock.now()
-        return self._budget(service).allows(self._env.daemons, now)
+        return self._budget(service).allows(self._env.daemon_count, now)
 
     def spend(self, service: str) -> bool:
         """Take one repeat, or return False.
@@ -42,12 +42,12 @@
         :param service: the one it goes to.
         """
         now = self._env.clock.now()
-        return self._budget(service).spend(self._env.daemons, now)
+        return self._budget(service).spend(self._env.daemon_count, now)
 
     def _budget(self, service: str) -> retrybudget.RetryBudget:
         held = self._budget_by_service.get(service)
         if held is None:
-            held = retrybudget.RetryBudget(self.terms)
+            held = retrybudget.RetryBudget(self.limits)
             self._budget_by_service[service] = held
-        held.limits = self.terms
+        held.limits = self.limits
         return held
--- a/src/citronvalve/forward/routedrequest.py
+++ b/src/citronvalve/forward/routedrequest.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from citronvalve.forward import callerrequest
-from citronvalve.forward import headernames as dialects
+from citronvalve.forward import headernames
 from citronvalve.forward import headers
 from citronvalve.model import clock
 from citronvalve.routes import keyholder
@@ -23,23 +23,23 @@
     request: callerrequest.CallerRequest
     route: routes_.Route
     service: services.Service
-    holder: keyholder.KeyHolder | None
-    until: clock.Ms
+    key_holder: keyholder.KeyHolder | None
+    deadline: clock.Ms
     model: str
-    prompt: int
-    answer: int
+    prompt_tokens: int
+    response_tokens: int
 
     @property
     def priority(self) -> int:
         """Return the rank, 0 first; a team's goes before the route's."""
-        own = self.holder.priority if self.holder else None
+        own = self.key_holder.priority if self.key_holder else None
         return self.route.priority if own is None else own
 
 
-def until(
+def deadline(
     request: callerrequest.CallerRequest,
     route: routes_.Route,
-    dialect: dialects.HeaderNames,
+    dialect: headernames.HeaderNames,
 ) -> clock.Ms:
     """Return the moment after which no answer is of use.
 
@@ -47,23 +47,23 @@
     :param route: its route.
     :param dialect: names of headers.
     """
-    given = headers.number(request.header(dialect.deadline))
+    given = headers.parse_number(request.header(dialect.deadline))
     span = route.timeout if given is None else min(given, route.timeout)
-    return request.arrived + span
+    return request.arrived_at + span
 
 
-def sizes(
-    request: callerrequest.CallerRequest, dialect: dialects.HeaderNames
+def token_counts(
+    request: callerrequest.CallerRequest, dialect: headernames.HeaderNames
 ) -> tuple[int, int]:
     """Return the prompt's tokens and those expected of the answer.
 
     :param request: the caller's.
     :param dialect: names of headers.
     """
-    first, _, most = request.header(dialect.sizes).partition(b",")
-    hint = headers.number(request.header(dialect.length_hint))
-    most_tokens = headers.number(most)
+    first, _, most = request.header(dialect.token_counts).partition(b",")
+    hint = headers.parse_number(request.header(dialect.length_hint))
+    most_tokens = headers.parse_number(most)
     answer = hint or most_tokens or _ANSWER
     if most_tokens:
         answer = min(answer, most_tokens)
-    return headers.number(first) or 0, answer
+    return headers.parse_number(first) or 0, answer
--- a/src/citronvalve/forward/stalldetector.py
+++ b/src/citronvalve/forward/stalldetector.py
@@ -36,7 +36,7 @@
         self.on_stall: Callable[[str], None] = lambda _: None
         self._stood_still_at: clock.Ms | None = None
 
-    def heard(self, upstream: str) -> None:
+    def record_activity(self, upstream: str) -> None:
         """Note a sign of life.
 
         :param upstream: its id.
@@ -48,7 +48,7 @@
             self._standing.discard(upstream)
             held.avoid_until = 0
 
-    def stands_still(self, upstream: str) -> bool:
+    def is_stalled(self, upstream: str) -> bool:
         """Tell whether an upstream was found standing still lately.
 
         :param upstream: its id.
@@ -60,7 +60,7 @@
         self._standing.discard(upstream)
         return False
 
-    def silent(self, upstream: str) -> bool:
+    def record_silence(self, upstream: str) -> bool:
         """Note a silence; tell whether the upstream as a whole is silent.
 
         :param upstream: its id.
@@ -74,7 +74,7 @@
             self.on_stall(upstream)
         return True
 
-    def told(self, upstream: str) -> None:
+    def record_remote_stall(self, upstream: str) -> None:
         """Take another daemon's word that an upstream stands still.
 
         :param upstream: its id; ignored if it was heard here just now.
@@ -95,7 +95,7 @@
             own_requests=held.own,
         )
 
-    def stood_still(self, span: clock.Ms) -> None:
+    def record_pause(self, span: clock.Ms) -> None:
         """Note that this daemon itself did not run for a while.
 
         :param span: ms until now.
--- a/src/citronvalve/forward/streamprogress.py
+++ b/src/citronvalve/forward/streamprogress.py
@@ -12,7 +12,7 @@
     """
 
     def __init__(self) -> None:
-        self.last: int | None = None
-        self.at: clock.Ms = 0
-        self.longest: clock.Ms = 0
-        self.events = 0
+        self.last_event_id: int | None = None
+        self.last_event_at: clock.Ms = 0
+        self.longest_gap: clock.Ms = 0
+        self.event_count = 0
--- a/src/citronvalve/forward/upstreamconnection.py
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -36,7 +36,7 @@
         self._parser = h11.Connection(h11.CLIENT)
         self._method = b"GET"
         self._sender: eventlet.greenthread.GreenThread | None = None
-        self.kept_until: clock.Ms = 0
+        self.reusable_until: clock.Ms = 0
         self.used = False
 
     def send(
@@ -68,7 +68,7 @@
         else:
             self._sender = eventlet.spawn(self._send_quietly, data)
 
-    def next(self, until: clock.Ms) -> h11.Event:
+    def next_event(self, until: clock.Ms) -> h11.Event:
         """Return the next part of the answer.
 
         :param until: monotonic ms.
@@ -91,7 +91,7 @@
                 return event
             self._parser.receive_data(self._receive(until))
 
-    def again(self) -> None:
+    def expect_next_response(self) -> None:
         """Expect the answer once more, after one that was not ours.
 
         An upstream may send a late second answer to an earlier request
@@ -119,7 +119,7 @@
         if rest:
             self._parser.receive_data(rest)
 
-    def recycle(self) -> bool:
+    def prepare_reuse(self) -> bool:
         """Make ready for another request; False when it must be closed."""
         sent = self._sender is None or self._sender.dead
         parser = self._parser
@@ -134,7 +134,7 @@
         self.used = True
         return True
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether an unused connection is open with nothing to read.
 
         Whatever comes between two exchanges belongs to no request.
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -102,8 +102,8 @@
 @behave.given("a directory with an open head in each of two data centres")
 def step_directory(context):
     context.directory = directories.Directory("z-1")
-    context.directory.put(_head("h-1", "z-1"))
-    context.directory.put(_head("h-2", "z-2"))
+    context.directory.update_runner(_head("h-1", "z-1"))
+    context.directory.update_runner(_head("h-2", "z-2"))
 
 
 def _closing():
@@ -115,11 +115,13 @@
 
 _CHANGE_BY_STATE = {
     "as it was": lambda d: None,
-    "leaving": lambda d: d.put(_head("h-1", "z-1", 6, leaving=True)),
-    "in a data centre taken out": lambda d: d.set_out(frozenset({"z-1"})),
+    "leaving": lambda d: d.update_runner(_head("h-1", "z-1", 6, leaving=True)),
+    "in a data centre taken out": lambda d: d.set_datacentres_out(
+        frozenset({"z-1"})
+    ),
     "gone from the list": lambda d: d.remove("h-1"),
-    "closing its group": lambda d: d.put(_closing()),
-    "told of by an older entry": lambda d: d.put(
+    "closing its group": lambda d: d.update_runner(_closing()),
+    "told of by an older entry": lambda d: d.update_runner(
         _head("h-1", "z-1", 4, leaving=True)
     ),
 }
@@ -132,7 +134,7 @@
 
 @behave.then("{count:d} of them take requests")
 def step_left(context, count):
-    assert len(context.directory.heads("s", "m")) == count
+    assert len(context.directory.open_heads("s", "m")) == count
 
 
 @behave.given("a list of runners, and a call to the store that failed")
@@ -165,7 +167,7 @@
 
 
 def _used(context):
-    return bool(context.directory.heads("s", "m"))
+    return bool(context.directory.open_heads("s", "m"))
 
 
 def _pass(context, span):
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -86,7 +86,7 @@
     directory = context.daemon.directory
     directory.adopt(_catalogue())
     for n in range(count):
-        directory.put(
+        directory.update_runner(
             runner.Runner(
                 f"r-{n}",
                 "svc",
@@ -98,7 +98,7 @@
                 list_version=1,
             )
         )
-    directory.known = True
+    directory.list_known = True
 
 
 @behave.when("it takes the lead, and has not read the list itself for 1 s")
--- a/tests/forward/framing_model.py
+++ b/tests/forward/framing_model.py
@@ -90,7 +90,7 @@
 
     def handle(request, reply):
         seen.append((request.target, request.body))
-        reply.whole(200, [], b"ok")
+        reply.send_whole(200, [], b"ok")
 
     connection = callerconnection.CallerConnection(
         ours, env, lambda: LIMITS, handle
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -58,20 +58,20 @@
             clock.SystemClock(),
             random.Random(7),
             self.log,
-            headernames.HeaderNames(key=b"x-key"),
+            headernames.HeaderNames(api_key=b"x-key"),
         )
         self.directory = directories.Directory("zone-0")
         self.runners = {}
         for name, script in scripts.items():
             self._add(name, script)
         self.directory.adopt(_catalogue(timeout, attempts))
-        self.directory.known = True
+        self.directory.list_known = True
         self.directory.confirmed_at = self.env.clock.now()
         book = upstreamchoice.LoadTable()
         terms = retrybudget.RetryLimits(0.2, 100, 10_000)
-        self.stalls = stalldetector.StallDetector(self.env, book)
+        self.stall_detector = stalldetector.StallDetector(self.env, book)
         kept = connectionpool.ConnectionPool(self.env.clock)
-        self.repeats = retrybudgets.RetryBudgets(self.env, terms)
+        self.retry_budgets = retrybudgets.RetryBudgets(self.env, terms)
         made = dependencies.Dependencies(
             self.env,
             self.directory,
@@ -80,8 +80,8 @@
             placement.Placement(
                 self.env, self.directory, book, placement.ColdLimits()
             ),
-            self.repeats,
-            self.stalls,
+            self.retry_budgets,
+            self.stall_detector,
             crashdetector.CrashDetector(self.env, kept),
         )
         self.forwarder = forwarder.Forwarder(
@@ -117,7 +117,7 @@
         made = scriptedrunner.ScriptedRunner(name, script)
         self.runners[name] = made
         key = membership.GroupKey(f"large~{len(self.runners)}", 1)
-        self.directory.put(
+        self.directory.update_runner(
             runners.Runner(
                 name,
                 "engine" if name.startswith("head") else "plain",
--- a/tests/forward/steps/forward_steps.py
+++ b/tests/forward/steps/forward_steps.py
@@ -66,21 +66,21 @@
 @behave.given("no repeat is left")
 def step_no_repeat(context):
     none = retrybudget.RetryLimits(0.0, 0, 10_000)
-    context.rig.repeats.terms = none
+    context.rig.retry_budgets.limits = none
 
 
 @behave.given("the second opens {seconds:g} s later")
 def step_opens(context, seconds):
     directory = context.rig.directory
     second = directory.remove("head-2")
-    eventlet.spawn_after(seconds, directory.put, second)
+    eventlet.spawn_after(seconds, directory.update_runner, second)
 
 
 def _prefer(rig, later):
     # The other one is tried first: this one seems to have more to do.
     for runner in rig.directory.runner_by_id.values():
         if runner.id == later:
-            rig.directory.put(
+            rig.directory.update_runner(
                 runner._replace(
                     datacentre="zone-1", list_version=runner.list_version + 1
                 )
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -8,8 +8,8 @@
 from citronvalve.forward import environment as environments
 from citronvalve.forward import exchangeerror
 from citronvalve.forward import headernames
-from citronvalve.forward import responsereader as patiences
-from citronvalve.forward import routedrequest as demands
+from citronvalve.forward import responsereader
+from citronvalve.forward import routedrequest
 from citronvalve.forward import stalldetector
 from citronvalve.model import clock
 from citronvalve.policy import enginepace
@@ -48,7 +48,7 @@
         self._writes_at = writes_at
         self._pauses = list(pauses)
 
-    def next(self, until):
+    def next_event(self, until):
         """Return what came by ``until``, or tell that nothing did."""
         pause = self._pauses.pop(0) if self._pauses else 0
         if pause:
@@ -78,8 +78,8 @@
             rigs.Lines(),
             headernames.HeaderNames(),
         )
-        self.book = upstreamchoice.LoadTable()
-        self.stalls = stalldetector.StallDetector(self.env, self.book)
+        self.loads = upstreamchoice.LoadTable()
+        self.stall_detector = stalldetector.StallDetector(self.env, self.loads)
 
 
 class _Demand:
@@ -88,26 +88,28 @@
     service = service.Service("engine", "/", 99, engine=world.spec())
 
     def __init__(self, now):
-        self.until = now + clock.MINUTE
+        self.deadline = now + clock.MINUTE
 
 
 @behave.given("a try at a replica, and another replica that has room")
 def step_try(context):
     context.means = _Means()
     time = context.means.env.clock
-    demand: demands.RoutedRequest = _Demand(time.now())
+    demand: routedrequest.RoutedRequest = _Demand(time.now())
     placed = upstreamchoice.Chosen(
         "head-1", enginepace.Forecast(100.0, 40.0, 2_000.0)
     )
-    context.means.stalls.heard("head-1")
-    context.patience = patiences.ResponseReader(
+    context.means.stall_detector.record_activity("head-1")
+    context.patience = responsereader.ResponseReader(
         context.means, demand, placed, lambda: True
     )
 
 
 _WAIT_BY_WHAT = {
-    "it waits for the first event": patiences.ResponseReader.first,
-    "it waits for the next event": patiences.ResponseReader.next,
+    "it waits for the first event": responsereader.ResponseReader.next_part,
+    "it waits for the next event": (
+        responsereader.ResponseReader.next_stream_part
+    ),
 }
 
 
--- a/tests/logs/steps/log_steps.py
+++ b/tests/logs/steps/log_steps.py
@@ -140,7 +140,7 @@
     context.rig = rigs.Rig(scripts)
     if "head-2" in scripts:
         held = context.rig.directory.runner_by_id["head-2"]
-        context.rig.directory.put(
+        context.rig.directory.update_runner(
             held._replace(
                 datacentre="zone-1", list_version=held.list_version + 1
             )
--- a/tests/routes/steps/catalogue_steps.py
+++ b/tests/routes/steps/catalogue_steps.py
@@ -122,7 +122,7 @@
     )
     context.directory = directories.Directory("z")
     context.directory.adopt(_catalogue([_route("r", "h", "/a/")]))
-    context.directory.known = True
+    context.directory.list_known = True
     context.directory.confirmed_at = context.clock.now() - 10_000
     context.intake = admission.Admission(env, context.directory)
 
--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -68,7 +68,7 @@
     @property
     def keys(self):
         """Return the names of the data centres that get no new work."""
-        return set(self.directory.out)
+        return set(self.directory.datacentres_out)
 
 
 def _runner(row: rows.Row) -> runners.Runner:
