--- a/src/citronvalve/forward/admission.py
+++ b/src/citronvalve/forward/admission.py
@@ -11,13 +11,13 @@
 from citronvalve.routes import route as routes_
 
 #: A daemon that has just started knows its upstreams after about so long.
-_UNREADY: clock.Ms = 500
+_NOT_READY_RETRY: clock.Ms = 500
 
 #: While the store can be read the catalogue is known to be the newest at
 #: least every 2.5 s (a call held back 1 s and given up after 1.5 s more).
 #: Much older, it may lack a route or a key that is in force elsewhere, so
 #: that "there is none" can't be said.
-_UNSURE: clock.Ms = 4_500
+_MAX_CATALOGUE_AGE: clock.Ms = 4_500
 
 _Kind = refusal.RefusalKind
 
@@ -48,36 +48,40 @@
         if catalogue is None or not self._directory.ready:
             return _refused(
                 _Kind.STOPPING, "this daemon knows no configuration yet"
-            )._replace(retry_after=_UNREADY)
-        dialect = self._env.header_names
-        number = request.header(dialect.request_id)
-        if not number:
+            )._replace(retry_after=_NOT_READY_RETRY)
+        names = self._env.header_names
+        request_id = request.header(names.request_id)
+        if not request_id:
             return _refused(_Kind.MALFORMED, "the request has no id")
         route = catalogue.find_route(request.host, request.path)
         if not route:
-            return self._absent(_Kind.NOT_FOUND, route.reason)
-        holder = self._holder(catalogue, route, request)
-        if isinstance(holder, refusal.Refusal):
-            return holder
+            return self._refuse_missing(_Kind.NOT_FOUND, route.reason)
+        key_holder = self._find_key_holder(catalogue, route, request)
+        if isinstance(key_holder, refusal.Refusal):
+            return key_holder
         service = catalogue.service_by_name.get(
             route.pick_service(self._env.rng)
         )
         if service is None:
-            return self._absent(_Kind.NO_UPSTREAM, "the service is unknown")
-        prompt, answer = routedrequest.token_counts(request, dialect)
+            return self._refuse_missing(
+                _Kind.NO_UPSTREAM, "the service is unknown"
+            )
+        prompt_tokens, response_tokens = routedrequest.token_counts(
+            request, names
+        )
         return routedrequest.RoutedRequest(
-            number.decode("latin-1"),
+            request_id.decode("latin-1"),
             request,
             route,
             service,
-            holder,
-            routedrequest.deadline(request, route, dialect),
-            request.header(dialect.model).decode("latin-1"),
-            prompt,
-            answer,
+            key_holder,
+            routedrequest.deadline(request, route, names),
+            request.header(names.model).decode("latin-1"),
+            prompt_tokens,
+            response_tokens,
         )
 
-    def _holder(
+    def _find_key_holder(
         self,
         catalogue: catalogues.Catalogue,
         route: routes_.Route,
@@ -88,18 +92,22 @@
         key = request.header(self._env.header_names.api_key).decode("latin-1")
         holder = catalogue.holder_by_key.get(key)
         if holder is None:
-            return self._absent(_Kind.UNKNOWN_TOKEN, "no team has this key")
+            return self._refuse_missing(
+                _Kind.UNKNOWN_TOKEN, "no team has this key"
+            )
         return holder
 
-    def _absent(self, kind: refusal.RefusalKind, why: str) -> refusal.Refusal:
+    def _refuse_missing(
+        self, kind: refusal.RefusalKind, why: str
+    ) -> refusal.Refusal:
         # A caller whose route or key was added while this daemon could not
         # reach the store would take "there is none" as final.
         age = self._env.clock.now() - self._directory.confirmed_at
-        if age <= _UNSURE:
+        if age <= _MAX_CATALOGUE_AGE:
             return _refused(kind, why)
         return _refused(
             _Kind.NO_UPSTREAM, f"{why}, as of {age} ms ago"
-        )._replace(retry_after=_UNREADY)
+        )._replace(retry_after=_NOT_READY_RETRY)
 
 
 def _refused(kind: refusal.RefusalKind, why: str) -> refusal.Refusal:
--- a/src/citronvalve/forward/attempt.py
+++ b/src/citronvalve/forward/attempt.py
@@ -21,17 +21,17 @@
 from citronvalve.routes import kind as kinds
 
 #: Bodies of whole answers that are held until they are complete.
-_MOST_HELD = 8 * 1024 * 1024
+_MAX_BODY = 8 * 1024 * 1024
 
 #: An upstream that answers that it is not the one, or not open, has changed
 #: since the list told of it; the list follows within about this time.
 _LIST_LAG: clock.Ms = 400
 
 #: One that is full has a free place after about this time.
-_FULL: clock.Ms = 120
+_FULL_AVOID_TIME: clock.Ms = 120
 
 _Ending = attemptresult.Ending
-_Trouble = exchangeerror.ExchangeFailure
+_Failure = exchangeerror.ExchangeFailure
 
 
 class Attempt:
@@ -48,192 +48,196 @@
 
     def __init__(
         self,
-        means: dependencies.Dependencies,
-        demand: routedrequest.RoutedRequest,
+        deps: dependencies.Dependencies,
+        routed: routedrequest.RoutedRequest,
         reply: replies.Reply,
-        placed: upstreamchoice.Chosen,
-        relayed: streamprogress.StreamProgress,
-        elsewhere: Callable[[], bool],
+        chosen: upstreamchoice.Chosen,
+        progress: streamprogress.StreamProgress,
+        can_switch: Callable[[], bool],
     ) -> None:
-        self._means = means
-        self._env = means.env
-        self._demand = demand
+        self._deps = deps
+        self._env = deps.env
+        self._routed = routed
         self._reply = reply
-        self._placed = placed
-        self._relayed = relayed
-        self._patience = responsereader.ResponseReader(
-            means, demand, placed, elsewhere
+        self._chosen = chosen
+        self._progress = progress
+        self._reader = responsereader.ResponseReader(
+            deps, routed, chosen, can_switch
         )
-        self._load = means.loads.of(placed.upstream)
-        self._counted_begun = False
+        self._load = deps.loads.of(chosen.upstream)
+        self._is_start_counted = False
         self._address = ""
-        self._got: responsehead.ResponseHead | None = None
+        self._response: responsehead.ResponseHead | None = None
 
     def run(self) -> attemptresult.AttemptResult:
         """Make the try."""
-        runner = self._means.directory.runner_by_id.get(self._placed.upstream)
+        runner = self._deps.directory.runner_by_id.get(self._chosen.upstream)
         if runner is None:
             return attemptresult.AttemptResult(
                 _Ending.NOT_RUN, "it left the list"
             )
         self._address = runner.address
-        repeatable = self._demand.route.may_repeat
+        retryable = self._routed.route.may_repeat
         try:
-            link = self._means.pool.acquire(runner.address, repeatable)
+            connection = self._deps.pool.acquire(runner.address, retryable)
         except exchangeerror.ExchangeError as error:
             self._load.circuit.record_failure(
                 self._env.clock.now(), fatal=True
             )
-            self._means.stall_detector.record_silence(self._placed.upstream)
+            self._deps.stall_detector.record_silence(self._chosen.upstream)
             return attemptresult.AttemptResult(_Ending.NOT_RUN, str(error))
         self._load.own += 1
-        self._load.late += self._placed.late
-        whole = False
+        self._load.late += self._chosen.late
+        reusable = False
         try:
-            ended = self._exchange(link)
-            whole = ended.ending in (_Ending.DELIVERED, _Ending.FAILED)
-            whole = whole or ended.ending is _Ending.NOT_RUN
-            return ended
+            result = self._exchange(connection)
+            reusable = result.ending in (_Ending.DELIVERED, _Ending.FAILED)
+            reusable = reusable or result.ending is _Ending.NOT_RUN
+            return result
         except exchangeerror.ExchangeError as error:
-            return self._failed(error, runner.address)
+            return self._handle_failure(error, runner.address)
         finally:
             self._load.own -= 1
-            self._begun()
-            if whole and self._got is not None:
-                kept = self._got.keep_alive_seconds()
-                self._means.pool.release(runner.address, link, kept)
+            self._record_start()
+            if reusable and self._response is not None:
+                keep_alive = self._response.keep_alive_seconds()
+                self._deps.pool.release(runner.address, connection, keep_alive)
             else:
-                link.close()
+                connection.close()
 
     def _exchange(
-        self, link: upstreamconnection.UpstreamConnection
+        self, connection: upstreamconnection.UpstreamConnection
     ) -> attemptresult.AttemptResult:
         self._reply.check_caller()
-        request = self._demand.request
-        link.send(request.method, request.target, self._head(), request.body)
-        got = self._first(link)
-        self._got = got
-        self._heard(got)
-        dialect = self._env.header_names
-        if not got.may_have_run(dialect):
-            return self._turned_away(link, got)
-        if not got.is_success():
-            body = self._body(link)
+        request = self._routed.request
+        connection.send(
+            request.method, request.target, self._request_head(), request.body
+        )
+        response = self._read_head(connection)
+        self._response = response
+        self._record_response(response)
+        names = self._env.header_names
+        if not response.may_have_run(names):
+            return self._handle_rejection(connection, response)
+        if not response.is_success():
+            body = self._read_body(connection)
             self._load.circuit.record_failure(
                 self._env.clock.now(), fatal=False
             )
             return attemptresult.AttemptResult(
-                _Ending.FAILED, str(got.status), got, body
+                _Ending.FAILED, str(response.status), response, body
             )
-        if not got.is_authentic(dialect):
-            raise exchangeerror.ExchangeError(_Trouble.GARBLED, "not sealed")
-        if self._demand.route.kind is kinds.RequestKind.STREAM:
-            self._relay(link, got)
+        if not response.is_authentic(names):
+            raise exchangeerror.ExchangeError(_Failure.GARBLED, "not sealed")
+        if self._routed.route.kind is kinds.RequestKind.STREAM:
+            self._relay_stream(connection, response)
         else:
-            body = self._body(link)
+            body = self._read_body(connection)
             self._reply.send_whole(
-                got.status, headers.end_to_end(got.headers), body
+                response.status, headers.end_to_end(response.headers), body
             )
-            took = self._env.clock.now() - self._demand.request.arrived_at
-            self._env.metrics.observe_first_event(took, 0.0)
+            elapsed = self._env.clock.now() - self._routed.request.arrived_at
+            self._env.metrics.observe_first_event(elapsed, 0.0)
         self._load.circuit.record_success()
-        return attemptresult.AttemptResult(_Ending.DELIVERED, "", got)
+        return attemptresult.AttemptResult(_Ending.DELIVERED, "", response)
 
-    def _head(self) -> list[headers.Header]:
-        dialect = self._env.header_names
-        demand = self._demand
-        left = max(1, demand.deadline - self._env.clock.now())
-        made = headers.end_to_end(demand.request.headers, dialect.system_only)
-        made.append((dialect.deadline, b"%d" % left))
-        made.append(
-            (dialect.expected_upstream, self._placed.upstream.encode())
-        )
-        if demand.key_holder is not None:
-            made.append((dialect.team, demand.key_holder.name.encode()))
-        if demand.service.engine is not None:
-            rank = min(placement.LATE_RANK - 1, max(0, demand.priority))
-            if self._placed.late:
+    def _request_head(self) -> list[headers.Header]:
+        names = self._env.header_names
+        routed = self._routed
+        remaining = max(1, routed.deadline - self._env.clock.now())
+        head = headers.end_to_end(routed.request.headers, names.system_only)
+        head.append((names.deadline, b"%d" % remaining))
+        head.append((names.expected_upstream, self._chosen.upstream.encode()))
+        if routed.key_holder is not None:
+            head.append((names.team, routed.key_holder.name.encode()))
+        if routed.service.engine is not None:
+            rank = min(placement.LATE_RANK - 1, max(0, routed.priority))
+            if self._chosen.late:
                 rank = placement.LATE_RANK
-            made.append((dialect.rank, b"%d" % rank))
+            head.append((names.rank, b"%d" % rank))
         after = self._resume_after()
         if after:
-            made.append((dialect.resume_after, after))
-        return made
+            head.append((names.resume_after, after))
+        return head
 
     def _resume_after(self) -> bytes:
-        if self._relayed.last_event_id is not None:
-            return b"%d" % self._relayed.last_event_id
-        return self._demand.request.header(self._env.header_names.resume_after)
+        if self._progress.last_event_id is not None:
+            return b"%d" % self._progress.last_event_id
+        return self._routed.request.header(self._env.header_names.resume_after)
 
-    def _first(
-        self, link: upstreamconnection.UpstreamConnection
+    def _read_head(
+        self, connection: upstreamconnection.UpstreamConnection
     ) -> responsehead.ResponseHead:
-        request = self._demand.id.encode("latin-1")
+        request_id = self._routed.id.encode("latin-1")
         while True:
-            event = self._patience.next_part(link)
+            event = self._reader.next_part(connection)
             if not isinstance(event, h11.Response):
                 raise exchangeerror.ExchangeError(
-                    _Trouble.GARBLED, "no answer"
+                    _Failure.GARBLED, "no answer"
                 )
-            got = responsehead.ResponseHead(
+            response = responsehead.ResponseHead(
                 event.status_code, list(event.headers)
             )
-            if got.is_for(request, self._env.header_names):
-                return got
+            if response.is_for(request_id, self._env.header_names):
+                return response
             if not headers.value(
-                got.headers, self._env.header_names.request_id
+                response.headers, self._env.header_names.request_id
             ):
                 raise exchangeerror.ExchangeError(
-                    _Trouble.GARBLED, "without an id"
+                    _Failure.GARBLED, "without an id"
                 )
             # A late second answer to an earlier request; ours follows.
-            self._body(link)
-            link.expect_next_response()
+            self._read_body(connection)
+            connection.expect_next_response()
 
-    def _begun(self) -> None:
+    def _record_start(self) -> None:
         # It waits no longer, so it is behind nobody any more.
-        if self._placed.late and not self._counted_begun:
-            self._counted_begun = True
+        if self._chosen.late and not self._is_start_counted:
+            self._is_start_counted = True
             self._load.late -= 1
 
-    def _heard(self, got: responsehead.ResponseHead) -> None:
-        self._means.stall_detector.record_activity(self._placed.upstream)
-        self._begun()
-        load = got.load(self._env.header_names)
+    def _record_response(self, response: responsehead.ResponseHead) -> None:
+        self._deps.stall_detector.record_activity(self._chosen.upstream)
+        self._record_start()
+        load = response.load(self._env.header_names)
         if load is not None:
             now = self._env.clock.now()
             self._load.record_report(load.running, load.waiting, now)
 
-    def _turned_away(
+    def _handle_rejection(
         self,
-        link: upstreamconnection.UpstreamConnection,
-        got: responsehead.ResponseHead,
+        connection: upstreamconnection.UpstreamConnection,
+        response: responsehead.ResponseHead,
     ) -> attemptresult.AttemptResult:
-        self._body(link)
-        fault = headers.value(got.headers, self._env.header_names.at_fault)
-        span = _LIST_LAG if got.status == 421 else _FULL
-        self._means.stall_detector.avoid(self._placed.upstream, span)
-        if fault and fault != self._placed.upstream.encode():
-            self._means.stall_detector.on_stall(self._placed.upstream)
-        why = f"{got.status} {fault.decode('latin-1')}"
+        self._read_body(connection)
+        fault = headers.value(
+            response.headers, self._env.header_names.at_fault
+        )
+        duration = _LIST_LAG if response.status == 421 else _FULL_AVOID_TIME
+        self._deps.stall_detector.avoid(self._chosen.upstream, duration)
+        if fault and fault != self._chosen.upstream.encode():
+            self._deps.stall_detector.on_stall(self._chosen.upstream)
+        why = f"{response.status} {fault.decode('latin-1')}"
         return attemptresult.AttemptResult(_Ending.NOT_RUN, why)
 
-    def _body(self, link: upstreamconnection.UpstreamConnection) -> bytes:
-        held = bytearray()
+    def _read_body(
+        self, connection: upstreamconnection.UpstreamConnection
+    ) -> bytes:
+        body = bytearray()
         while True:
-            event = self._patience.next_part(link)
+            event = self._reader.next_part(connection)
             if isinstance(event, h11.Data):
-                held += event.data
-                if len(held) > _MOST_HELD:
+                body += event.data
+                if len(body) > _MAX_BODY:
                     raise exchangeerror.ExchangeError(
-                        _Trouble.GARBLED, "too long"
+                        _Failure.GARBLED, "too long"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 self._check_end()
-                return bytes(held)
+                return bytes(body)
             else:
                 raise exchangeerror.ExchangeError(
-                    _Trouble.BROKEN, "it ended early"
+                    _Failure.BROKEN, "it ended early"
                 )
 
     def _check_end(self) -> None:
@@ -245,46 +249,48 @@
 
         :raises linkerror.LinkError: when nobody listens.
         """
-        if self._got is None or self._got.is_framed():
+        if self._response is None or self._response.is_framed():
             return
         try:
-            self._means.pool.check_listening(self._address)
+            self._deps.pool.check_listening(self._address)
         except exchangeerror.ExchangeError as error:
             raise exchangeerror.ExchangeError(
-                _Trouble.BROKEN, f"ended with its upstream: {error}"
+                _Failure.BROKEN, f"ended with its upstream: {error}"
             ) from error
 
-    def _relay(
+    def _relay_stream(
         self,
-        link: upstreamconnection.UpstreamConnection,
-        got: responsehead.ResponseHead,
+        connection: upstreamconnection.UpstreamConnection,
+        response: responsehead.ResponseHead,
     ) -> None:
-        cutter = eventsplitter.EventSplitter()
+        splitter = eventsplitter.EventSplitter()
         while True:
-            event = self._patience.next_stream_part(link)
+            event = self._reader.next_stream_part(connection)
             if isinstance(event, h11.EndOfMessage):
                 self._check_end()
                 break
             if not isinstance(event, h11.Data):
                 raise exchangeerror.ExchangeError(
-                    _Trouble.BROKEN, "it ended early"
+                    _Failure.BROKEN, "it ended early"
                 )
-            self._means.stall_detector.record_activity(self._placed.upstream)
-            whole = cutter.feed(bytes(event.data))
-            data = b"".join(e.raw for e in whole if self._is_next(e))
+            self._deps.stall_detector.record_activity(self._chosen.upstream)
+            events = splitter.feed(bytes(event.data))
+            data = b"".join(e.raw for e in events if self._is_next(e))
             if data:
-                self._pass_on(got, data)
-        if cutter.remainder.strip():
-            raise exchangeerror.ExchangeError(_Trouble.BROKEN, "half an event")
+                self._send_events(response, data)
+        if splitter.remainder.strip():
+            raise exchangeerror.ExchangeError(_Failure.BROKEN, "half an event")
         if not self._reply.started:
-            self._reply.start(got.status, headers.end_to_end(got.headers))
+            self._reply.start(
+                response.status, headers.end_to_end(response.headers)
+            )
         self._reply.finish()
-        self._env.metrics.observe_gap(self._relayed.longest_gap)
+        self._env.metrics.observe_gap(self._progress.longest_gap)
 
     def _is_next(self, event: eventsplitter.Event) -> bool:
-        last = self._relayed.last_event_id
+        last = self._progress.last_event_id
         if event.id is None or last is None:
-            self._relayed.last_event_id = (
+            self._progress.last_event_id = (
                 event.id if event.id is not None else last
             )
             return True
@@ -293,41 +299,45 @@
             return False
         if event.id != last + 1:
             raise exchangeerror.ExchangeError(
-                _Trouble.GARBLED, "an event is missing"
+                _Failure.GARBLED, "an event is missing"
             )
-        self._relayed.last_event_id = event.id
+        self._progress.last_event_id = event.id
         return True
 
-    def _pass_on(self, got: responsehead.ResponseHead, data: bytes) -> None:
+    def _send_events(
+        self, response: responsehead.ResponseHead, data: bytes
+    ) -> None:
         now = self._env.clock.now()
-        relayed = self._relayed
+        progress = self._progress
         if not self._reply.started:
-            self._reply.start(got.status, headers.end_to_end(got.headers))
-            took = now - self._demand.request.arrived_at
+            self._reply.start(
+                response.status, headers.end_to_end(response.headers)
+            )
+            elapsed = now - self._routed.request.arrived_at
             self._env.metrics.observe_first_event(
-                took, self._placed.forecast.first
+                elapsed, self._chosen.forecast.first
             )
         else:
-            relayed.longest_gap = max(
-                relayed.longest_gap, now - relayed.last_event_at
+            progress.longest_gap = max(
+                progress.longest_gap, now - progress.last_event_at
             )
-        relayed.last_event_at = now
-        relayed.event_count += 1
+        progress.last_event_at = now
+        progress.event_count += 1
         self._reply.send(data)
 
-    def _failed(
+    def _handle_failure(
         self, error: exchangeerror.ExchangeError, address: str
     ) -> attemptresult.AttemptResult:
         now = self._env.clock.now()
-        if now < self._demand.deadline:
+        if now < self._routed.deadline:
             self._load.circuit.record_failure(now, fatal=False)
-        if error.failure is _Trouble.SILENT:
+        if error.failure is _Failure.SILENT:
             # What went silent may be all connections, while new ones work.
-            self._means.pool.close_idle(address)
+            self._deps.pool.close_idle(address)
             return attemptresult.AttemptResult(_Ending.STALLED, str(error))
-        if error.failure is _Trouble.BROKEN:
-            upstream = self._placed.upstream
-            self._means.crash_detector.check_upstream(
-                self._demand, upstream, address
+        if error.failure is _Failure.BROKEN:
+            upstream = self._chosen.upstream
+            self._deps.crash_detector.check_upstream(
+                self._routed, upstream, address
             )
         return attemptresult.AttemptResult(_Ending.BROKEN, str(error))
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -20,10 +20,10 @@
 from citronvalve.routes import callerlimits
 
 #: Bytes taken at once; a usual request comes in one piece.
-_PIECE = 65_536
+_READ_SIZE = 65_536
 
 #: Bytes that a caller may send ahead while its request is answered.
-_MOST_AHEAD = 65_536
+_MAX_PIPELINED_BYTES = 65_536
 
 #: A caller that takes no byte of its answer for so long is given up.
 _WRITE_TIMEOUT: clock.Ms = 10_000
@@ -69,8 +69,8 @@
             h11.SERVER, max_incomplete_event_size=limits().max_header_bytes
         )
         self._aborted = False
-        self._ahead = 0
-        self._quiet = False
+        self._pipelined_bytes = 0
+        self._omit_body = False
         self.idle = True
         self.started = False
 
@@ -79,7 +79,7 @@
         try:
             while self._serve_one():
                 pass
-            self._close_gently()
+            self._close_gracefully()
         except (OSError, h11.LocalProtocolError):
             # The caller is gone, or its answer was cut on purpose; the
             # request's own log line says which.
@@ -95,14 +95,14 @@
         # The watch's green thread has not run yet if nothing has blocked
         # since the request was read.
         try:
-            while self._ahead < _MOST_AHEAD:
-                self._take_ahead(
-                    self._sock.fd.recv(_PIECE, socket.MSG_DONTWAIT)
+            while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
+                self._receive_pipelined(
+                    self._sock.fd.recv(_READ_SIZE, socket.MSG_DONTWAIT)
                 )
         except BlockingIOError:
             return
         except (OSError, h11.RemoteProtocolError) as error:
-            raise _gone(error) from error
+            raise _caller_gone(error) from error
 
     def send_whole(
         self, status: int, head: Iterable[headers.Header], body: bytes
@@ -110,7 +110,7 @@
         length = (b"content-length", b"%d" % len(body))
         self._start(status, [*head, length])
         data = self._out
-        if body and not self._quiet:
+        if body and not self._omit_body:
             data += self._parser.send(h11.Data(body))
         data += self._parser.send(h11.EndOfMessage())
         self._write(data)
@@ -128,9 +128,9 @@
     def abort(self) -> None:
         self._aborted = True
 
-    def send_refusal(self, refused: refusal.Refusal, request: str) -> None:
-        made = problem.render(refused, request)
-        self.send_whole(made.status, made.headers, made.body)
+    def send_refusal(self, refused: refusal.Refusal, request_id: str) -> None:
+        rendered = problem.render(refused, request_id)
+        self.send_whole(rendered.status, rendered.headers, rendered.body)
 
     def _start(self, status: int, head: list[headers.Header]) -> None:
         self.started = True
@@ -146,16 +146,16 @@
 
     def _serve_one(self) -> bool:
         try:
-            request = self._read()
+            request = self._read_request()
         except h11.RemoteProtocolError as error:
-            self._refuse_bytes(error)
+            self._reject_malformed(error)
             return False
         if request is None:
             return False
         self.idle = False
         self.started = False
         self._aborted = False
-        self._quiet = request.method == b"HEAD"
+        self._omit_body = request.method == b"HEAD"
         self._answer(request)
         self.idle = True
         if self._aborted:
@@ -168,22 +168,24 @@
         return True
 
     def _answer(self, request: callerrequest.CallerRequest) -> None:
-        watch = eventlet.spawn(self._watch, eventlet.getcurrent())
+        watch = eventlet.spawn(self._watch_caller, eventlet.getcurrent())
         try:
             self._handler(request, self)
         finally:
             watch.kill()
 
-    def _watch(self, handler: eventlet.greenlet.greenlet) -> None:
+    def _watch_caller(self, handler: eventlet.greenlet.greenlet) -> None:
         try:
-            while self._ahead < _MOST_AHEAD:
-                self._take_ahead(receiving.receive(self._sock, _PIECE, None))
+            while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
+                self._receive_pipelined(
+                    receiving.receive(self._sock, _READ_SIZE, None)
+                )
         except (OSError, h11.RemoteProtocolError) as error:
             eventlet.hubs.get_hub().schedule_call_global(
-                0, _throw, handler, _gone(error)
+                0, _throw_into, handler, _caller_gone(error)
             )
 
-    def _take_ahead(self, data: bytes) -> None:
+    def _receive_pipelined(self, data: bytes) -> None:
         """Take in what a caller sends while its request is answered.
 
         One that waits sends nothing, or its next request ahead; the end of
@@ -196,15 +198,15 @@
         """
         if not data:
             raise ConnectionResetError("the caller closed")
-        self._ahead += len(data)
+        self._pipelined_bytes += len(data)
         self._parser.receive_data(data)
 
-    def _read(self) -> callerrequest.CallerRequest | None:
+    def _read_request(self) -> callerrequest.CallerRequest | None:
         limits = self._limits()
-        head = self._next(limits.idle_timeout + _IDLE_SLACK, limits)
+        head = self._next_event(limits.idle_timeout + _IDLE_SLACK, limits)
         if not isinstance(head, h11.Request):
             return None
-        _check(head)
+        _check_head(head)
         arrived = self._env.clock.now()
         if self._parser.they_are_waiting_for_100_continue:
             self._write(
@@ -214,7 +216,7 @@
             )
         body = bytearray()
         while True:
-            event = self._next(limits.header_timeout, limits)
+            event = self._next_event(limits.header_timeout, limits)
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
@@ -225,43 +227,47 @@
                     f"the body has more than {limits.max_body_bytes} bytes",
                     error_status_hint=413,
                 )
-        self._ahead = 0
+        self._pipelined_bytes = 0
         return callerrequest.CallerRequest(
             head.method, head.target, list(head.headers), bytes(body), arrived
         )
 
-    def _next(self, wait: clock.Ms, limits: callerlimits.CallerLimits):
-        until = self._env.clock.now() + wait
-        begun = False
+    def _next_event(
+        self, timeout: clock.Ms, limits: callerlimits.CallerLimits
+    ):
+        deadline = self._env.clock.now() + timeout
+        has_data = False
         while True:
             event = self._parser.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            left = until - self._env.clock.now()
-            if left <= 0:
+            remaining = deadline - self._env.clock.now()
+            if remaining <= 0:
                 return None
             try:
-                data = receiving.receive(self._sock, _PIECE, left)
+                data = receiving.receive(self._sock, _READ_SIZE, remaining)
             except TimeoutError:
                 return None
-            if data and not begun and wait > limits.header_timeout:
+            if data and not has_data and timeout > limits.header_timeout:
                 # The idle time is over with the first byte.
-                begun = True
-                until = self._env.clock.now() + limits.header_timeout
+                has_data = True
+                deadline = self._env.clock.now() + limits.header_timeout
             self._parser.receive_data(data)
 
-    def _refuse_bytes(self, error: h11.RemoteProtocolError) -> None:
+    def _reject_malformed(self, error: h11.RemoteProtocolError) -> None:
         self._env.metrics.record_malformed(error.error_status_hint)
         if self._parser.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
-            made = problem.for_malformed(error.error_status_hint, str(error))
-            head = [*made.headers, (b"connection", b"close")]
-            self.send_whole(made.status, head, made.body)
+            rendered = problem.for_malformed(
+                error.error_status_hint, str(error)
+            )
+            head = [*rendered.headers, (b"connection", b"close")]
+            self.send_whole(rendered.status, head, rendered.body)
 
-    def _close_gently(self) -> None:
+    def _close_gracefully(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
-        until = self._env.clock.now() + _LINGER
-        while (left := until - self._env.clock.now()) > 0:
-            if not receiving.receive(self._sock, _PIECE, left):
+        deadline = self._env.clock.now() + _LINGER
+        while (remaining := deadline - self._env.clock.now()) > 0:
+            if not receiving.receive(self._sock, _READ_SIZE, remaining):
                 break
         self._sock.close()
 
@@ -276,16 +282,18 @@
             self._sock.close()
 
 
-def _throw(handler: eventlet.greenlet.greenlet, error: BaseException) -> None:
+def _throw_into(
+    handler: eventlet.greenlet.greenlet, error: BaseException
+) -> None:
     if not handler.dead:
         handler.throw(error)
 
 
-def _gone(error: Exception) -> callergone.CallerGoneError:
+def _caller_gone(error: Exception) -> callergone.CallerGoneError:
     return callergone.CallerGoneError(f"the caller left: {error}")
 
 
-def _check(head: h11.Request) -> None:
+def _check_head(head: h11.Request) -> None:
     if head.http_version not in _VERSIONS:
         # The parser reads any version as 1.1, though another one may frame
         # its bodies otherwise; what follows could then be run as a request.
--- a/src/citronvalve/forward/connectionpool.py
+++ b/src/citronvalve/forward/connectionpool.py
@@ -11,24 +11,24 @@
 
 #: A connection to a sound upstream opens within some ms; a first packet that
 #: was dropped is sent again after a second, which is too late.
-_CONNECT: clock.Ms = 400
+_CONNECT_TIMEOUT: clock.Ms = 400
 
 #: Kept when an upstream does not say how long it keeps its side.
-_KEPT: clock.Ms = 4_000
+_DEFAULT_KEEP_ALIVE: clock.Ms = 4_000
 
 #: Upstreams may close a little sooner than they say.
-_MARGIN: clock.Ms = 1_000
+_KEEP_ALIVE_MARGIN: clock.Ms = 1_000
 
 #: What may not be repeated goes on a connection that was used this lately,
 #: or on a new one: on an older one the other side's close may be on its way,
 #: and then nobody could say whether the request was run.
-_FRESH: clock.Ms = 1_000
+_MAX_IDLE_NON_RETRYABLE: clock.Ms = 1_000
 
 #: Connections kept to one upstream; a replica runs 13 to 24 at once and
 #: several daemons share it.
-_MOST_KEPT = 8
+_MAX_IDLE_PER_UPSTREAM = 8
 
-_SILENT_PEER: clock.Ms = 10_000
+_TCP_USER_TIMEOUT: clock.Ms = 10_000
 
 
 class ConnectionPool:
@@ -38,8 +38,8 @@
     :ivar opened: how many were opened.
     """
 
-    def __init__(self, now: clock.Clock) -> None:
-        self._clock = now
+    def __init__(self, time_source: clock.Clock) -> None:
+        self._clock = time_source
         self._idle_by_address: dict[str, collections.deque] = {}
         self.opened = 0
 
@@ -55,18 +55,24 @@
         now = self._clock.now()
         idle = self._idle_by_address.get(address)
         while idle:
-            link, since = idle.pop()
-            young = repeatable or now - since <= _FRESH
-            if young and now < link.reusable_until and link.is_idle():
-                return link
-            link.close()
+            connection, idle_since = idle.pop()
+            is_fresh = (
+                repeatable or now - idle_since <= _MAX_IDLE_NON_RETRYABLE
+            )
+            if (
+                is_fresh
+                and now < connection.reusable_until
+                and connection.is_idle()
+            ):
+                return connection
+            connection.close()
         return self._open(address)
 
     def release(
         self,
         address: str,
-        link: upstreamconnection.UpstreamConnection,
-        kept: int,
+        connection: upstreamconnection.UpstreamConnection,
+        keep_alive: int,
     ) -> None:
         """Keep a connection after a whole exchange, if it can be kept.
 
@@ -75,13 +81,22 @@
         :param kept: seconds that the upstream says it keeps it, or 0.
         """
         idle = self._idle_by_address.setdefault(address, collections.deque())
-        if len(idle) >= _MOST_KEPT or not link.prepare_reuse():
-            link.close()
+        if (
+            len(idle) >= _MAX_IDLE_PER_UPSTREAM
+            or not connection.prepare_reuse()
+        ):
+            connection.close()
             return
         now = self._clock.now()
-        span = kept * clock.SECOND - _MARGIN if kept else _KEPT
-        link.reusable_until = now + max(span, _MARGIN // 2)
-        idle.append((link, now))
+        lifetime = (
+            keep_alive * clock.SECOND - _KEEP_ALIVE_MARGIN
+            if keep_alive
+            else _DEFAULT_KEEP_ALIVE
+        )
+        connection.reusable_until = now + max(
+            lifetime, _KEEP_ALIVE_MARGIN // 2
+        )
+        idle.append((connection, now))
 
     def check_listening(self, address: str) -> None:
         """Find out whether anybody still listens at an address.
@@ -91,10 +106,10 @@
         :param address: host:port.
         :raises linkerror.LinkError: when nobody does.
         """
-        link = self._open(address)
-        link.reusable_until = self._clock.now() + _KEPT
+        connection = self._open(address)
+        connection.reusable_until = self._clock.now() + _DEFAULT_KEEP_ALIVE
         idle = self._idle_by_address.setdefault(address, collections.deque())
-        idle.append((link, self._clock.now()))
+        idle.append((connection, self._clock.now()))
 
     def close_idle(self, address: str) -> None:
         """Close the idle connections to an address.
@@ -104,18 +119,18 @@
 
         :param address: host:port.
         """
-        for link, _ in self._idle_by_address.pop(address, ()):
-            link.close()
+        for connection, _ in self._idle_by_address.pop(address, ()):
+            connection.close()
 
     def _open(self, address: str) -> upstreamconnection.UpstreamConnection:
         host, _, port = address.rpartition(":")
         sock = green_socket.socket()
-        sock.settimeout(_CONNECT / clock.SECOND)
+        sock.settimeout(_CONNECT_TIMEOUT / clock.SECOND)
         try:
             sock.connect((host, int(port)))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENT_PEER
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT
             )
         except ConnectionRefusedError as error:
             sock.close()
--- a/src/citronvalve/forward/crashdetector.py
+++ b/src/citronvalve/forward/crashdetector.py
@@ -15,10 +15,10 @@
 
 #: Upstreams lost to one request before it is refused.  Whatever runs beside
 #: such a request is lost with it, once or twice by chance, hardly thrice.
-_LOST = 3
+_MAX_LOSSES = 3
 
 #: A loss speaks against a request for so long.
-_SPAN: clock.Ms = 60_000
+_LOSS_WINDOW: clock.Ms = 60_000
 
 
 class CrashDetector:
@@ -35,35 +35,35 @@
     def __init__(
         self,
         env: environments.Environment,
-        links: connectionpool.ConnectionPool,
+        pool: connectionpool.ConnectionPool,
     ) -> None:
         self._env = env
-        self._links = links
+        self._pool = pool
         self._fence = crashfence.CrashFence()
         self.on_crash: Callable[[str, str], None] = lambda *_: None
 
     def find_refusal(
-        self, demand: routedrequest.RoutedRequest
+        self, routed: routedrequest.RoutedRequest
     ) -> refusal.Refusal | None:
         """Return the refusal of a request that is known to crash upstreams.
 
         :param demand: the request.
         """
-        lost = self._fence.loss_count(
-            fingerprint(demand.request, self._env.header_names.api_key),
+        losses = self._fence.loss_count(
+            fingerprint(routed.request, self._env.header_names.api_key),
             self._env.clock.now(),
-            _SPAN,
+            _LOSS_WINDOW,
         )
-        if lost < _LOST:
+        if losses < _MAX_LOSSES:
             return None
         return refusal.Refusal(
             refusal.RefusalKind.NO_UPSTREAM,
-            f"{lost} upstreams were lost while they ran it",
+            f"{losses} upstreams were lost while they ran it",
             "change the request before sending it again",
         )
 
     def check_upstream(
-        self, demand: routedrequest.RoutedRequest, upstream: str, address: str
+        self, routed: routedrequest.RoutedRequest, upstream: str, address: str
     ) -> None:
         """Look into a connection that broke while a request ran.
 
@@ -75,34 +75,38 @@
         :param address: host:port.
         """
         try:
-            self._links.check_listening(address)
+            self._pool.check_listening(address)
         except exchangeerror.ExchangeError as error:
-            mark = fingerprint(demand.request, self._env.header_names.api_key)
-            self.record_loss(mark, upstream)
+            request_fingerprint = fingerprint(
+                routed.request, self._env.header_names.api_key
+            )
+            self.record_loss(request_fingerprint, upstream)
             self._env.log.change(
                 "upstream lost with a request",
                 upstream=upstream,
-                fingerprint=mark,
+                fingerprint=request_fingerprint,
                 why=str(error),
             )
-            self.on_crash(mark, upstream)
+            self.on_crash(request_fingerprint, upstream)
 
-    def clear(self, demand: routedrequest.RoutedRequest) -> None:
+    def clear(self, routed: routedrequest.RoutedRequest) -> None:
         """Take back what speaks against a request that was answered.
 
         :param demand: the request.
         """
         self._fence.clear(
-            fingerprint(demand.request, self._env.header_names.api_key)
+            fingerprint(routed.request, self._env.header_names.api_key)
         )
 
-    def record_loss(self, mark: str, upstream: str) -> None:
+    def record_loss(self, request_fingerprint: str, upstream: str) -> None:
         """Take in a loss that another daemon saw.
 
         :param mark: the request's fingerprint.
         :param upstream: who was lost.
         """
-        self._fence.record_loss(mark, upstream, self._env.clock.now())
+        self._fence.record_loss(
+            request_fingerprint, upstream, self._env.clock.now()
+        )
 
 
 def fingerprint(
@@ -113,13 +117,13 @@
     :param request: the caller's.
     :param key_header: name of the header with the caller's key.
     """
-    made = xxhash.xxh3_128()
+    digest = xxhash.xxh3_128()
     for part in (
         request.method,
         request.target,
         request.header(key_header),
         request.body,
     ):
-        made.update(b"%d:" % len(part))
-        made.update(part)
-    return made.hexdigest()
+        digest.update(b"%d:" % len(part))
+        digest.update(part)
+    return digest.hexdigest()
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -6,7 +6,7 @@
 from citronvalve.routes import catalogue as catalogues
 
 #: One way, in ms, to another data centre where nothing is declared.
-_FAR = 1.0
+_REMOTE_LATENCY = 1.0
 
 
 class Directory:
@@ -27,8 +27,10 @@
         self.list_known = False
         self.datacentres_out: frozenset[str] = frozenset()
         self.confirmed_at: clock.Ms = 0
-        self._heads: dict[tuple[str, str], list[runners.Runner]] = {}
-        self._plain: dict[str, list[runners.Runner]] = {}
+        self._open_heads_by_model: dict[
+            tuple[str, str], list[runners.Runner]
+        ] = {}
+        self._upstreams_by_service: dict[str, list[runners.Runner]] = {}
 
     @property
     def ready(self) -> bool:
@@ -43,8 +45,8 @@
 
         :param catalogue: as read.
         """
-        held = self.catalogue
-        if held is not None and catalogue.version <= held.version:
+        current = self.catalogue
+        if current is not None and catalogue.version <= current.version:
             return False
         self.catalogue = catalogue
         return True
@@ -54,21 +56,24 @@
 
         :param runner: ignored if the list said something newer before.
         """
-        held = self.runner_by_id.get(runner.id)
-        if held is not None and held.list_version >= runner.list_version:
-            return held
+        previous = self.runner_by_id.get(runner.id)
+        if (
+            previous is not None
+            and previous.list_version >= runner.list_version
+        ):
+            return previous
         self.runner_by_id[runner.id] = runner
-        self._sort()
-        return held
+        self._rebuild_index()
+        return previous
 
     def remove(self, upstream: str) -> runners.Runner | None:
         """Forget an upstream that left the list.
 
         :param upstream: its id.
         """
-        held = self.runner_by_id.pop(upstream, None)
-        self._sort()
-        return held
+        previous = self.runner_by_id.pop(upstream, None)
+        self._rebuild_index()
+        return previous
 
     def set_datacentres_out(self, datacentres: frozenset[str]) -> None:
         """Say which data centres get no new work.
@@ -76,7 +81,7 @@
         :param datacentres: their names.
         """
         self.datacentres_out = datacentres
-        self._sort()
+        self._rebuild_index()
 
     def open_heads(
         self, service: str, model: str
@@ -87,7 +92,8 @@
         :param model: the model.
         """
         return [
-            self._candidate(r) for r in self._heads.get((service, model), ())
+            self._candidate(r)
+            for r in self._open_heads_by_model.get((service, model), ())
         ]
 
     def plain_upstreams(self, service: str) -> list[upstreamchoice.Candidate]:
@@ -95,15 +101,21 @@
 
         :param service: its name.
         """
-        return [self._candidate(r) for r in self._plain.get(service, ())]
+        return [
+            self._candidate(r)
+            for r in self._upstreams_by_service.get(service, ())
+        ]
 
     def _candidate(self, runner: runners.Runner) -> upstreamchoice.Candidate:
-        near = runner.datacentre == self._datacentre
+        is_local = runner.datacentre == self._datacentre
         return upstreamchoice.Candidate(
-            runner.id, runner.slots, 0.0 if near else _FAR, near
+            runner.id,
+            runner.slots,
+            0.0 if is_local else _REMOTE_LATENCY,
+            is_local,
         )
 
-    def _sort(self) -> None:
+    def _rebuild_index(self) -> None:
         heads: dict[tuple[str, str], list[runners.Runner]] = {}
         plain: dict[str, list[runners.Runner]] = {}
         for runner in self.runner_by_id.values():
@@ -113,4 +125,4 @@
                 place = runner.service, runner.membership.key.model
                 heads.setdefault(place, []).append(runner)
             plain.setdefault(runner.service, []).append(runner)
-        self._heads, self._plain = heads, plain
+        self._open_heads_by_model, self._upstreams_by_service = heads, plain
--- a/src/citronvalve/forward/dispatch.py
+++ b/src/citronvalve/forward/dispatch.py
@@ -14,10 +14,10 @@
 
 #: Tries that were refused without running are not runs; this many of them
 #: say that the service as a whole has no room.
-_MOST_REFUSED = 3
+_MAX_REJECTIONS = 3
 
 #: Least time worth another try, in ms.
-_WORTH_A_TRY: clock.Ms = 60
+_MIN_ATTEMPT_TIME: clock.Ms = 60
 
 _Ending = attemptresult.Ending
 _Kind = refusal.RefusalKind
@@ -35,19 +35,19 @@
 
     def __init__(
         self,
-        means: dependencies.Dependencies,
-        demand: routedrequest.RoutedRequest,
+        deps: dependencies.Dependencies,
+        routed: routedrequest.RoutedRequest,
         reply: replies.Reply,
     ) -> None:
-        self._means = means
-        self._demand = demand
+        self._deps = deps
+        self._routed = routed
         self._reply = reply
         self._tried: list[str] = []
         self._runs = 0
-        self._refused = 0
+        self._rejections = 0
         self._ran = ran.Ran.NO
-        self._failed: attemptresult.AttemptResult | None = None
-        self._relayed = streamprogress.StreamProgress()
+        self._failure: attemptresult.AttemptResult | None = None
+        self._progress = streamprogress.StreamProgress()
         self.outcome = "failed"
         self.reason = ""
 
@@ -58,151 +58,156 @@
 
     def run(self) -> None:
         """Answer the caller."""
-        fenced = self._means.crash_detector.find_refusal(self._demand)
-        if fenced is not None:
-            self._refuse(fenced)
+        refused = self._deps.crash_detector.find_refusal(self._routed)
+        if refused is not None:
+            self._refuse(refused)
             return
         while True:
-            placed = self._means.placement.place(self._demand, self._tried)
-            if isinstance(placed, refusal.Refusal):
-                self._end_without(placed)
+            chosen = self._deps.placement.place(self._routed, self._tried)
+            if isinstance(chosen, refusal.Refusal):
+                self._end_unplaced(chosen)
                 return
-            ended = self._try(placed)
-            if ended.ending is _Ending.DELIVERED:
-                self.outcome, self.reason = "whole", str(ended.response.status)
-                self._means.crash_detector.clear(self._demand)
+            result = self._attempt(chosen)
+            if result.ending is _Ending.DELIVERED:
+                self.outcome, self.reason = (
+                    "whole",
+                    str(result.response.status),
+                )
+                self._deps.crash_detector.clear(self._routed)
                 return
-            if not self._may_go_on(ended):
-                self._end_with(ended)
+            if not self._may_retry(result):
+                self._end_after(result)
                 return
 
-    def _try(
-        self, placed: upstreamchoice.Chosen
+    def _attempt(
+        self, chosen: upstreamchoice.Chosen
     ) -> attemptresult.AttemptResult:
-        self._tried.append(placed.upstream)
-        trial = attempts.Attempt(
-            self._means,
-            self._demand,
+        self._tried.append(chosen.upstream)
+        attempt = attempts.Attempt(
+            self._deps,
+            self._routed,
             self._reply,
-            placed,
-            self._relayed,
-            self._has_elsewhere,
+            chosen,
+            self._progress,
+            self._can_switch,
         )
-        ended = trial.run()
-        self._means.env.metrics.record_attempt(ended.ending.name.lower())
-        self._means.env.log.note(
+        result = attempt.run()
+        self._deps.env.metrics.record_attempt(result.ending.name.lower())
+        self._deps.env.log.note(
             "try ended",
-            self._demand.id,
-            upstream=placed.upstream,
-            ending=ended.ending.name,
-            why=ended.why,
-            after=self._relayed.last_event_id,
-            expected_ms=round(placed.forecast.first),
+            self._routed.id,
+            upstream=chosen.upstream,
+            ending=result.ending.name,
+            why=result.why,
+            after=self._progress.last_event_id,
+            expected_ms=round(chosen.forecast.first),
         )
-        if ended.ending is _Ending.NOT_RUN:
-            self._refused += 1
+        if result.ending is _Ending.NOT_RUN:
+            self._rejections += 1
         else:
             self._runs += 1
             self._ran = ran.Ran.UNKNOWN
-        if ended.response is not None:
-            self._failed = ended
-        return ended
+        if result.response is not None:
+            self._failure = result
+        return result
 
-    def _has_elsewhere(self) -> bool:
+    def _can_switch(self) -> bool:
         """Tell whether it could go on elsewhere if this try were given up.
 
         A replica that is only slow looks as one that stands still.  With
         nowhere to go on, giving up loses what it still writes: the caller
         of a stream gets a part, for a pause of some hundred ms.
         """
-        means, service = self._means, self._demand.service.name
+        deps, service = self._deps, self._routed.service.name
         return (
-            self._may_try_again()
+            self._may_attempt_again()
             and self._may_run_again(self._runs + 1)
-            and means.retry_budgets.allows(service)
-            and means.placement.can_place(self._demand, self._tried)
+            and deps.retry_budgets.allows(service)
+            and deps.placement.can_place(self._routed, self._tried)
         )
 
-    def _may_go_on(self, ended: attemptresult.AttemptResult) -> bool:
-        if not self._may_try_again():
+    def _may_retry(self, result: attemptresult.AttemptResult) -> bool:
+        if not self._may_attempt_again():
             return False
-        has_run = ended.ending is not _Ending.NOT_RUN
-        if has_run and not self._may_run_again(self._runs):
+        may_have_run = result.ending is not _Ending.NOT_RUN
+        if may_have_run and not self._may_run_again(self._runs):
             return False
-        return self._means.retry_budgets.spend(self._demand.service.name)
+        return self._deps.retry_budgets.spend(self._routed.service.name)
 
-    def _may_try_again(self) -> bool:
-        left = self._demand.deadline - self._means.env.clock.now()
-        if left < _WORTH_A_TRY or self._refused > _MOST_REFUSED:
+    def _may_attempt_again(self) -> bool:
+        remaining = self._routed.deadline - self._deps.env.clock.now()
+        if remaining < _MIN_ATTEMPT_TIME or self._rejections > _MAX_REJECTIONS:
             return False
-        return self._means.crash_detector.find_refusal(self._demand) is None
+        return self._deps.crash_detector.find_refusal(self._routed) is None
 
     def _may_run_again(self, runs: int) -> bool:
         # What may have run and may not be repeated would run twice.
-        route = self._demand.route
+        route = self._routed.route
         return route.may_repeat and runs < route.max_attempts
 
-    def _end_without(self, refused: refusal.Refusal) -> None:
-        if self._failed is not None or self._runs:
-            self._end_with(
+    def _end_unplaced(self, refused: refusal.Refusal) -> None:
+        if self._failure is not None or self._runs:
+            self._end_after(
                 attemptresult.AttemptResult(_Ending.BROKEN, refused.detail)
             )
             return
         self._refuse(refused)
 
-    def _end_with(self, ended: attemptresult.AttemptResult) -> None:
-        self.reason = ended.ending.name.lower()
+    def _end_after(self, result: attemptresult.AttemptResult) -> None:
+        self.reason = result.ending.name.lower()
         if self._reply.started:
             self.outcome = "broken"
             self._reply.abort()
-        elif self._failed is not None:
-            self._pass_on(self._failed)
+        elif self._failure is not None:
+            self._relay_failure(self._failure)
         elif self._ran is ran.Ran.NO:
             self._refuse(
-                self._means.placement.not_run_refusal(self._demand, ended)
+                self._deps.placement.not_run_refusal(self._routed, result)
             )
         else:
-            self._refuse(self._unknown(ended))
+            self._refuse(self._outcome_unknown(result))
 
-    def _pass_on(self, failed: attemptresult.AttemptResult) -> None:
+    def _relay_failure(self, failure: attemptresult.AttemptResult) -> None:
         # The upstream's own word on what it ran, as it said it.
         self.outcome = "failed"
-        dialect = self._means.env.header_names
-        status = failed.response.status
-        if status in (408, 421, 429, 503) and failed.response.may_have_run(
-            dialect
+        names = self._deps.env.header_names
+        status = failure.response.status
+        if status in (408, 421, 429, 503) and failure.response.may_have_run(
+            names
         ):
             # These promise that nothing ran, which it did not say.
-            self._refuse(self._unknown(failed))
+            self._refuse(self._outcome_unknown(failure))
             return
         self._reply.send_whole(
-            status, headers.end_to_end(failed.response.headers), failed.body
+            status, headers.end_to_end(failure.response.headers), failure.body
         )
 
     def _refuse(self, refused: refusal.Refusal) -> None:
         self.outcome, self.reason = "refused", refused.kind.value
         if refused.ran is not ran.Ran.NO:
             self.outcome = "failed"
-        self._means.env.log.note(
+        self._deps.env.log.note(
             "refused",
-            self._demand.id,
+            self._routed.id,
             kind=refused.kind,
             why=refused.detail,
             ran=refused.ran,
             retry_after_ms=refused.retry_after,
         )
-        self._reply.send_refusal(refused, self._demand.id)
+        self._reply.send_refusal(refused, self._routed.id)
 
-    def _unknown(self, ended: attemptresult.AttemptResult) -> refusal.Refusal:
-        late = self._demand.deadline - self._means.env.clock.now()
+    def _outcome_unknown(
+        self, result: attemptresult.AttemptResult
+    ) -> refusal.Refusal:
+        remaining = self._routed.deadline - self._deps.env.clock.now()
         kind = (
             _Kind.DEADLINE_PASSED
-            if late < _WORTH_A_TRY
+            if remaining < _MIN_ATTEMPT_TIME
             else _Kind.OUTCOME_UNKNOWN
         )
         return refusal.Refusal(
             kind,
-            f"it was sent on and no whole answer came: {ended.why}",
+            f"it was sent on and no whole answer came: {result.why}",
             "look up whether it took effect before sending it again",
             ran.Ran.UNKNOWN,
         )
--- a/src/citronvalve/forward/eventsplitter.py
+++ b/src/citronvalve/forward/eventsplitter.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-_BORDER = b"\n\n"
+_DELIMITER = b"\n\n"
 
 
 class Event(NamedTuple):
@@ -36,11 +36,11 @@
         data = self._remainder + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-        *whole, self._remainder = data.split(_BORDER)
-        return [Event(raw + _BORDER, _id(raw)) for raw in whole]
+        *complete, self._remainder = data.split(_DELIMITER)
+        return [Event(raw + _DELIMITER, _event_id(raw)) for raw in complete]
 
 
-def _id(raw: bytes) -> int | None:
+def _event_id(raw: bytes) -> int | None:
     for line in raw.split(b"\n"):
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/src/citronvalve/forward/forwarder.py
+++ b/src/citronvalve/forward/forwarder.py
@@ -20,10 +20,10 @@
     """
 
     def __init__(
-        self, means: dependencies.Dependencies, intake: admissions.Admission
+        self, deps: dependencies.Dependencies, admission: admissions.Admission
     ) -> None:
-        self._means = means
-        self._intake = intake
+        self._deps = deps
+        self._admission = admission
         self.in_progress = 0
         self.received = 0
 
@@ -38,62 +38,66 @@
         self.in_progress += 1
         self.received += 1
         try:
-            demand = self._intake.admit(request)
-            if isinstance(demand, refusal.Refusal):
-                self._turn_away(request, reply, demand)
+            routed = self._admission.admit(request)
+            if isinstance(routed, refusal.Refusal):
+                self._reject(request, reply, routed)
             else:
-                self._pass_on(demand, reply)
+                self._dispatch(routed, reply)
         finally:
             self.in_progress -= 1
 
-    def _turn_away(
+    def _reject(
         self,
         request: callerrequest.CallerRequest,
         reply: replies.Reply,
         refused: refusal.Refusal,
     ) -> None:
-        env = self._means.env
-        number = request.header(env.header_names.request_id).decode("latin-1")
+        env = self._deps.env
+        request_id = request.header(env.header_names.request_id).decode(
+            "latin-1"
+        )
         env.metrics.record_request("unknown", "refused", refused.kind)
         env.log.note(
-            "turned away", number, kind=refused.kind, why=refused.detail
+            "turned away", request_id, kind=refused.kind, why=refused.detail
         )
-        reply.send_refusal(refused, number)
+        reply.send_refusal(refused, request_id)
 
-    def _pass_on(
-        self, demand: routedrequest.RoutedRequest, reply: replies.Reply
+    def _dispatch(
+        self, routed: routedrequest.RoutedRequest, reply: replies.Reply
     ) -> None:
-        env = self._means.env
-        self._means.retry_budgets.record_request(demand.service.name)
-        passage = dispatches.Dispatch(self._means, demand, reply)
+        env = self._deps.env
+        self._deps.retry_budgets.record_request(routed.service.name)
+        dispatch = dispatches.Dispatch(self._deps, routed, reply)
         try:
-            passage.run()
+            dispatch.run()
         except callergone.CallerGoneError:
-            passage.outcome, passage.reason = "left", "caller closed"
+            dispatch.outcome, dispatch.reason = "left", "caller closed"
             reply.abort()
         except OSError as error:
-            passage.outcome, passage.reason = "left", "caller unreachable"
-            env.log.note("caller lost", demand.id, why=str(error))
+            dispatch.outcome, dispatch.reason = "left", "caller unreachable"
+            env.log.note("caller lost", routed.id, why=str(error))
             reply.abort()
         finally:
-            self._ended(demand, passage)
+            self._record_end(routed, dispatch)
 
-    def _ended(
-        self, demand: routedrequest.RoutedRequest, passage: dispatches.Dispatch
+    def _record_end(
+        self,
+        routed: routedrequest.RoutedRequest,
+        dispatch: dispatches.Dispatch,
     ) -> None:
-        env = self._means.env
-        catalogue = self._means.directory.catalogue
+        env = self._deps.env
+        catalogue = self._deps.directory.catalogue
         env.metrics.record_request(
-            demand.route.kind, passage.outcome, passage.reason
+            routed.route.kind, dispatch.outcome, dispatch.reason
         )
         env.log.note(
             "request ended",
-            demand.id,
-            outcome=passage.outcome,
-            reason=passage.reason,
-            route=demand.route.name,
-            model=demand.model,
-            upstreams=passage.tried,
-            took_ms=env.clock.now() - demand.request.arrived_at,
+            routed.id,
+            outcome=dispatch.outcome,
+            reason=dispatch.reason,
+            route=routed.route.name,
+            model=routed.model,
+            upstreams=dispatch.tried,
+            took_ms=env.clock.now() - routed.request.arrived_at,
             config=catalogue.version if catalogue else 0,
         )
--- a/src/citronvalve/forward/headers.py
+++ b/src/citronvalve/forward/headers.py
@@ -7,7 +7,7 @@
 
 #: They concern one connection only, or are framing, which each side makes
 #: itself: a copied length or transfer coding could hide a second request.
-_OF_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"content-length",
@@ -44,20 +44,20 @@
     :param headers: as received.
     :param dropped: further names that stay behind, in any spelling.
     """
-    given = list(headers)
-    named = {
+    received = list(headers)
+    connection_options = {
         token.strip().lower()
-        for name, content in given
+        for name, content in received
         if name == b"connection"
         for token in content.split(b",")
     }
-    kept_out = _OF_ONE_CONNECTION | dropped | named
+    excluded = _HOP_BY_HOP | dropped | connection_options
     return [
         (name, content)
-        for name, content in given
+        for name, content in received
         # Some servers read an underscore as a dash, so such a name could
         # stand in for one that only the system may set.
-        if name.replace(b"_", b"-") not in kept_out
+        if name.replace(b"_", b"-") not in excluded
     ]
 
 
--- a/src/citronvalve/forward/metrics.py
+++ b/src/citronvalve/forward/metrics.py
@@ -17,28 +17,28 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._ended = self._counter(
+        self._requests = self._counter(
             "requests_total", "Requests ended, by kind, outcome and reason."
         )
-        self._tries = self._counter(
+        self._attempts = self._counter(
             "tries_total", "Tries at upstreams, by how they ended."
         )
-        self._bytes = self._counter(
+        self._malformed = self._counter(
             "malformed_total", "Bytes that were no request, by status."
         )
         self._orders = self._counter(
             "orders_total", "Orders to engines, by kind and result."
         )
-        self._readings = self._counter(
+        self._platform_reads = self._counter(
             "platform_readings_total", "Calls for a table, by result."
         )
-        self._first = self._histogram(
+        self._first_event = self._histogram(
             "first_event_seconds", "Arrival to the first event or answer."
         )
         self._gap = self._histogram(
             "event_gap_seconds", "Longest pause between events of a stream."
         )
-        self._error = self._histogram(
+        self._forecast_error = self._histogram(
             "forecast_error_seconds", "First event after its forecast."
         )
 
@@ -50,21 +50,23 @@
             ``left``.
         :param reason: one of a closed set.
         """
-        self._ended.inc({"kind": kind, "outcome": outcome, "reason": reason})
+        self._requests.inc(
+            {"kind": kind, "outcome": outcome, "reason": reason}
+        )
 
     def record_attempt(self, result: str) -> None:
         """Count a try at an upstream.
 
         :param result: how it ended.
         """
-        self._tries.inc({"result": result})
+        self._attempts.inc({"result": result})
 
     def record_malformed(self, status: int) -> None:
         """Count bytes that were no request.
 
         :param status: what they were answered with.
         """
-        self._bytes.inc({"status": str(status)})
+        self._malformed.inc({"status": str(status)})
 
     def record_order(self, order: str, result: str) -> None:
         """Count an order to an engine.
@@ -81,7 +83,7 @@
         :param answered: whether an answer came.
         """
         result = "answered" if answered else "failed"
-        self._readings.inc({"table": table, "result": result})
+        self._platform_reads.inc({"table": table, "result": result})
 
     def observe_first_event(self, took: clock.Ms, forecast: float) -> None:
         """Note the time to a first event.
@@ -89,9 +91,9 @@
         :param took: ms from arrival.
         :param forecast: ms that were expected from the try's start.
         """
-        self._first.observe({}, took / clock.SECOND)
+        self._first_event.observe({}, took / clock.SECOND)
         late = max(0.0, took - forecast)
-        self._error.observe({}, late / clock.SECOND)
+        self._forecast_error.observe({}, late / clock.SECOND)
 
     def observe_gap(self, longest: clock.Ms) -> None:
         """Note a stream's longest pause.
--- a/src/citronvalve/forward/problem.py
+++ b/src/citronvalve/forward/problem.py
@@ -21,7 +21,7 @@
     body: bytes
 
 
-def render(refused: refusal.Refusal, request: str) -> Rendered:
+def render(refused: refusal.Refusal, request_id: str) -> Rendered:
     """Return the answer for a refusal.
 
     :param refused: why there is no answer.
@@ -33,7 +33,7 @@
         # for whom there is room in 200 ms.
         seconds = max(refused.retry_after, 1) / clock.SECOND
         head.append((b"retry-after", b"%.3f" % seconds))
-    return Rendered(refused.status, head, problem.body(refused, request))
+    return Rendered(refused.status, head, problem.body(refused, request_id))
 
 
 def for_malformed(status: int, why: str) -> Rendered:
@@ -43,7 +43,7 @@
     :param why: what is wrong with them.
     """
     kind = _KIND_BY_STATUS.get(status, refusal.RefusalKind.MALFORMED)
-    made = render(
+    rendered = render(
         refusal.Refusal(kind, why[:200], "send a proper request"), ""
     )
-    return made._replace(status=status)
+    return rendered._replace(status=status)
--- a/src/citronvalve/forward/receiving.py
+++ b/src/citronvalve/forward/receiving.py
@@ -6,7 +6,9 @@
 from citronvalve.model import clock
 
 
-def receive(sock: socket.socket, most: int, timeout: clock.Ms | None) -> bytes:
+def receive(
+    sock: socket.socket, max_bytes: int, timeout: clock.Ms | None
+) -> bytes:
     """Return the next bytes, or none at the other side's proper end.
 
     The green socket's own call returns none for a reset, too.  An answer
@@ -22,7 +24,7 @@
     seconds = None if timeout is None else timeout / clock.SECOND
     while True:
         try:
-            return sock.fd.recv(most)
+            return sock.fd.recv(max_bytes)
         except BlockingIOError:
             hubs.trampoline(
                 sock.fd,
--- a/src/citronvalve/forward/reply.py
+++ b/src/citronvalve/forward/reply.py
@@ -57,7 +57,7 @@
         """Close the connection so that the answer can't look complete."""
 
     @abc.abstractmethod
-    def send_refusal(self, refused: refusal.Refusal, request: str) -> None:
+    def send_refusal(self, refused: refusal.Refusal, request_id: str) -> None:
         """Send a refusal.
 
         :param refused: why there is no answer.
--- a/src/citronvalve/forward/retrybudgets.py
+++ b/src/citronvalve/forward/retrybudgets.py
@@ -45,9 +45,9 @@
         return self._budget(service).spend(self._env.daemon_count, now)
 
     def _budget(self, service: str) -> retrybudget.RetryBudget:
-        held = self._budget_by_service.get(service)
-        if held is None:
-            held = retrybudget.RetryBudget(self.limits)
-            self._budget_by_service[service] = held
-        held.limits = self.limits
-        return held
+        budget = self._budget_by_service.get(service)
+        if budget is None:
+            budget = retrybudget.RetryBudget(self.limits)
+            self._budget_by_service[service] = budget
+        budget.limits = self.limits
+        return budget
--- a/src/citronvalve/forward/routedrequest.py
+++ b/src/citronvalve/forward/routedrequest.py
@@ -11,7 +11,7 @@
 from citronvalve.routes import service as services
 
 #: What a request without a size is taken to write, in tokens.
-_ANSWER = 128
+_DEFAULT_RESPONSE_TOKENS = 128
 
 
 class RoutedRequest(NamedTuple):
@@ -32,14 +32,14 @@
     @property
     def priority(self) -> int:
         """Return the rank, 0 first; a team's goes before the route's."""
-        own = self.key_holder.priority if self.key_holder else None
-        return self.route.priority if own is None else own
+        team_priority = self.key_holder.priority if self.key_holder else None
+        return self.route.priority if team_priority is None else team_priority
 
 
 def deadline(
     request: callerrequest.CallerRequest,
     route: routes_.Route,
-    dialect: headernames.HeaderNames,
+    names: headernames.HeaderNames,
 ) -> clock.Ms:
     """Return the moment after which no answer is of use.
 
@@ -47,23 +47,27 @@
     :param route: its route.
     :param dialect: names of headers.
     """
-    given = headers.parse_number(request.header(dialect.deadline))
-    span = route.timeout if given is None else min(given, route.timeout)
-    return request.arrived_at + span
+    caller_timeout = headers.parse_number(request.header(names.deadline))
+    timeout = (
+        route.timeout
+        if caller_timeout is None
+        else min(caller_timeout, route.timeout)
+    )
+    return request.arrived_at + timeout
 
 
 def token_counts(
-    request: callerrequest.CallerRequest, dialect: headernames.HeaderNames
+    request: callerrequest.CallerRequest, names: headernames.HeaderNames
 ) -> tuple[int, int]:
     """Return the prompt's tokens and those expected of the answer.
 
     :param request: the caller's.
     :param dialect: names of headers.
     """
-    first, _, most = request.header(dialect.token_counts).partition(b",")
-    hint = headers.parse_number(request.header(dialect.length_hint))
-    most_tokens = headers.parse_number(most)
-    answer = hint or most_tokens or _ANSWER
-    if most_tokens:
-        answer = min(answer, most_tokens)
-    return headers.parse_number(first) or 0, answer
+    prompt, _, limit = request.header(names.token_counts).partition(b",")
+    hint = headers.parse_number(request.header(names.length_hint))
+    max_tokens = headers.parse_number(limit)
+    response_tokens = hint or max_tokens or _DEFAULT_RESPONSE_TOKENS
+    if max_tokens:
+        response_tokens = min(response_tokens, max_tokens)
+    return headers.parse_number(prompt) or 0, response_tokens
--- a/src/citronvalve/forward/stalldetector.py
+++ b/src/citronvalve/forward/stalldetector.py
@@ -8,11 +8,11 @@
 
 #: Within this time another stream's event shows that an upstream works, and
 #: that only one connection has gone silent.
-_LIVELY: clock.Ms = 300
+_ACTIVITY_WINDOW: clock.Ms = 300
 
 #: How long a stalled upstream gets no new work unless it is heard of: about
 #: the time in which its group is looked at and closed.
-_AVOIDED: clock.Ms = 2_500
+_STALL_AVOID_TIME: clock.Ms = 2_500
 
 
 class StallDetector:
@@ -28,36 +28,36 @@
     """
 
     def __init__(
-        self, env: environments.Environment, book: upstreamchoice.LoadTable
+        self, env: environments.Environment, loads: upstreamchoice.LoadTable
     ) -> None:
         self._env = env
-        self._book = book
-        self._standing: set[str] = set()
+        self._loads = loads
+        self._stalled: set[str] = set()
         self.on_stall: Callable[[str], None] = lambda _: None
-        self._stood_still_at: clock.Ms | None = None
+        self._last_pause_at: clock.Ms | None = None
 
     def record_activity(self, upstream: str) -> None:
         """Note a sign of life.
 
         :param upstream: its id.
         """
-        held = self._book.of(upstream)
-        held.last_heard_at = self._env.clock.now()
-        if upstream in self._standing:
+        load = self._loads.of(upstream)
+        load.last_heard_at = self._env.clock.now()
+        if upstream in self._stalled:
             # It was only slow.
-            self._standing.discard(upstream)
-            held.avoid_until = 0
+            self._stalled.discard(upstream)
+            load.avoid_until = 0
 
     def is_stalled(self, upstream: str) -> bool:
         """Tell whether an upstream was found standing still lately.
 
         :param upstream: its id.
         """
-        if upstream not in self._standing:
+        if upstream not in self._stalled:
             return False
-        if self._book.of(upstream).avoid_until > self._env.clock.now():
+        if self._loads.of(upstream).avoid_until > self._env.clock.now():
             return True
-        self._standing.discard(upstream)
+        self._stalled.discard(upstream)
         return False
 
     def record_silence(self, upstream: str) -> bool:
@@ -66,11 +66,11 @@
         :param upstream: its id.
         """
         now = self._env.clock.now()
-        held = self._book.of(upstream)
-        if now - held.last_heard_at < _LIVELY:
+        load = self._loads.of(upstream)
+        if now - load.last_heard_at < _ACTIVITY_WINDOW:
             return False
-        if upstream not in self._standing:
-            self._mark(upstream, now)
+        if upstream not in self._stalled:
+            self._mark_stalled(upstream, now)
             self.on_stall(upstream)
         return True
 
@@ -80,37 +80,41 @@
         :param upstream: its id; ignored if it was heard here just now.
         """
         now = self._env.clock.now()
-        lively = now - self._book.of(upstream).last_heard_at < _LIVELY
-        if not lively and upstream not in self._standing:
-            self._mark(upstream, now)
-
-    def _mark(self, upstream: str, now: clock.Ms) -> None:
-        held = self._book.of(upstream)
-        self._standing.add(upstream)
-        held.avoid_until = now + _AVOIDED
+        is_active = (
+            now - self._loads.of(upstream).last_heard_at < _ACTIVITY_WINDOW
+        )
+        if not is_active and upstream not in self._stalled:
+            self._mark_stalled(upstream, now)
+
+    def _mark_stalled(self, upstream: str, now: clock.Ms) -> None:
+        load = self._loads.of(upstream)
+        self._stalled.add(upstream)
+        load.avoid_until = now + _STALL_AVOID_TIME
         self._env.log.change(
             "upstream stands still",
             upstream=upstream,
-            silent_ms=now - held.last_heard_at if held.last_heard_at else None,
-            own_requests=held.own,
+            silent_ms=now - load.last_heard_at if load.last_heard_at else None,
+            own_requests=load.own,
         )
 
-    def record_pause(self, span: clock.Ms) -> None:
+    def record_pause(self, duration: clock.Ms) -> None:
         """Note that this daemon itself did not run for a while.
 
         :param span: ms until now.
         """
-        now, before = self._env.clock.now(), self._stood_still_at
-        self._stood_still_at = now
-        if before is None or now - before >= span:
+        now, previous = self._env.clock.now(), self._last_pause_at
+        self._last_pause_at = now
+        if previous is None or now - previous >= duration:
             # All that wait at that time tell of the same pause.
-            self._env.log.change("daemon stood still", for_ms=span)
+            self._env.log.change("daemon stood still", for_ms=duration)
 
-    def avoid(self, upstream: str, span: clock.Ms) -> None:
+    def avoid(self, upstream: str, duration: clock.Ms) -> None:
         """Give an upstream no new work for a while.
 
         :param upstream: its id.
         :param span: ms.
         """
-        held = self._book.of(upstream)
-        held.avoid_until = max(held.avoid_until, self._env.clock.now() + span)
+        load = self._loads.of(upstream)
+        load.avoid_until = max(
+            load.avoid_until, self._env.clock.now() + duration
+        )
--- a/src/citronvalve/forward/upstreamconnection.py
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -11,14 +11,14 @@
 from citronvalve.forward import receiving
 from citronvalve.model import clock
 
-_PIECE = 65_536
+_READ_SIZE = 65_536
 
 #: Bodies up to this fit into a socket's buffer and are sent in one go.
 #: Longer ones are sent beside the reading, since an upstream may answer
 #: before it has read them.
-_SENT_AT_ONCE = 16_384
+_MAX_INLINE_SEND = 16_384
 
-_Trouble = exchangeerror.ExchangeFailure
+_Failure = exchangeerror.ExchangeFailure
 
 
 class UpstreamConnection:
@@ -30,9 +30,9 @@
     :ivar used: whether an exchange on it has ended well.
     """
 
-    def __init__(self, sock: socket.socket, now: clock.Clock) -> None:
+    def __init__(self, sock: socket.socket, time_source: clock.Clock) -> None:
         self._sock = sock
-        self._clock = now
+        self._clock = time_source
         self._parser = h11.Connection(h11.CLIENT)
         self._method = b"GET"
         self._sender: eventlet.greenthread.GreenThread | None = None
@@ -63,12 +63,12 @@
         if body:
             data += self._parser.send(h11.Data(body))
         data += self._parser.send(h11.EndOfMessage())
-        if len(data) <= _SENT_AT_ONCE:
+        if len(data) <= _MAX_INLINE_SEND:
             self._send(data)
         else:
-            self._sender = eventlet.spawn(self._send_quietly, data)
+            self._sender = eventlet.spawn(self._send_in_background, data)
 
-    def next_event(self, until: clock.Ms) -> h11.Event:
+    def next_event(self, deadline: clock.Ms) -> h11.Event:
         """Return the next part of the answer.
 
         :param until: monotonic ms.
@@ -79,17 +79,17 @@
                 event = self._parser.next_event()
             except h11.RemoteProtocolError as error:
                 raise exchangeerror.ExchangeError(
-                    _trouble(error), str(error)
+                    _failure_of(error), str(error)
                 ) from error
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.ConnectionClosed):
                 raise exchangeerror.ExchangeError(
-                    _Trouble.BROKEN, "closed without an answer"
+                    _Failure.BROKEN, "closed without an answer"
                 )
             if event is not h11.NEED_DATA:
                 return event
-            self._parser.receive_data(self._receive(until))
+            self._parser.receive_data(self._receive(deadline))
 
     def expect_next_response(self) -> None:
         """Expect the answer once more, after one that was not ours.
@@ -101,12 +101,12 @@
         """
         if self._parser.their_state is not h11.DONE:
             raise exchangeerror.ExchangeError(
-                _Trouble.GARBLED, "not our answer"
+                _Failure.GARBLED, "not our answer"
             )
-        rest, closed = self._parser.trailing_data
+        trailing, closed = self._parser.trailing_data
         if closed:
             raise exchangeerror.ExchangeError(
-                _Trouble.BROKEN, "closed after another"
+                _Failure.BROKEN, "closed after another"
             )
         # The request is on its way already; of it only the method matters
         # to a parser that reads the next answer.
@@ -116,8 +116,8 @@
             h11.Request(method=self._method, target=b"/", headers=host)
         )
         self._parser.send(h11.EndOfMessage())
-        if rest:
-            self._parser.receive_data(rest)
+        if trailing:
+            self._parser.receive_data(trailing)
 
     def prepare_reuse(self) -> bool:
         """Make ready for another request; False when it must be closed."""
@@ -160,34 +160,36 @@
             self._sock.sendall(data)
         except OSError as error:
             raise exchangeerror.ExchangeError(
-                _Trouble.BROKEN, str(error)
+                _Failure.BROKEN, str(error)
             ) from error
 
-    def _send_quietly(self, data: bytes) -> None:
+    def _send_in_background(self, data: bytes) -> None:
         # What goes wrong here shows as a broken answer to the reader.
         with contextlib.suppress(exchangeerror.ExchangeError):
             self._send(data)
 
-    def _receive(self, until: clock.Ms) -> bytes:
-        left = until - self._clock.now()
-        if left <= 0:
+    def _receive(self, deadline: clock.Ms) -> bytes:
+        remaining = deadline - self._clock.now()
+        if remaining <= 0:
             raise exchangeerror.ExchangeError(
-                _Trouble.SILENT, "nothing came in time"
+                _Failure.SILENT, "nothing came in time"
             )
         try:
-            return receiving.receive(self._sock, _PIECE, left)
+            return receiving.receive(self._sock, _READ_SIZE, remaining)
         except TimeoutError as error:
             raise exchangeerror.ExchangeError(
-                _Trouble.SILENT, "nothing came in time"
+                _Failure.SILENT, "nothing came in time"
             ) from error
         except OSError as error:
             raise exchangeerror.ExchangeError(
-                _Trouble.BROKEN, str(error)
+                _Failure.BROKEN, str(error)
             ) from error
 
 
-def _trouble(error: h11.RemoteProtocolError) -> exchangeerror.ExchangeFailure:
+def _failure_of(
+    error: h11.RemoteProtocolError,
+) -> exchangeerror.ExchangeFailure:
     # The parser reports an end in the middle and bytes that are no answer
     # by the same type.
     cut = "closed" in str(error).lower()
-    return _Trouble.BROKEN if cut else _Trouble.GARBLED
+    return _Failure.BROKEN if cut else _Failure.GARBLED
