--- a/src/citronvalve/forward/__init__.py
+++ b/src/citronvalve/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque forwarding: requests go on unchanged and answers come back so."""
+"""Opaque forwarding: requests and responses pass through unchanged."""
--- a/src/citronvalve/forward/acceptor.py
+++ b/src/citronvalve/forward/acceptor.py
@@ -11,12 +11,12 @@
 from citronvalve.model import errors
 from citronvalve.routes import callerlimits
 
-#: Connections that the kernel holds until they are taken; a burst of callers
-#: that each open one must not meet a full queue, since an opening packet
-#: that is dropped comes again only after a second.
+#: Connections that the kernel queues until they are accepted.  A burst of
+#: callers must not overflow the queue, since a dropped SYN is retransmitted
+#: only after a second.
 _BACKLOG = 1_024
 
-#: Bytes of an answer that the kernel takes in for a caller who reads slowly.
+#: Bytes of a response that the kernel buffers for a slow caller.
 _SEND_BUFFER = 65_536
 
 
@@ -27,7 +27,7 @@
     :param env: the daemon's environment.
     :param limits: returns the callers' limits in force.
     :param handler: answers a request.
-    :raises errors.SettingsError: when the address can't be listened at.
+    :raises errors.SettingsError: when the address can't be bound.
     """
 
     def __init__(
@@ -49,26 +49,26 @@
             raise errors.SettingsError(
                 str(error),
                 where=address,
-                remedy="free the address or give another one",
+                remedy="free the address or configure another one",
             ) from error
 
     @property
     def address(self) -> str:
-        """Return host:port, also where any free port was asked for."""
+        """Return host:port with the actual port, also if port 0 was given."""
         host, port = self._socket.getsockname()[:2]
         return f"{host}:{port}"
 
     @property
     def count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._task = eventlet.spawn(self._accept)
 
     def close(self) -> None:
-        """Accept none any more, and close those that wait for a request."""
+        """Stop accepting, and close the connections that are idle."""
         if self._task is not None:
             self._task.kill()
         with contextlib.suppress(OSError):
--- a/src/citronvalve/forward/admission.py
+++ b/src/citronvalve/forward/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a caller's request is one that may be served at all."""
+"""Admission of callers' requests."""
 
 from citronvalve.forward import callerrequest
 from citronvalve.forward import directory as directories
@@ -10,23 +10,23 @@
 from citronvalve.routes import keyholder
 from citronvalve.routes import route as routes_
 
-#: A daemon that has just started knows its upstreams after about so long.
+#: Time in which a daemon that has just started learns its upstreams.
 _NOT_READY_RETRY: clock.Ms = 500
 
-#: While the store can be read the catalogue is known to be the newest at
-#: least every 2.5 s (a call held back 1 s and given up after 1.5 s more).
-#: Much older, it may lack a route or a key that is in force elsewhere, so
-#: that "there is none" can't be said.
+#: While the store is reachable, the catalogue is confirmed at least every
+#: 2.5 s (a poll of 1 s plus a timeout of 1.5 s).  A much older one may lack a
+#: route or a key that is in force elsewhere, so a final "not found" would be
+#: wrong.
 _MAX_CATALOGUE_AGE: clock.Ms = 4_500
 
 _Kind = refusal.RefusalKind
 
 
 class Admission:
-    """Finds route, team and service of a request.
+    """Resolves the route, team and service of a request.
 
     :param env: the daemon's environment.
-    :param directory: what is known.
+    :param directory: the catalogue and the upstreams.
     """
 
     def __init__(
@@ -40,19 +40,20 @@
     def admit(
         self, request: callerrequest.CallerRequest
     ) -> routedrequest.RoutedRequest | refusal.Refusal:
-        """Return what is asked for, or why it can't be served.
+        """Return the routed request, or the refusal if it can't be served.
 
         :param request: the caller's.
         """
         catalogue = self._directory.catalogue
         if catalogue is None or not self._directory.ready:
             return _refused(
-                _Kind.STOPPING, "this daemon knows no configuration yet"
+                _Kind.STOPPING,
+                "this daemon has not loaded its configuration yet",
             )._replace(retry_after=_NOT_READY_RETRY)
         names = self._env.header_names
         request_id = request.header(names.request_id)
         if not request_id:
-            return _refused(_Kind.MALFORMED, "the request has no id")
+            return _refused(_Kind.MALFORMED, "the request has no request id")
         route = catalogue.find_route(request.host, request.path)
         if not route:
             return self._refuse_missing(_Kind.NOT_FOUND, route.reason)
@@ -101,7 +102,7 @@
         self, kind: refusal.RefusalKind, why: str
     ) -> refusal.Refusal:
         # A caller whose route or key was added while this daemon could not
-        # reach the store would take "there is none" as final.
+        # reach the store would take "not found" as final.
         age = self._env.clock.now() - self._directory.confirmed_at
         if age <= _MAX_CATALOGUE_AGE:
             return _refused(kind, why)
@@ -111,4 +112,6 @@
 
 
 def _refused(kind: refusal.RefusalKind, why: str) -> refusal.Refusal:
-    return refusal.Refusal(kind, why, "correct the request or send it later")
+    return refusal.Refusal(
+        kind, why, "correct the request or send it again later"
+    )
--- a/src/citronvalve/forward/attempt.py
+++ b/src/citronvalve/forward/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream."""
+"""One attempt to run a request at one upstream."""
 
 from collections.abc import Callable
 
@@ -20,14 +20,14 @@
 from citronvalve.policy import upstreamchoice
 from citronvalve.routes import kind as kinds
 
-#: Bodies of whole answers that are held until they are complete.
+#: Largest response body, in bytes, that is buffered until it is complete.
 _MAX_BODY = 8 * 1024 * 1024
 
-#: An upstream that answers that it is not the one, or not open, has changed
-#: since the list told of it; the list follows within about this time.
+#: An upstream that answers 421 has changed since its entry in the list was
+#: written; the list is updated within about this time.
 _LIST_LAG: clock.Ms = 400
 
-#: One that is full has a free place after about this time.
+#: A full upstream has a free slot after about this time.
 _FULL_AVOID_TIME: clock.Ms = 120
 
 _Ending = attemptresult.Ending
@@ -35,15 +35,15 @@
 
 
 class Attempt:
-    """Sends a request to an upstream and brings its answer back.
+    """Sends a request to an upstream and relays its response.
 
-    :param means: what it works with.
-    :param demand: the request.
-    :param reply: takes the answer.
-    :param placed: the upstream, and what is expected.
-    :param relayed: what the caller has already.
-    :param elsewhere: tells whether the request could go on at another
-        upstream now.
+    :param deps: the daemon's components.
+    :param routed: the request.
+    :param reply: receives the response.
+    :param chosen: the upstream and its forecast.
+    :param progress: the part of a stream that the caller already has.
+    :param can_switch: returns whether the request could continue at another
+        upstream.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
         self._response: responsehead.ResponseHead | None = None
 
     def run(self) -> attemptresult.AttemptResult:
-        """Make the try."""
+        """Run the attempt."""
         runner = self._deps.directory.runner_by_id.get(self._chosen.upstream)
         if runner is None:
             return attemptresult.AttemptResult(
-                _Ending.NOT_RUN, "it left the list"
+                _Ending.NOT_RUN, "the upstream is no longer in the list"
             )
         self._address = runner.address
         retryable = self._routed.route.may_repeat
@@ -128,7 +128,9 @@
                 _Ending.FAILED, str(response.status), response, body
             )
         if not response.is_authentic(names):
-            raise exchangeerror.ExchangeError(_Failure.GARBLED, "not sealed")
+            raise exchangeerror.ExchangeError(
+                _Failure.GARBLED, "response has no seal or is encoded"
+            )
         if self._routed.route.kind is kinds.RequestKind.STREAM:
             self._relay_stream(connection, response)
         else:
@@ -173,7 +175,7 @@
             event = self._reader.next_part(connection)
             if not isinstance(event, h11.Response):
                 raise exchangeerror.ExchangeError(
-                    _Failure.GARBLED, "no answer"
+                    _Failure.GARBLED, "expected a response head"
                 )
             response = responsehead.ResponseHead(
                 event.status_code, list(event.headers)
@@ -184,14 +186,15 @@
                 response.headers, self._env.header_names.request_id
             ):
                 raise exchangeerror.ExchangeError(
-                    _Failure.GARBLED, "without an id"
+                    _Failure.GARBLED, "response has no request id"
                 )
-            # A late second answer to an earlier request; ours follows.
+            # A late duplicate response to an earlier request; the one to
+            # this request follows.
             self._read_body(connection)
             connection.expect_next_response()
 
     def _record_start(self) -> None:
-        # It waits no longer, so it is behind nobody any more.
+        # Once it has started or ended, it is no longer queued as late.
         if self._chosen.late and not self._is_start_counted:
             self._is_start_counted = True
             self._load.late -= 1
@@ -230,24 +233,25 @@
                 body += event.data
                 if len(body) > _MAX_BODY:
                     raise exchangeerror.ExchangeError(
-                        _Failure.GARBLED, "too long"
+                        _Failure.GARBLED, "response body is too large"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 self._check_end()
                 return bytes(body)
             else:
                 raise exchangeerror.ExchangeError(
-                    _Failure.BROKEN, "it ended early"
+                    _Failure.BROKEN, "response ended early"
                 )
 
     def _check_end(self) -> None:
-        """Refuse an end that may be a crash.
+        """Check that an unframed response did not end by a crash.
 
-        An answer without a length ends with its connection, and so does one
-        whose upstream crashed in the middle: the caller would take a part
-        for the whole.  One that crashed does not listen any more.
+        A response without a length ends when its connection closes, which
+        a crash in the middle does too: the caller would take the part for
+        the whole.  A crashed upstream does not accept connections.
 
-        :raises linkerror.LinkError: when nobody listens.
+        :raises exchangeerror.ExchangeError: when nothing accepts
+            connections at the upstream's address.
         """
         if self._response is None or self._response.is_framed():
             return
@@ -255,7 +259,8 @@
             self._deps.pool.check_listening(self._address)
         except exchangeerror.ExchangeError as error:
             raise exchangeerror.ExchangeError(
-                _Failure.BROKEN, f"ended with its upstream: {error}"
+                _Failure.BROKEN,
+                f"response ended as its upstream went down: {error}",
             ) from error
 
     def _relay_stream(
@@ -271,7 +276,7 @@
                 break
             if not isinstance(event, h11.Data):
                 raise exchangeerror.ExchangeError(
-                    _Failure.BROKEN, "it ended early"
+                    _Failure.BROKEN, "response ended early"
                 )
             self._deps.stall_detector.record_activity(self._chosen.upstream)
             events = splitter.feed(bytes(event.data))
@@ -279,7 +284,9 @@
             if data:
                 self._send_events(response, data)
         if splitter.remainder.strip():
-            raise exchangeerror.ExchangeError(_Failure.BROKEN, "half an event")
+            raise exchangeerror.ExchangeError(
+                _Failure.BROKEN, "stream ended within an event"
+            )
         if not self._reply.started:
             self._reply.start(
                 response.status, headers.end_to_end(response.headers)
@@ -295,11 +302,11 @@
             )
             return True
         if event.id <= last:
-            # A resumed stream may begin with what the caller has.
+            # A resumed stream may repeat events that the caller has.
             return False
         if event.id != last + 1:
             raise exchangeerror.ExchangeError(
-                _Failure.GARBLED, "an event is missing"
+                _Failure.GARBLED, "stream skipped an event id"
             )
         self._progress.last_event_id = event.id
         return True
@@ -332,7 +339,7 @@
         if now < self._routed.deadline:
             self._load.circuit.record_failure(now, fatal=False)
         if error.failure is _Failure.SILENT:
-            # What went silent may be all connections, while new ones work.
+            # All open connections may be silent while new ones work.
             self._deps.pool.close_idle(address)
             return attemptresult.AttemptResult(_Ending.STALLED, str(error))
         if error.failure is _Failure.BROKEN:
--- a/src/citronvalve/forward/attemptresult.py
+++ b/src/citronvalve/forward/attemptresult.py
@@ -1,4 +1,4 @@
-"""How one try at an upstream ended."""
+"""The result of one attempt at an upstream."""
 
 import enum
 from typing import NamedTuple
@@ -7,22 +7,22 @@
 
 
 class Ending(enum.Enum):
-    """What the try comes to for the request."""
+    """How an attempt ended, and whether the request may have run."""
 
-    #: The caller has the whole answer.
+    #: The caller has the complete response.
     DELIVERED = enum.auto()
-    #: The upstream failed the request itself; its answer can be passed on.
+    #: The upstream answered with an error, which can be relayed.
     FAILED = enum.auto()
-    #: It certainly did not run.
+    #: The request certainly did not run.
     NOT_RUN = enum.auto()
-    #: It may have run, and there is no whole answer.
+    #: The request may have run; there is no complete response.
     BROKEN = enum.auto()
-    #: Nothing comes; the upstream may stand still.
+    #: Nothing arrived in time; the upstream may be stalled.
     STALLED = enum.auto()
 
 
 class AttemptResult(NamedTuple):
-    """The ending, why, and a failed answer with its body if there is one."""
+    """The ending, its cause, and an error response with its body, if any."""
 
     ending: Ending
     why: str = ""
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reads requests strictly, sends answers."""
+"""One caller's connection: reads requests strictly, sends responses."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -19,20 +19,20 @@
 from citronvalve.model import refusal
 from citronvalve.routes import callerlimits
 
-#: Bytes taken at once; a usual request comes in one piece.
+#: Bytes per read; a usual request fits into one.
 _READ_SIZE = 65_536
 
-#: Bytes that a caller may send ahead while its request is answered.
+#: Bytes that a caller may pipeline while its request is answered.
 _MAX_PIPELINED_BYTES = 65_536
 
-#: A caller that takes no byte of its answer for so long is given up.
+#: A caller that reads nothing for this long is disconnected.
 _WRITE_TIMEOUT: clock.Ms = 10_000
 
-#: After a refusal that leaves bytes unread, closing at once would reset the
-#: connection and destroy the answer on its way.
+#: Time to drain unread bytes after a refusal: closing at once would reset the
+#: connection and discard the response in flight.
 _LINGER: clock.Ms = 1_000
 
-#: Past the idle time, so that a request sent at its very end is not cut.
+#: Added to the idle timeout, so that a request sent at its end is served.
 _IDLE_SLACK: clock.Ms = 1_000
 
 _VERSIONS = frozenset({b"1.0", b"1.1"})
@@ -41,17 +41,17 @@
 
 
 class CallerConnection(reply.Reply):
-    """Reads one request after the other and hands each to the handler.
+    """Reads one request after the other and passes each to the handler.
 
-    The parser refuses what can be read in two ways (two lengths, a space
-    before a colon, a length beside a transfer coding), since whatever
-    follows such a request could be run in another caller's name.
+    The parser rejects ambiguous framing (two lengths, a space before a
+    colon, a length with a transfer coding) to prevent request smuggling:
+    what follows such a request could run as another caller's.
 
-    :param sock: accepted.
+    :param sock: an accepted socket.
     :param env: the daemon's environment.
     :param limits: returns the limits in force.
     :param handler: answers a request.
-    :ivar idle: whether it waits for a request.
+    :ivar idle: whether the connection waits for a request.
     """
 
     def __init__(
@@ -81,19 +81,19 @@
                 pass
             self._close_gracefully()
         except (OSError, h11.LocalProtocolError):
-            # The caller is gone, or its answer was cut on purpose; the
-            # request's own log line says which.
+            # The caller has disconnected or the response was aborted; the
+            # log line of the request says which.
             self._reset()
 
     def close_if_idle(self) -> None:
-        """Close a connection that waits for a request."""
+        """Close the connection if it waits for a request."""
         if self.idle:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def check_caller(self) -> None:
-        # The watch's green thread has not run yet if nothing has blocked
-        # since the request was read.
+        # The green thread that watches the caller has not run yet if nothing
+        # has blocked since the request was read.
         try:
             while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
                 self._receive_pipelined(
@@ -159,7 +159,7 @@
         self._answer(request)
         self.idle = True
         if self._aborted:
-            raise BrokenPipeError("the answer was cut")
+            raise BrokenPipeError("the response was aborted")
         if self._parser.our_state is not h11.DONE:
             return False
         if self._parser.their_state is not h11.DONE:
@@ -186,18 +186,18 @@
             )
 
     def _receive_pipelined(self, data: bytes) -> None:
-        """Take in what a caller sends while its request is answered.
+        """Buffer what a caller sends while its request is answered.
 
-        One that waits sends nothing, or its next request ahead; the end of
-        its bytes means that it has left.
+        A waiting caller sends nothing or pipelines its next request; the
+        end of its data means that it has disconnected.
 
         :param data: as received; empty at the end.
         :raises ConnectionError: at the end.
-        :raises h11.RemoteProtocolError: after a request that asked to be the
-            last, which ends the connection, too.
+        :raises h11.RemoteProtocolError: for data after a request with
+            ``Connection: close``, which ends the connection, too.
         """
         if not data:
-            raise ConnectionResetError("the caller closed")
+            raise ConnectionResetError("the caller closed the connection")
         self._pipelined_bytes += len(data)
         self._parser.receive_data(data)
 
@@ -224,7 +224,7 @@
             body += event.data
             if len(body) > limits.max_body_bytes:
                 raise h11.RemoteProtocolError(
-                    f"the body has more than {limits.max_body_bytes} bytes",
+                    f"the body is larger than {limits.max_body_bytes} bytes",
                     error_status_hint=413,
                 )
         self._pipelined_bytes = 0
@@ -249,7 +249,7 @@
             except TimeoutError:
                 return None
             if data and not has_data and timeout > limits.header_timeout:
-                # The idle time is over with the first byte.
+                # The idle timeout ends with the first byte.
                 has_data = True
                 deadline = self._env.clock.now() + limits.header_timeout
             self._parser.receive_data(data)
@@ -273,8 +273,8 @@
 
     def _reset(self) -> None:
         with contextlib.suppress(OSError):
-            # Without a reset a cut answer of unknown length could pass for
-            # one that ended.
+            # Without a reset, an aborted response of unknown length could be
+            # taken for a complete one.
             self._sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
             )
@@ -290,20 +290,20 @@
 
 
 def _caller_gone(error: Exception) -> callergone.CallerGoneError:
-    return callergone.CallerGoneError(f"the caller left: {error}")
+    return callergone.CallerGoneError(f"the caller has disconnected: {error}")
 
 
 def _check_head(head: h11.Request) -> None:
     if head.http_version not in _VERSIONS:
-        # The parser reads any version as 1.1, though another one may frame
-        # its bodies otherwise; what follows could then be run as a request.
+        # The parser reads any version as 1.1, but another version may frame
+        # bodies differently; part of a body could then run as a request.
         raise h11.RemoteProtocolError(
-            "this version of HTTP is not served", error_status_hint=505
+            "this HTTP version is not supported", error_status_hint=505
         )
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
         raise h11.RemoteProtocolError(
-            "a length stands beside a transfer coding"
+            "Content-Length and Transfer-Encoding are both given"
         )
     if head.method == b"CONNECT":
-        raise h11.RemoteProtocolError("CONNECT is not served")
+        raise h11.RemoteProtocolError("CONNECT is not supported")
--- a/src/citronvalve/forward/callergone.py
+++ b/src/citronvalve/forward/callergone.py
@@ -1,7 +1,7 @@
-"""Raised in a handler when its caller has closed the connection."""
+"""The error for a caller that has closed its connection."""
 
 from citronvalve.model import errors
 
 
 class CallerGoneError(errors.CitronvalveError):
-    """Nobody waits for the answer any more."""
+    """The caller of the request has disconnected."""
--- a/src/citronvalve/forward/callerrequest.py
+++ b/src/citronvalve/forward/callerrequest.py
@@ -1,4 +1,4 @@
-"""A caller's request, read to its end."""
+"""A caller's complete request."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class CallerRequest(NamedTuple):
-    """``target`` is path and query as sent; ``arrived`` monotonic ms."""
+    """``target`` is path and query as sent; ``arrived_at`` monotonic ms."""
 
     method: bytes
     target: bytes
@@ -27,7 +27,7 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def header(self, name: bytes) -> bytes:
-        """Return the first value of a header, or nothing.
+        """Return the first value of a header, or no bytes.
 
         :param name: in lower case.
         """
--- a/src/citronvalve/forward/connectionpool.py
+++ b/src/citronvalve/forward/connectionpool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that are kept between exchanges."""
+"""A pool of idle connections to upstreams."""
 
 import collections
 import socket
@@ -9,23 +9,23 @@
 from citronvalve.forward import upstreamconnection
 from citronvalve.model import clock
 
-#: A connection to a sound upstream opens within some ms; a first packet that
-#: was dropped is sent again after a second, which is too late.
+#: A healthy upstream accepts a connection within some ms; a dropped SYN is
+#: retransmitted after a second, which is too late.
 _CONNECT_TIMEOUT: clock.Ms = 400
 
-#: Kept when an upstream does not say how long it keeps its side.
+#: Used when an upstream states no keep-alive timeout.
 _DEFAULT_KEEP_ALIVE: clock.Ms = 4_000
 
-#: Upstreams may close a little sooner than they say.
+#: Upstreams may close a little before their keep-alive timeout.
 _KEEP_ALIVE_MARGIN: clock.Ms = 1_000
 
-#: What may not be repeated goes on a connection that was used this lately,
-#: or on a new one: on an older one the other side's close may be on its way,
-#: and then nobody could say whether the request was run.
+#: A request that may not be retried uses a connection that was idle for at
+#: most this long, or a new one: the upstream may be closing an older one, and
+#: it would be unknown whether the request ran.
 _MAX_IDLE_NON_RETRYABLE: clock.Ms = 1_000
 
-#: Connections kept to one upstream; a replica runs 13 to 24 at once and
-#: several daemons share it.
+#: Idle connections per upstream; a replica runs 13 to 24 requests at once,
+#: from several daemons.
 _MAX_IDLE_PER_UPSTREAM = 8
 
 _TCP_USER_TIMEOUT: clock.Ms = 10_000
@@ -34,8 +34,8 @@
 class ConnectionPool:
     """Opens connections and keeps idle ones by address.
 
-    :param now: the clock.
-    :ivar opened: how many were opened.
+    :param time_source: the clock.
+    :ivar opened: how many connections were opened.
     """
 
     def __init__(self, time_source: clock.Clock) -> None:
@@ -49,8 +49,9 @@
         """Return a connection that is ready for a request.
 
         :param address: host:port.
-        :param repeatable: whether the request may be sent again.
-        :raises linkerror.LinkError: unreached; nothing was sent.
+        :param repeatable: whether the request may be retried.
+        :raises exchangeerror.ExchangeError: when the upstream can't be
+            connected to; nothing was sent.
         """
         now = self._clock.now()
         idle = self._idle_by_address.get(address)
@@ -74,11 +75,13 @@
         connection: upstreamconnection.UpstreamConnection,
         keep_alive: int,
     ) -> None:
-        """Keep a connection after a whole exchange, if it can be kept.
+        """Return a connection after a complete exchange.
+
+        It is closed if it can't be reused.
 
         :param address: host:port.
-        :param link: the connection.
-        :param kept: seconds that the upstream says it keeps it, or 0.
+        :param connection: the connection.
+        :param keep_alive: the upstream's keep-alive timeout in seconds, or 0.
         """
         idle = self._idle_by_address.setdefault(address, collections.deque())
         if (
@@ -99,12 +102,12 @@
         idle.append((connection, now))
 
     def check_listening(self, address: str) -> None:
-        """Find out whether anybody still listens at an address.
+        """Check that an address accepts connections.
 
         The connection that is opened for it is kept for the next request.
 
         :param address: host:port.
-        :raises linkerror.LinkError: when nobody does.
+        :raises exchangeerror.ExchangeError: when it does not.
         """
         connection = self._open(address)
         connection.reusable_until = self._clock.now() + _DEFAULT_KEEP_ALIVE
@@ -114,8 +117,8 @@
     def close_idle(self, address: str) -> None:
         """Close the idle connections to an address.
 
-        One that went silent tells of the others: something between may
-        have lost track of all of them, while new ones work.
+        Called when one connection went silent: a device on the path may
+        have dropped the state of all of them, while new ones work.
 
         :param address: host:port.
         """
--- a/src/citronvalve/forward/crashdetector.py
+++ b/src/citronvalve/forward/crashdetector.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams which run them."""
+"""Detection of requests that crash their upstreams."""
 
 from collections.abc import Callable
 
@@ -13,23 +13,25 @@
 from citronvalve.model import refusal
 from citronvalve.policy import crashfence
 
-#: Upstreams lost to one request before it is refused.  Whatever runs beside
-#: such a request is lost with it, once or twice by chance, hardly thrice.
+#: Upstreams lost with one request before it is refused.  A harmless request
+#: that runs beside a crashing one is lost with it once or twice by chance,
+#: hardly three times.
 _MAX_LOSSES = 3
 
-#: A loss speaks against a request for so long.
+#: Time for which a loss counts against a request.
 _LOSS_WINDOW: clock.Ms = 60_000
 
 
 class CrashDetector:
-    """Finds out whether an upstream died with a request, and tells others.
+    """Counts the upstreams that were lost while they ran a request.
 
-    The caller of such a request sends it again, at any daemon: with no
-    fence it takes down one upstream after the other.
+    Callers retry such a request at any daemon: unless it is refused, it
+    crashes one upstream after the other.
 
     :param env: the daemon's environment.
-    :param links: tell whether an upstream still listens.
-    :ivar on_crash: told the fingerprint and the upstream.
+    :param pool: checks whether an upstream still accepts connections.
+    :ivar on_crash: called with the request's fingerprint and the upstream's
+        id, to inform other daemons.
     """
 
     def __init__(
@@ -45,9 +47,9 @@
     def find_refusal(
         self, routed: routedrequest.RoutedRequest
     ) -> refusal.Refusal | None:
-        """Return the refusal of a request that is known to crash upstreams.
+        """Return the refusal of a request that crashes upstreams, or None.
 
-        :param demand: the request.
+        :param routed: the request.
         """
         losses = self._fence.loss_count(
             fingerprint(routed.request, self._env.header_names.api_key),
@@ -58,20 +60,20 @@
             return None
         return refusal.Refusal(
             refusal.RefusalKind.NO_UPSTREAM,
-            f"{losses} upstreams were lost while they ran it",
+            f"{losses} upstreams were lost while running this request",
             "change the request before sending it again",
         )
 
     def check_upstream(
         self, routed: routedrequest.RoutedRequest, upstream: str, address: str
     ) -> None:
-        """Look into a connection that broke while a request ran.
+        """Check whether an upstream is down after its connection broke.
 
-        Done before the request is tried again, or its next victim would be
-        chosen before this one is counted.
+        Called before the request is retried; otherwise the next upstream
+        would be chosen before this loss is counted.
 
-        :param demand: the request.
-        :param upstream: whose connection it was.
+        :param routed: the request that ran on the connection.
+        :param upstream: the upstream's id.
         :param address: host:port.
         """
         try:
@@ -90,19 +92,19 @@
             self.on_crash(request_fingerprint, upstream)
 
     def clear(self, routed: routedrequest.RoutedRequest) -> None:
-        """Take back what speaks against a request that was answered.
+        """Forget the losses of a request that was answered.
 
-        :param demand: the request.
+        :param routed: the request.
         """
         self._fence.clear(
             fingerprint(routed.request, self._env.header_names.api_key)
         )
 
     def record_loss(self, request_fingerprint: str, upstream: str) -> None:
-        """Take in a loss that another daemon saw.
+        """Record an upstream lost with a request, here or at another daemon.
 
-        :param mark: the request's fingerprint.
-        :param upstream: who was lost.
+        :param request_fingerprint: the request's fingerprint.
+        :param upstream: the lost upstream's id.
         """
         self._fence.record_loss(
             request_fingerprint, upstream, self._env.clock.now()
@@ -112,7 +114,7 @@
 def fingerprint(
     request: callerrequest.CallerRequest, key_header: bytes
 ) -> str:
-    """Return what stays the same when a caller sends a request again.
+    """Return a digest that is the same for each retry by a caller.
 
     :param request: the caller's.
     :param key_header: name of the header with the caller's key.
--- a/src/citronvalve/forward/dependencies.py
+++ b/src/citronvalve/forward/dependencies.py
@@ -1,4 +1,4 @@
-"""What requests on their way work with."""
+"""The components that requests in progress use."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class Dependencies(NamedTuple):
-    """One daemon's parts, shared by all its requests."""
+    """The components of one daemon, shared by all its requests."""
 
     env: environments.Environment
     directory: directories.Directory
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -1,23 +1,24 @@
-"""What a daemon believes of routes and upstreams at this moment."""
+"""A daemon's current view of routes and upstreams."""
 
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import runner as runners
 from citronvalve.routes import catalogue as catalogues
 
-#: One way, in ms, to another data centre where nothing is declared.
+#: One-way latency in ms to another data centre.
 _REMOTE_LATENCY = 1.0
 
 
 class Directory:
     """Catalogue and upstreams, written by the watchers, read by handlers.
 
-    :param datacentre: where the daemon stands.
+    :param datacentre: the daemon's data centre.
     :ivar catalogue: the newest configuration, or None before the first.
     :ivar runner_by_id: every upstream of the platform's list.
-    :ivar known: whether the list has been read.
-    :ivar out: data centres that get no new work.
-    :ivar confirmed_at: when the catalogue was last known to be the newest.
+    :ivar list_known: whether the list has been read.
+    :ivar datacentres_out: data centres that get no new requests.
+    :ivar confirmed_at: monotonic ms at which the catalogue was last known to
+        be the newest.
     """
 
     def __init__(self, datacentre: str) -> None:
@@ -34,14 +35,14 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be answered from what is known."""
+        """Return whether both the catalogue and the list have been read."""
         return self.catalogue is not None and self.list_known
 
     def adopt(self, catalogue: catalogues.Catalogue) -> bool:
-        """Put a version in force unless a newer one is.
+        """Activate a catalogue if it is newer; return whether it was.
 
-        A version that came late would otherwise bring back a route or a
-        key that operators have taken away.
+        A late version would otherwise restore a route or a key that
+        operators have removed.
 
         :param catalogue: as read.
         """
@@ -52,9 +53,9 @@
         return True
 
     def update_runner(self, runner: runners.Runner) -> runners.Runner | None:
-        """Take in what the list says of an upstream; return what it said.
+        """Apply an entry of the list and return the previous one.
 
-        :param runner: ignored if the list said something newer before.
+        :param runner: ignored if the known entry is not older.
         """
         previous = self.runner_by_id.get(runner.id)
         if (
@@ -67,7 +68,7 @@
         return previous
 
     def remove(self, upstream: str) -> runners.Runner | None:
-        """Forget an upstream that left the list.
+        """Remove an upstream that is no longer in the list.
 
         :param upstream: its id.
         """
@@ -76,7 +77,7 @@
         return previous
 
     def set_datacentres_out(self, datacentres: frozenset[str]) -> None:
-        """Say which data centres get no new work.
+        """Set the data centres that get no new requests.
 
         :param datacentres: their names.
         """
--- a/src/citronvalve/forward/dispatch.py
+++ b/src/citronvalve/forward/dispatch.py
@@ -1,4 +1,4 @@
-"""One request on its way, over all the upstreams it takes."""
+"""Dispatch of one request to upstreams, with retries."""
 
 from citronvalve.forward import attempt as attempts
 from citronvalve.forward import attemptresult
@@ -12,11 +12,11 @@
 from citronvalve.model import refusal
 from citronvalve.policy import upstreamchoice
 
-#: Tries that were refused without running are not runs; this many of them
-#: say that the service as a whole has no room.
+#: Attempts that may be rejected without running, which don't count as runs;
+#: more show that the service as a whole has no free slot.
 _MAX_REJECTIONS = 3
 
-#: Least time worth another try, in ms.
+#: With less time than this left, another attempt is not worth starting.
 _MIN_ATTEMPT_TIME: clock.Ms = 60
 
 _Ending = attemptresult.Ending
@@ -24,13 +24,13 @@
 
 
 class Dispatch:
-    """Sends a request on until it is answered, refused or given up.
+    """Sends a request to upstreams until it is answered, refused or aborted.
 
-    :param means: what it works with.
-    :param demand: what is asked for.
-    :param reply: takes the answer.
-    :ivar outcome: how it ended, for log and metrics.
-    :ivar reason: why, from a closed set.
+    :param deps: the daemon's components.
+    :param routed: the request.
+    :param reply: receives the response.
+    :ivar outcome: how the request ended, for log and metrics.
+    :ivar reason: the cause, from a closed set.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
 
     @property
     def tried(self) -> tuple[str, ...]:
-        """Return the upstreams that it was sent to."""
+        """Return the upstreams that the request was sent to."""
         return tuple(self._tried)
 
     def run(self) -> None:
-        """Answer the caller."""
+        """Run attempts until the caller has a response."""
         refused = self._deps.crash_detector.find_refusal(self._routed)
         if refused is not None:
             self._refuse(refused)
@@ -112,11 +112,11 @@
         return result
 
     def _can_switch(self) -> bool:
-        """Tell whether it could go on elsewhere if this try were given up.
+        """Return whether the request could continue at another upstream.
 
-        A replica that is only slow looks as one that stands still.  With
-        nowhere to go on, giving up loses what it still writes: the caller
-        of a stream gets a part, for a pause of some hundred ms.
+        A slow replica can't be told from a stalled one.  Without another
+        upstream, giving up loses what the replica still sends: the caller
+        of a stream gets a part, because of a pause of some hundred ms.
         """
         deps, service = self._deps, self._routed.service.name
         return (
@@ -141,7 +141,7 @@
         return self._deps.crash_detector.find_refusal(self._routed) is None
 
     def _may_run_again(self, runs: int) -> bool:
-        # What may have run and may not be repeated would run twice.
+        # A request that is not idempotent must not run twice.
         route = self._routed.route
         return route.may_repeat and runs < route.max_attempts
 
@@ -168,14 +168,15 @@
             self._refuse(self._outcome_unknown(result))
 
     def _relay_failure(self, failure: attemptresult.AttemptResult) -> None:
-        # The upstream's own word on what it ran, as it said it.
+        # The upstream's response says itself whether the request ran.
         self.outcome = "failed"
         names = self._deps.env.header_names
         status = failure.response.status
         if status in (408, 421, 429, 503) and failure.response.may_have_run(
             names
         ):
-            # These promise that nothing ran, which it did not say.
+            # These statuses imply that the request did not run, which the
+            # upstream did not state.
             self._refuse(self._outcome_unknown(failure))
             return
         self._reply.send_whole(
@@ -207,7 +208,7 @@
         )
         return refusal.Refusal(
             kind,
-            f"it was sent on and no whole answer came: {result.why}",
-            "look up whether it took effect before sending it again",
+            f"the request was sent; no complete response came: {result.why}",
+            "check whether the request took effect before sending it again",
             ran.Ran.UNKNOWN,
         )
--- a/src/citronvalve/forward/environment.py
+++ b/src/citronvalve/forward/environment.py
@@ -1,4 +1,4 @@
-"""What every part of the forwarding path is given."""
+"""The context shared by all components of the forwarding path."""
 
 import random
 
@@ -9,16 +9,16 @@
 
 
 class Environment:
-    """Name, place, clock, chance, log and metrics of one daemon.
+    """Name, location, clock, random generator, log and metrics of a daemon.
 
     :param name: the daemon's name.
-    :param datacentre: where it stands.
+    :param datacentre: its data centre.
     :param clock_: the clock.
-    :param chance: source of chance.
-    :param log: takes one line a decision.
-    :param dialect: names of headers.
+    :param rng: the random number generator.
+    :param log: the decision log.
+    :param header_names: names of the headers that the daemon reads and sets.
     :ivar stopping: set once the daemon has been asked to stop.
-    :ivar daemons: how many daemons share what is bounded for all.
+    :ivar daemon_count: how many daemons share the limits.
     """
 
     def __init__(
--- a/src/citronvalve/forward/eventsplitter.py
+++ b/src/citronvalve/forward/eventsplitter.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of events at their borders."""
+"""Splits a byte stream into server-sent events."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,17 @@
 
 
 class Event(NamedTuple):
-    """One event with its border; ``id`` is None where it has none."""
+    """One event with its delimiter; ``id`` is None where it has none."""
 
     raw: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Holds back what is not yet a whole event.
+    """Buffers bytes until an event is complete.
 
-    Made for an upstream that ends in the middle of an event: half an event
-    that was passed on could not be taken back, and the resumed stream would
-    repeat it.
+    An upstream may fail in the middle of an event.  A partial event that
+    was relayed could not be undone, and the resumed stream would repeat it.
     """
 
     def __init__(self) -> None:
@@ -25,11 +24,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """Return the bytes after the last border."""
+        """Return the bytes after the last delimiter."""
         return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now.
+        """Return the events that the new bytes complete.
 
         :param data: the next bytes.
         """
--- a/src/citronvalve/forward/exchangeerror.py
+++ b/src/citronvalve/forward/exchangeerror.py
@@ -1,4 +1,4 @@
-"""How an exchange with an upstream failed."""
+"""Failures of an exchange with an upstream."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExchangeFailure(enum.StrEnum):
-    """What was seen; the first two prove that nothing was sent."""
+    """How an exchange failed; after the first two, nothing was sent."""
 
     UNREACHED = "unreached"
     REFUSED = "refused"
@@ -17,12 +17,14 @@
 
 
 class ExchangeError(errors.UpstreamError):
-    """The exchange can't go on.
+    """The exchange failed.
 
-    :param trouble: what was seen.
-    :param why: in words.
+    :param failure: its kind.
+    :param why: the cause, as text.
     """
 
     def __init__(self, failure: ExchangeFailure, why: str) -> None:
-        super().__init__(why, remedy="try another upstream if it may repeat")
+        super().__init__(
+            why, remedy="retry at another upstream if the request is retryable"
+        )
         self.failure = failure
--- a/src/citronvalve/forward/forwarder.py
+++ b/src/citronvalve/forward/forwarder.py
@@ -1,4 +1,4 @@
-"""Handles the callers' requests from their arrival to their end."""
+"""Handler of callers' requests from arrival to end."""
 
 from citronvalve.forward import admission as admissions
 from citronvalve.forward import callergone
@@ -11,12 +11,12 @@
 
 
 class Forwarder:
-    """Admits a request, passes it on and notes its end.
+    """Admits a request, dispatches it and records its end.
 
-    :param means: what it works with.
-    :param intake: finds route, team and service.
-    :ivar in_progress: requests that have no end yet.
-    :ivar served: requests that have come so far.
+    :param deps: the daemon's components.
+    :param admission: resolves route, team and service.
+    :ivar in_progress: number of requests that have not ended.
+    :ivar received: number of requests received.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         """Answer a request.
 
         :param request: the caller's.
-        :param reply: takes the answer.
+        :param reply: receives the response.
         """
         self.in_progress += 1
         self.received += 1
--- a/src/citronvalve/forward/headernames.py
+++ b/src/citronvalve/forward/headernames.py
@@ -1,20 +1,21 @@
-"""Names of the headers that the system reads and sets."""
+"""Names of the headers that the daemon reads and sets."""
 
 from typing import NamedTuple
 
 
 class HeaderNames(NamedTuple):
-    """Header names in lower case, and what each one holds.
+    """Header names in lower case.
 
-    ``request`` the id of one try of a caller, echoed by upstreams;
-    ``deadline`` the ms that are left; ``key`` the caller's secret;
-    ``team`` its owner; ``expect`` the upstream that alone may run it;
-    ``seal`` an upstream's signature of its answer; ``not_run`` an
-    upstream's word that it did not run it; ``at_fault`` the upstream that a
-    refusal is due to; ``load`` running, waiting and places; ``rank`` 0 to 9,
-    the most urgent first; ``model``, ``sizes`` (prompt tokens, most output
-    tokens) and ``length_hint`` describe the work; ``resume_after`` is the
-    last event id that the caller has; ``expect_version`` the weights.
+    ``request_id`` identifies one attempt of a caller and is echoed by
+    upstreams; ``deadline`` is the remaining time in ms; ``api_key`` the
+    caller's secret; ``team`` its owner; ``expected_upstream`` the only
+    upstream that may run the request; ``seal`` an upstream's signature of
+    its response; ``not_run`` states that the upstream did not run the
+    request; ``at_fault`` is the upstream that caused a rejection; ``load``
+    running and waiting requests and slots; ``rank`` 0 to 9, most urgent
+    first; ``model``, ``token_counts`` (prompt tokens, most output tokens)
+    and ``length_hint`` describe the work; ``resume_after`` is the last event
+    id that the caller has; ``expected_version`` that of the weights.
     """
 
     request_id: bytes = b"x-request-id"
@@ -35,10 +36,10 @@
 
     @property
     def system_only(self) -> frozenset[bytes]:
-        """Return the names that only the system may set on a request.
+        """Return the names that only the daemon may set on a request.
 
-        A caller that sent one of them itself could pass for another team,
-        jump the queue or choose its upstream.
+        A caller that set one of them could impersonate another team, jump
+        the queue or choose its upstream.
         """
         return frozenset(
             {
--- a/src/citronvalve/forward/headers.py
+++ b/src/citronvalve/forward/headers.py
@@ -1,12 +1,12 @@
-"""Which headers cross from one connection to another."""
+"""Selection of the headers that are forwarded."""
 
 from collections.abc import Iterable
 
-#: A header as h11 gives it: name in lower case, value.
+#: A header as h11 returns it: name in lower case, value.
 Header = tuple[bytes, bytes]
 
-#: They concern one connection only, or are framing, which each side makes
-#: itself: a copied length or transfer coding could hide a second request.
+#: Headers that concern one connection, or framing, which is made anew on each
+#: connection: a copied length or transfer coding could hide a second request.
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -25,7 +25,7 @@
 
 
 def value(headers: Iterable[Header], name: bytes) -> bytes:
-    """Return the first value of a header, or nothing.
+    """Return the first value of a header, or no bytes.
 
     :param headers: names in lower case.
     :param name: in lower case.
@@ -39,10 +39,10 @@
 def end_to_end(
     headers: Iterable[Header], dropped: frozenset[bytes] = frozenset()
 ) -> list[Header]:
-    """Return the headers that are passed on.
+    """Return the end-to-end headers, which are forwarded.
 
     :param headers: as received.
-    :param dropped: further names that stay behind, in any spelling.
+    :param dropped: further names to drop, with dash or underscore.
     """
     received = list(headers)
     connection_options = {
@@ -56,13 +56,13 @@
         (name, content)
         for name, content in received
         # Some servers read an underscore as a dash, so such a name could
-        # stand in for one that only the system may set.
+        # replace one that only the daemon may set.
         if name.replace(b"_", b"-") not in excluded
     ]
 
 
 def parse_number(text: bytes) -> int | None:
-    """Return a whole number that is not negative, or None.
+    """Return a non-negative integer, or None.
 
     :param text: a header's value.
     """
--- a/src/citronvalve/forward/metrics.py
+++ b/src/citronvalve/forward/metrics.py
@@ -5,7 +5,7 @@
 from citronvalve.entry import gauges
 from citronvalve.model import clock
 
-#: Fine around the latency objectives of 0.2 to 0.5 s.
+#: Bounds in seconds; fine around the latency objectives of 0.2 to 0.5 s.
 _BUCKETS = (
     *(0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5),
     *(0.75, 1.0, 2.0, 4.0, 8.0, float("inf")),
@@ -13,7 +13,7 @@
 
 
 class Metrics(gauges.Gauges):
-    """Counters and histograms whose labels no caller can grow."""
+    """Counters and histograms; callers can't add label values."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,28 +43,28 @@
         )
 
     def record_request(self, kind: str, outcome: str, reason: str) -> None:
-        """Count a request's end.
+        """Count the end of a request.
 
-        :param kind: of its route.
+        :param kind: the kind of its route.
         :param outcome: ``whole``, ``refused``, ``failed``, ``broken`` or
             ``left``.
-        :param reason: one of a closed set.
+        :param reason: the cause, from a closed set.
         """
         self._requests.inc(
             {"kind": kind, "outcome": outcome, "reason": reason}
         )
 
     def record_attempt(self, result: str) -> None:
-        """Count a try at an upstream.
+        """Count an attempt at an upstream.
 
         :param result: how it ended.
         """
         self._attempts.inc({"result": result})
 
     def record_malformed(self, status: int) -> None:
-        """Count bytes that were no request.
+        """Count malformed input.
 
-        :param status: what they were answered with.
+        :param status: the status of the response to it.
         """
         self._malformed.inc({"status": str(status)})
 
@@ -72,31 +72,31 @@
         """Count an order to an engine.
 
         :param order: its kind.
-        :param result: the status, or why there is none.
+        :param result: the status, or the reason why there is none.
         """
         self._orders.inc({"order": order, "result": result})
 
     def record_platform_read(self, table: str, answered: bool) -> None:
-        """Count a call for the changes of a table.
+        """Count a poll for the changes of a table.
 
         :param table: its name; the daemon follows a fixed few.
-        :param answered: whether an answer came.
+        :param answered: whether the platform answered.
         """
         result = "answered" if answered else "failed"
         self._platform_reads.inc({"table": table, "result": result})
 
     def observe_first_event(self, took: clock.Ms, forecast: float) -> None:
-        """Note the time to a first event.
+        """Record the time to a first event.
 
         :param took: ms from arrival.
-        :param forecast: ms that were expected from the try's start.
+        :param forecast: forecast ms from the start of the attempt.
         """
         self._first_event.observe({}, took / clock.SECOND)
         late = max(0.0, took - forecast)
         self._forecast_error.observe({}, late / clock.SECOND)
 
     def observe_gap(self, longest: clock.Ms) -> None:
-        """Note a stream's longest pause.
+        """Record the longest pause of a stream.
 
         :param longest: ms.
         """
--- a/src/citronvalve/forward/placement.py
+++ b/src/citronvalve/forward/placement.py
@@ -1,4 +1,4 @@
-"""Finds the upstream of a request, or the words to refuse it with."""
+"""Chooses the upstream of a request, or the refusal of the request."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -13,50 +13,50 @@
 from citronvalve.policy import enginepace
 from citronvalve.policy import upstreamchoice
 
-#: Part of the objective by which the first event must be expected: actual
-#: times spread around the forecast, and the way back is not in it.
+#: Part of the objective within which the first event must be expected:
+#: actual times vary around the forecast, which excludes the way back.
 _OBJECTIVE_SHARE = 0.8
 
-#: Longest time to a late first event in ms.  A caller leaves after two
-#: seconds without one, and forecasts of a long queue are rough.
+#: Longest forecast time in ms to a first event past the objective.  Callers
+#: disconnect after two seconds, and forecasts of long queues are rough.
 _MAX_LATE_WAIT = 900.0
 
-#: The same for a request that came with less time than its route gives: its
-#: caller was refused before, or is in a hurry, and does not come a third
-#: time.
+#: The same for a request with less time than its route's timeout: its caller
+#: was refused before or is in a hurry, and does not retry again.
 _MAX_LATE_WAIT_RETRIED = 1_500.0
 
-#: Part of the route's timeout below which a request came with less time.
+#: Part of the route's timeout below which a request has less time.
 _SHORTENED_SHARE = 0.95
 
-#: Above this part of the objective a replica is nearly full, and news of the
-#: other daemons' requests matter; they count for this many ms.
+#: A replica whose first event is forecast past this part of the objective is
+#: nearly full, and the loads of other daemons matter for this long.
 _PRESSURE_SHARE = 0.5
 _PRESSURE_TIME: clock.Ms = 1_000
 
-#: The engine's rank for requests that will be late anyhow; the last one.
+#: The engine's last rank, for requests that will miss their objective.
 LATE_RANK = 9
 
-#: Least time to stay away: sooner nothing has changed.
+#: Shortest ``Retry-After``: sooner the load is unchanged.
 _MIN_RETRY_AFTER: clock.Ms = 250
 
-#: A replica that lost a member serves again after about this time.
+#: Typical time in which a replica that lost a member is repaired.
 _REPAIR_TIME: clock.Ms = 1_500
 
-#: Callers return within a third of the time that they have left.
+#: ``Retry-After`` is at most the caller's remaining time divided by this.
 _RETRY_AFTER_DIVISOR = 3
 
-#: Of a plain service nothing is predicted.
+#: Plain services have no forecast.
 _NO_FORECAST = enginepace.Forecast(0.0, 0.0, 0.0)
 
-#: There is no upstream that could be waited for.
+#: The service has no upstream that could be full.
 _NO_UPSTREAM = upstreamchoice.Full(0, 0)
 
 
 class ColdLimits(NamedTuple):
-    """How far a cold upstream's declared rate may be passed.
+    """How far the declared rate of a cold upstream may be exceeded.
 
-    ``over`` is a factor on the rate, ``slack`` requests a second on top.
+    ``over`` is a factor on the rate; ``slack`` is added to it, in requests
+    per second.
     """
 
     over: float = 1.0
@@ -64,13 +64,13 @@
 
 
 class Placement:
-    """Places requests by what is known of the upstreams.
+    """Chooses upstreams by their state and load.
 
     :param env: the daemon's environment.
     :param directory: the upstreams.
-    :param book: their loads.
-    :param cold: the bound on cold upstreams.
-    :ivar cold: the same; replaced when the settings change.
+    :param loads: the upstreams' loads.
+    :param cold_limits: the limits for cold upstreams.
+    :ivar cold_limits: the same; replaced when the settings change.
     """
 
     def __init__(
@@ -90,10 +90,10 @@
     def place(
         self, routed: routedrequest.RoutedRequest, tried: list[str]
     ) -> upstreamchoice.Chosen | refusal.Refusal:
-        """Choose an upstream that has not been tried.
+        """Choose an untried upstream, or return a refusal.
 
-        :param demand: the request.
-        :param tried: ids of upstreams.
+        :param routed: the request.
+        :param tried: ids of the upstreams of earlier attempts.
         """
         now = self._env.clock.now()
         found = self._choose(routed, tried, now)
@@ -113,16 +113,16 @@
     def can_place(
         self, routed: routedrequest.RoutedRequest, tried: list[str]
     ) -> bool:
-        """Tell whether an upstream that has not been tried takes it now.
+        """Return whether an untried upstream has room for the request.
 
-        :param demand: the request.
-        :param tried: ids of upstreams.
+        :param routed: the request.
+        :param tried: ids of the upstreams of earlier attempts.
         """
         found = self._choose(routed, tried, self._env.clock.now())
         return isinstance(found, upstreamchoice.Chosen)
 
     def is_pressed(self) -> bool:
-        """Tell whether a request lately met a replica that is nearly full."""
+        """Return whether a recent request found its replicas nearly full."""
         if self._pressed_at is None:
             return False
         return self._env.clock.now() - self._pressed_at < _PRESSURE_TIME
@@ -132,10 +132,10 @@
         routed: routedrequest.RoutedRequest,
         result: attemptresult.AttemptResult,
     ) -> refusal.Refusal:
-        """Return the refusal of a request that upstreams did not run.
+        """Return the refusal of a request that no upstream ran.
 
-        :param demand: the request.
-        :param ended: the last try.
+        :param routed: the request.
+        :param result: the result of the last attempt.
         """
         return self._refuse(routed, f"not run: {result.why}", _MIN_RETRY_AFTER)
 
@@ -181,7 +181,7 @@
         now: clock.Ms,
     ) -> upstreamchoice.Job:
         remaining = float(routed.deadline - now)
-        # What was begun elsewhere is not put behind others once more.
+        # A retry is not queued behind on-time requests again.
         objective = remaining if tried else routed.route.latency_objective
         return upstreamchoice.Job(
             routed.prompt_tokens,
@@ -235,20 +235,20 @@
         self, upstream: str, routed: routedrequest.RoutedRequest, now: clock.Ms
     ) -> None:
         if self._cold_limit(routed):
-            # Counted while warm too: an upstream falls back into a cold
-            # start without warning, and the last second counts then.
+            # Recorded while warm, too: an upstream can become cold without
+            # notice, and the requests of the last second count then.
             self._cold_rate.record_sent(upstream, now)
 
     def _refuse(
         self, routed: routedrequest.RoutedRequest, why: str, retry_in: clock.Ms
     ) -> refusal.Refusal:
         remaining = max(0, routed.deadline - self._env.clock.now())
-        # Callers told the same time would come back together.
+        # Jitter keeps refused callers from retrying all at once.
         jittered = retry_in * self._env.rng.uniform(1.0, 1.5)
         return refusal.Refusal(
             refusal.RefusalKind.NO_UPSTREAM,
             why,
-            "send it again after the time given",
+            "send the request again after the time given",
             retry_after=max(
                 1, min(round(jittered), remaining // _RETRY_AFTER_DIVISOR)
             ),
--- a/src/citronvalve/forward/problem.py
+++ b/src/citronvalve/forward/problem.py
@@ -1,4 +1,4 @@
-"""Refusals as bytes of an answer."""
+"""Refusals rendered as responses."""
 
 from typing import NamedTuple
 
@@ -22,28 +22,28 @@
 
 
 def render(refused: refusal.Refusal, request_id: str) -> Rendered:
-    """Return the answer for a refusal.
+    """Return the response for a refusal.
 
-    :param refused: why there is no answer.
-    :param request: the caller's id of it.
+    :param refused: the refusal.
+    :param request_id: the id of the refused request.
     """
     head = [(b"content-type", problem.CONTENT_TYPE.encode())]
     if refused.retry_after:
-        # Callers here read fractions; a whole second would keep those away
-        # for whom there is room in 200 ms.
+        # Callers accept fractions; a full second would delay a retry that
+        # has room after 200 ms.
         seconds = max(refused.retry_after, 1) / clock.SECOND
         head.append((b"retry-after", b"%.3f" % seconds))
     return Rendered(refused.status, head, problem.body(refused, request_id))
 
 
 def for_malformed(status: int, why: str) -> Rendered:
-    """Return the answer for bytes that are no request.
+    """Return the response to malformed input.
 
-    :param status: the parser's hint.
-    :param why: what is wrong with them.
+    :param status: the status that the parser suggests.
+    :param why: the error, as text.
     """
     kind = _KIND_BY_STATUS.get(status, refusal.RefusalKind.MALFORMED)
     rendered = render(
-        refusal.Refusal(kind, why[:200], "send a proper request"), ""
+        refusal.Refusal(kind, why[:200], "send a well-formed HTTP request"), ""
     )
     return rendered._replace(status=status)
--- a/src/citronvalve/forward/receiving.py
+++ b/src/citronvalve/forward/receiving.py
@@ -1,4 +1,4 @@
-"""Receives from a green socket without hiding how a connection ended."""
+"""Reads from green sockets that report connection resets."""
 
 from eventlet.green import socket
 from eventlet import hubs
@@ -9,16 +9,16 @@
 def receive(
     sock: socket.socket, max_bytes: int, timeout: clock.Ms | None
 ) -> bytes:
-    """Return the next bytes, or none at the other side's proper end.
+    """Return the next bytes, or none when the peer has closed properly.
 
-    The green socket's own call returns none for a reset, too.  An answer
-    without a length ends with its connection, so one that was cut by a
-    reset passed for whole.
+    The green socket's own ``recv`` returns none for a reset, too.  A
+    response without a length ends with its connection, so one that was cut
+    by a reset would pass for complete.
 
     :param sock: a green socket.
-    :param most: bytes.
+    :param max_bytes: most bytes to return.
     :param timeout: ms to wait, or None.
-    :raises TimeoutError: when nothing came.
+    :raises TimeoutError: when nothing arrived in time.
     :raises OSError: when the connection was reset.
     """
     seconds = None if timeout is None else timeout / clock.SECOND
--- a/src/citronvalve/forward/reply.py
+++ b/src/citronvalve/forward/reply.py
@@ -1,4 +1,4 @@
-"""What a handler answers a caller with."""
+"""The interface with which a handler answers a caller."""
 
 import abc
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
 
 
 class Reply(abc.ABC):
-    """One answer; begun once, and ended or aborted once.
+    """One response; started once, and finished or aborted once.
 
-    :ivar begun: whether the caller has got a status.
+    :ivar started: whether a status was sent to the caller.
     """
 
     started = False
 
     @abc.abstractmethod
     def check_caller(self) -> None:
-        """Make sure that somebody still waits for the answer.
+        """Check that the caller is still connected.
 
         :raises callergone.CallerGoneError: when the caller has closed.
         """
@@ -26,7 +26,7 @@
     def send_whole(
         self, status: int, head: Iterable[headers.Header], body: bytes
     ) -> None:
-        """Send an answer in one piece.
+        """Send a complete response.
 
         :param status: HTTP status.
         :param head: headers without framing.
@@ -35,7 +35,7 @@
 
     @abc.abstractmethod
     def start(self, status: int, head: Iterable[headers.Header]) -> None:
-        """Begin an answer whose length is not known.
+        """Start a response of unknown length.
 
         :param status: HTTP status.
         :param head: headers without framing.
@@ -43,23 +43,23 @@
 
     @abc.abstractmethod
     def send(self, data: bytes) -> None:
-        """Pass on the next bytes of a begun answer.
+        """Send the next bytes of a started response.
 
         :param data: never empty.
         """
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """End a begun answer as complete."""
+        """End a started response as complete."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Close the connection so that the answer can't look complete."""
+        """Close the connection so that the response is seen as incomplete."""
 
     @abc.abstractmethod
     def send_refusal(self, refused: refusal.Refusal, request_id: str) -> None:
         """Send a refusal.
 
-        :param refused: why there is no answer.
-        :param request: the caller's id of it.
+        :param refused: the refusal.
+        :param request_id: the id of the refused request.
         """
--- a/src/citronvalve/forward/responsehead.py
+++ b/src/citronvalve/forward/responsehead.py
@@ -1,4 +1,4 @@
-"""The head of an upstream's answer, and what it says."""
+"""The head of an upstream's response."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class Load(NamedTuple):
-    """Requests that run and wait at an upstream, and its places."""
+    """Running and waiting requests at an upstream, and its slots."""
 
     running: int
     waiting: int
@@ -23,44 +23,44 @@
     def is_for(
         self, request_id: bytes, names: headernames.HeaderNames
     ) -> bool:
-        """Tell whether the answer is to this request.
+        """Return whether the response is to this request.
 
-        :param request: the id that was sent.
-        :param dialect: names of headers.
+        :param request_id: the id that was sent.
+        :param names: the header names.
         """
         return headers_.value(self.headers, names.request_id) == request_id
 
     def may_have_run(self, names: headernames.HeaderNames) -> bool:
-        """Tell whether the request may have run.
+        """Return whether the request may have run.
 
-        :param dialect: names of headers.
+        :param names: the header names.
         """
         if self.status == 421:
             return False
         return not headers_.value(self.headers, names.not_run)
 
     def is_framed(self) -> bool:
-        """Tell whether its end can be told from a connection that broke."""
+        """Return whether the end of the body is marked by its framing."""
         names = {name for name, _ in self.headers}
         return bool(names & {b"content-length", b"transfer-encoding"})
 
     def is_success(self) -> bool:
-        """Tell whether it has a success status."""
+        """Return whether the status is a success."""
         return 200 <= self.status < 300
 
     def is_authentic(self, names: headernames.HeaderNames) -> bool:
-        """Tell whether a success is the upstream's own, as it made it.
+        """Return whether the body is sealed by the upstream and unencoded.
 
-        :param dialect: names of headers.
+        :param names: the header names.
         """
         seal = headers_.value(self.headers, names.seal)
         encoding = headers_.value(self.headers, b"content-encoding")
         return bool(seal) and encoding in (b"", b"identity")
 
     def load(self, names: headernames.HeaderNames) -> Load | None:
-        """Return the load that the upstream told, or None.
+        """Return the load that the upstream reports, or None.
 
-        :param dialect: names of headers.
+        :param names: the header names.
         """
         parts = headers_.value(self.headers, names.load).split(b",")
         numbers = [headers_.parse_number(part) for part in parts]
@@ -69,7 +69,7 @@
         return Load(*numbers)
 
     def keep_alive_seconds(self) -> int:
-        """Return for how many seconds the connection is kept, or 0."""
+        """Return the keep-alive timeout in seconds, or 0 if there is none."""
         text = headers_.value(self.headers, b"keep-alive")
         for part in text.split(b","):
             name, _, content = part.strip().partition(b"=")
--- a/src/citronvalve/forward/responsereader.py
+++ b/src/citronvalve/forward/responsereader.py
@@ -1,4 +1,4 @@
-"""How long an upstream is waited for."""
+"""Reads of an upstream's response, with timeouts from its forecast."""
 
 from collections.abc import Callable
 
@@ -11,45 +11,46 @@
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 
-#: An upstream answers at the deadline itself; its answer takes so long.
+#: An upstream may answer at the deadline itself; its response still has to
+#: arrive.
 _DEADLINE_GRACE: clock.Ms = 150
 
-#: A stream from which nothing came for this many expected spans, and at
-#: least this many ms, may stand still: passes that read long prompts take up
-#: to four usual ones, and callers leave after two seconds.
+#: A stream that is silent for this multiple of the expected time, and at
+#: least for the minimum below, may be stalled.  Passes that prefill long
+#: prompts take up to four times as long as usual ones, and callers disconnect
+#: after two seconds.
 _STALL_FACTOR = 5.0
 _MIN_FIRST_EVENT_TIMEOUT: clock.Ms = 450
 _MIN_GAP_TIMEOUT: clock.Ms = 350
 
-#: While the replica is heard on other connections, this one alone may have
-#: been lost track of; it gets this many times the patience.
+#: While other connections to the replica are active, only this one may be
+#: lost; its timeout is multiplied by this.
 _SINGLE_CONNECTION_FACTOR = 3
 
-#: Between two looks whether others have found the replica standing still:
-#: whoever waits for it then goes elsewhere at once.
+#: Time between checks whether the replica has been found stalled elsewhere;
+#: all requests that wait for it then switch at once.
 _POLL_INTERVAL: clock.Ms = 100
 
-#: A look that takes longer than this was held up by a pause of this daemon.
-#: Only so much of it counts as the upstream's silence: what came meanwhile
-#: lies unread in the socket, since timers that fell due are served first.
+#: A poll that takes longer was delayed by a pause of this daemon.  Only this
+#: much of it counts as silence of the upstream: data that arrived in the
+#: pause is still unread, since due timers are served before sockets.
 _MAX_POLL_TIME: clock.Ms = 2 * _POLL_INTERVAL
 
-#: A plain upstream that has said nothing for this many objectives hangs;
-#: what may be repeated is then sent to another.
+#: A plain upstream that is silent for this multiple of the latency objective
+#: is taken to hang; a retryable request is then sent to another.
 _PLAIN_STALL_FACTOR = 2.5
 
 _Failure = exchangeerror.ExchangeFailure
 
 
 class ResponseReader:
-    """Waits for the parts of an answer, as long as it makes sense.
-
-    :param means: tells of replicas that stand still.
-    :param demand: the request.
-    :param placed: the upstream, and what is expected.
-    :param elsewhere: tells whether the request could go on at another
-        upstream now; without one, whatever comes is better than nothing,
-        and is waited for as long as there is time.
+    """Reads the parts of a response and gives up on a stalled upstream.
+
+    :param deps: the daemon's components.
+    :param routed: the request.
+    :param chosen: the upstream and its forecast.
+    :param can_switch: returns whether the request could continue at another
+        upstream; if not, the response is awaited until the deadline.
     """
 
     def __init__(
@@ -68,10 +69,10 @@
     def next_part(
         self, connection: upstreamconnection.UpstreamConnection
     ) -> h11.Event:
-        """Wait for a part of the answer's beginning, or of a whole answer.
+        """Read the next part of a response's head or of a buffered body.
 
-        :param link: the connection.
-        :raises linkerror.LinkError: when it is given up.
+        :param connection: the connection.
+        :raises exchangeerror.ExchangeError: when the upstream is given up.
         """
         if self._routed.service.engine is not None:
             expected = _STALL_FACTOR * self._chosen.forecast.first / 2
@@ -84,10 +85,10 @@
     def next_stream_part(
         self, connection: upstreamconnection.UpstreamConnection
     ) -> h11.Event:
-        """Wait for the next part of a stream.
+        """Read the next part of a stream.
 
-        :param link: the connection.
-        :raises linkerror.LinkError: when it is given up.
+        :param connection: the connection.
+        :raises exchangeerror.ExchangeError: when the upstream is given up.
         """
         expected = _STALL_FACTOR * self._chosen.forecast.gap
         return self._wait(connection, max(_MIN_GAP_TIMEOUT, round(expected)))
@@ -108,12 +109,12 @@
                 if error.failure is not _Failure.SILENT or poll_end >= end:
                     raise
                 waited += self._count_silence(self._clock.now() - started_at)
-                # Asked anew at each look: a replica may open meanwhile.
+                # Checked at each poll: a replica may open in between.
                 if self._is_given_up(waited, timeout) and self._can_switch():
                     raise
 
     def _count_silence(self, elapsed: clock.Ms) -> clock.Ms:
-        """Return how much of a look was the upstream's silence."""
+        """Return how much of a poll counts as silence of the upstream."""
         if elapsed > _MAX_POLL_TIME:
             self._stall_detector.record_pause(elapsed)
         return min(elapsed, _MAX_POLL_TIME)
--- a/src/citronvalve/forward/retrybudgets.py
+++ b/src/citronvalve/forward/retrybudgets.py
@@ -1,15 +1,15 @@
-"""The repeat budgets of all services."""
+"""The retry budgets of all services."""
 
 from citronvalve.forward import environment as environments
 from citronvalve.policy import retrybudget
 
 
 class RetryBudgets:
-    """Counts requests and repeats of each service.
+    """Limits the retries of each service.
 
     :param env: the daemon's environment.
-    :param terms: the declared bound.
-    :ivar terms: the same; replaced when the settings change.
+    :param limits: the limits on retries.
+    :ivar limits: the same; replaced when the settings change.
     """
 
     def __init__(
@@ -24,22 +24,22 @@
     def record_request(self, service: str) -> None:
         """Count a request of a caller.
 
-        :param service: the one it goes to.
+        :param service: the service's name.
         """
         self._budget(service).record_request(self._env.clock.now())
 
     def allows(self, service: str) -> bool:
-        """Tell whether one more repeat may be taken now.
+        """Return whether the budget allows another retry.
 
-        :param service: the one it goes to.
+        :param service: the service's name.
         """
         now = self._env.clock.now()
         return self._budget(service).allows(self._env.daemon_count, now)
 
     def spend(self, service: str) -> bool:
-        """Take one repeat, or return False.
+        """Take one retry from the budget; return whether it was allowed.
 
-        :param service: the one it goes to.
+        :param service: the service's name.
         """
         now = self._env.clock.now()
         return self._budget(service).spend(self._env.daemon_count, now)
--- a/src/citronvalve/forward/routedrequest.py
+++ b/src/citronvalve/forward/routedrequest.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decisions see it."""
+"""A caller's request with its route, service and deadline."""
 
 from typing import NamedTuple
 
@@ -10,13 +10,15 @@
 from citronvalve.routes import route as routes_
 from citronvalve.routes import service as services
 
-#: What a request without a size is taken to write, in tokens.
+#: Assumed response tokens of a request that states no limit.
 _DEFAULT_RESPONSE_TOKENS = 128
 
 
 class RoutedRequest(NamedTuple):
-    """``until`` is monotonic ms: the caller's deadline or the route's
-    timeout, whichever comes first.  ``holder`` is None on public routes.
+    """An admitted request.
+
+    ``deadline`` is monotonic ms: the caller's deadline or the route's
+    timeout, whichever comes first.  ``key_holder`` is None on public routes.
     """
 
     id: str
@@ -31,7 +33,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank, 0 first; a team's goes before the route's."""
+        """Return the team's priority, or else the route's; 0 is first."""
         team_priority = self.key_holder.priority if self.key_holder else None
         return self.route.priority if team_priority is None else team_priority
 
@@ -41,11 +43,11 @@
     route: routes_.Route,
     names: headernames.HeaderNames,
 ) -> clock.Ms:
-    """Return the moment after which no answer is of use.
+    """Return the request's deadline in monotonic ms.
 
     :param request: the caller's.
     :param route: its route.
-    :param dialect: names of headers.
+    :param names: the header names.
     """
     caller_timeout = headers.parse_number(request.header(names.deadline))
     timeout = (
@@ -59,10 +61,10 @@
 def token_counts(
     request: callerrequest.CallerRequest, names: headernames.HeaderNames
 ) -> tuple[int, int]:
-    """Return the prompt's tokens and those expected of the answer.
+    """Return the prompt tokens and the expected response tokens.
 
     :param request: the caller's.
-    :param dialect: names of headers.
+    :param names: the header names.
     """
     prompt, _, limit = request.header(names.token_counts).partition(b",")
     hint = headers.parse_number(request.header(names.length_hint))
--- a/src/citronvalve/forward/stalldetector.py
+++ b/src/citronvalve/forward/stalldetector.py
@@ -1,4 +1,4 @@
-"""Upstreams from which nothing comes any more."""
+"""Detection of stalled upstreams."""
 
 from collections.abc import Callable
 
@@ -6,25 +6,25 @@
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 
-#: Within this time another stream's event shows that an upstream works, and
-#: that only one connection has gone silent.
+#: An event of another stream within this time shows that the upstream works
+#: and that only one connection is silent.
 _ACTIVITY_WINDOW: clock.Ms = 300
 
-#: How long a stalled upstream gets no new work unless it is heard of: about
-#: the time in which its group is looked at and closed.
+#: A stalled upstream gets no new requests for this time unless it sends
+#: data: about as long as it takes to probe and close its group.
 _STALL_AVOID_TIME: clock.Ms = 2_500
 
 
 class StallDetector:
-    """Tells a replica that stands still from one silent connection.
+    """Tells a stalled replica from a single silent connection.
 
-    A replica that lost a member stands still for seconds before it says so,
+    A replica that lost a member stalls for seconds before it reports so,
     and its callers would wait all that time.  All its streams go silent
-    together; a connection that was lost track of goes silent alone.
+    together; a lost connection goes silent alone.
 
     :param env: the daemon's environment.
-    :param book: the loads.
-    :ivar on_stall: told the upstream that stands still.
+    :param loads: the upstreams' loads.
+    :ivar on_stall: called with the id of an upstream found stalled.
     """
 
     def __init__(
@@ -37,19 +37,19 @@
         self._last_pause_at: clock.Ms | None = None
 
     def record_activity(self, upstream: str) -> None:
-        """Note a sign of life.
+        """Record that an upstream sent data.
 
         :param upstream: its id.
         """
         load = self._loads.of(upstream)
         load.last_heard_at = self._env.clock.now()
         if upstream in self._stalled:
-            # It was only slow.
+            # The upstream was slow, not stalled.
             self._stalled.discard(upstream)
             load.avoid_until = 0
 
     def is_stalled(self, upstream: str) -> bool:
-        """Tell whether an upstream was found standing still lately.
+        """Return whether an upstream was recently found stalled.
 
         :param upstream: its id.
         """
@@ -61,7 +61,7 @@
         return False
 
     def record_silence(self, upstream: str) -> bool:
-        """Note a silence; tell whether the upstream as a whole is silent.
+        """Record a silence; return whether the whole upstream is silent.
 
         :param upstream: its id.
         """
@@ -75,9 +75,9 @@
         return True
 
     def record_remote_stall(self, upstream: str) -> None:
-        """Take another daemon's word that an upstream stands still.
+        """Record a stall that another daemon has found.
 
-        :param upstream: its id; ignored if it was heard here just now.
+        :param upstream: its id; ignored if it was active here just now.
         """
         now = self._env.clock.now()
         is_active = (
@@ -98,21 +98,21 @@
         )
 
     def record_pause(self, duration: clock.Ms) -> None:
-        """Note that this daemon itself did not run for a while.
+        """Record that this daemon itself did not run.
 
-        :param span: ms until now.
+        :param duration: ms, ending at the time of the call.
         """
         now, previous = self._env.clock.now(), self._last_pause_at
         self._last_pause_at = now
         if previous is None or now - previous >= duration:
-            # All that wait at that time tell of the same pause.
+            # All waiting requests report the same pause; it is logged once.
             self._env.log.change("daemon stood still", for_ms=duration)
 
     def avoid(self, upstream: str, duration: clock.Ms) -> None:
-        """Give an upstream no new work for a while.
+        """Send an upstream no new requests for a while.
 
         :param upstream: its id.
-        :param span: ms.
+        :param duration: ms.
         """
         load = self._loads.of(upstream)
         load.avoid_until = max(
--- a/src/citronvalve/forward/streamprogress.py
+++ b/src/citronvalve/forward/streamprogress.py
@@ -1,14 +1,15 @@
-"""What a caller has got of a stream."""
+"""How much of a stream has been relayed."""
 
 from citronvalve.model import clock
 
 
 class StreamProgress:
-    """What a caller has got of a stream, over all tries.
+    """The part of a stream that the caller has, over all attempts.
 
-    :ivar last: id of the last event, or None before the first.
-    :ivar at: monotonic ms of it.
-    :ivar longest: ms of the longest pause.
+    :ivar last_event_id: id of the last event, or None before the first.
+    :ivar last_event_at: monotonic ms at which events were last relayed.
+    :ivar longest_gap: ms of the longest pause between them.
+    :ivar event_count: how many times events were relayed.
     """
 
     def __init__(self) -> None:
--- a/src/citronvalve/forward/upstreamconnection.py
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -13,9 +13,9 @@
 
 _READ_SIZE = 65_536
 
-#: Bodies up to this fit into a socket's buffer and are sent in one go.
-#: Longer ones are sent beside the reading, since an upstream may answer
-#: before it has read them.
+#: Requests of up to this many bytes fit into the socket's buffer and are sent
+#: inline.  Larger ones are sent on a green thread, since an upstream may
+#: respond before it has read them.
 _MAX_INLINE_SEND = 16_384
 
 _Failure = exchangeerror.ExchangeFailure
@@ -24,10 +24,10 @@
 class UpstreamConnection:
     """An h11 client on one socket.
 
-    :param sock: connected.
-    :param now: the clock.
-    :ivar kept_until: monotonic ms until which it may be used again.
-    :ivar used: whether an exchange on it has ended well.
+    :param sock: a connected socket.
+    :param time_source: the clock.
+    :ivar reusable_until: monotonic ms until which it may be reused.
+    :ivar used: whether an exchange on it has completed.
     """
 
     def __init__(self, sock: socket.socket, time_source: clock.Clock) -> None:
@@ -46,13 +46,13 @@
         head: list[headers.Header],
         body: bytes,
     ) -> None:
-        """Send a request with our own framing.
+        """Send a request, framed anew.
 
         :param method: as the caller sent it.
         :param target: path and query, as the caller sent them.
         :param head: without framing.
         :param body: the whole body.
-        :raises linkerror.LinkError: when the connection is gone.
+        :raises exchangeerror.ExchangeError: when the connection is closed.
         """
         if body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
             head = [*head, (b"content-length", b"%d" % len(body))]
@@ -69,10 +69,11 @@
             self._sender = eventlet.spawn(self._send_in_background, data)
 
     def next_event(self, deadline: clock.Ms) -> h11.Event:
-        """Return the next part of the answer.
+        """Return the next part of the response.
 
-        :param until: monotonic ms.
-        :raises linkerror.LinkError: silent, broken or no HTTP.
+        :param deadline: monotonic ms.
+        :raises exchangeerror.ExchangeError: when nothing arrives in time,
+            the connection breaks or the data is not HTTP.
         """
         while True:
             try:
@@ -85,31 +86,31 @@
                 continue
             if isinstance(event, h11.ConnectionClosed):
                 raise exchangeerror.ExchangeError(
-                    _Failure.BROKEN, "closed without an answer"
+                    _Failure.BROKEN, "connection closed without a response"
                 )
             if event is not h11.NEED_DATA:
                 return event
             self._parser.receive_data(self._receive(deadline))
 
     def expect_next_response(self) -> None:
-        """Expect the answer once more, after one that was not ours.
+        """Read another response, after one to a different request.
 
-        An upstream may send a late second answer to an earlier request
-        where the answer to this one is due.
+        An upstream may send a late duplicate response to an earlier request
+        before the response to this one.
 
-        :raises linkerror.LinkError: when nothing more can come.
+        :raises exchangeerror.ExchangeError: when no other can follow.
         """
         if self._parser.their_state is not h11.DONE:
             raise exchangeerror.ExchangeError(
-                _Failure.GARBLED, "not our answer"
+                _Failure.GARBLED, "response is to another request"
             )
         trailing, closed = self._parser.trailing_data
         if closed:
             raise exchangeerror.ExchangeError(
-                _Failure.BROKEN, "closed after another"
+                _Failure.BROKEN, "closed after a response to another request"
             )
-        # The request is on its way already; of it only the method matters
-        # to a parser that reads the next answer.
+        # The request is sent already; a parser that reads the next response
+        # needs only its method.
         self._parser = h11.Connection(h11.CLIENT)
         host = [(b"host", b"-")]
         self._parser.send(
@@ -120,7 +121,7 @@
             self._parser.receive_data(trailing)
 
     def prepare_reuse(self) -> bool:
-        """Make ready for another request; False when it must be closed."""
+        """Reset for the next request; return False if it must be closed."""
         sent = self._sender is None or self._sender.dead
         parser = self._parser
         if not sent or parser.trailing_data[0]:
@@ -135,9 +136,9 @@
         return True
 
     def is_idle(self) -> bool:
-        """Tell whether an unused connection is open with nothing to read.
+        """Return whether the connection is open with nothing to read.
 
-        Whatever comes between two exchanges belongs to no request.
+        Data that arrives between two exchanges belongs to no request.
         """
         try:
             self._sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -148,7 +149,7 @@
         return False
 
     def close(self) -> None:
-        """Close it; an upstream drops the request that it was running."""
+        """Close it; the upstream cancels the request that it was running."""
         if self._sender is not None:
             self._sender.kill()
         with contextlib.suppress(OSError):
@@ -164,7 +165,7 @@
             ) from error
 
     def _send_in_background(self, data: bytes) -> None:
-        # What goes wrong here shows as a broken answer to the reader.
+        # The reader sees an error here as a broken response.
         with contextlib.suppress(exchangeerror.ExchangeError):
             self._send(data)
 
@@ -172,13 +173,13 @@
         remaining = deadline - self._clock.now()
         if remaining <= 0:
             raise exchangeerror.ExchangeError(
-                _Failure.SILENT, "nothing came in time"
+                _Failure.SILENT, "no data arrived in time"
             )
         try:
             return receiving.receive(self._sock, _READ_SIZE, remaining)
         except TimeoutError as error:
             raise exchangeerror.ExchangeError(
-                _Failure.SILENT, "nothing came in time"
+                _Failure.SILENT, "no data arrived in time"
             ) from error
         except OSError as error:
             raise exchangeerror.ExchangeError(
@@ -189,7 +190,7 @@
 def _failure_of(
     error: h11.RemoteProtocolError,
 ) -> exchangeerror.ExchangeFailure:
-    # The parser reports an end in the middle and bytes that are no answer
-    # by the same type.
+    # The parser raises the same type for a premature close and for bytes
+    # that are no response.
     cut = "closed" in str(error).lower()
     return _Failure.BROKEN if cut else _Failure.GARBLED
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -63,7 +63,7 @@
 
     def _silent(self):
         trouble = exchangeerror.ExchangeFailure.SILENT
-        return exchangeerror.ExchangeError(trouble, "nothing came in time")
+        return exchangeerror.ExchangeError(trouble, "no data arrived in time")
 
 
 class _Means:
