--- a/src/citronvalve/forward/connectionpool.py
+++ b/src/citronvalve/forward/connectionpool.py
@@ -44,12 +44,12 @@
         self.opened = 0
 
     def acquire(
-        self, address: str, repeatable: bool
+        self, address: str, retryable: bool
     ) -> upstreamconnection.UpstreamConnection:
         """Return a connection that is ready for a request.
 
         :param address: host:port.
-        :param repeatable: whether the request may be retried.
+        :param retryable: whether the request may be retried.
         :raises exchangeerror.ExchangeError: when the upstream can't be
             connected to; nothing was sent.
         """
@@ -57,9 +57,7 @@
         idle = self._idle_by_address.get(address)
         while idle:
             connection, idle_since = idle.pop()
-            is_fresh = (
-                repeatable or now - idle_since <= _MAX_IDLE_NON_RETRYABLE
-            )
+            is_fresh = retryable or now - idle_since <= _MAX_IDLE_NON_RETRYABLE
             if (
                 is_fresh
                 and now < connection.reusable_until
--- a/tests/bounds/bounds.feature
+++ b/tests/bounds/bounds.feature
@@ -1,14 +1,14 @@
-Feature: What all daemons together may send
-  Bounds hold over all daemons, also while they can't reach each other. Each
-  takes an equal part; nobody asks anybody.
+Feature: Limits over all daemons together
+  Limits hold over all daemons, also while they can't reach each other: each
+  daemon takes an equal share, without coordination.
 
-  Scenario Outline: repeats of a service that fails everything, <daemons> daemons
-    Upstreams that fail because they are overloaded would be kept down by
-    repeats without a bound.
+  Scenario Outline: retries of a service that fails everything, <daemons> daemons
+    Guards against a retry storm: unlimited retries would keep overloaded
+    upstreams from recovering.
 
-    Given <daemons> daemons with 0.2 repeats a request and 130 in 10 s
-    When each gets <rate> requests a second for 30 s, and repeats all it may
-    Then in no 10 s there are more repeats than the bound
+    Given <daemons> daemons with 0.2 retries per request and 130 in 10 s
+    When each gets <rate> requests a second for 30 s, and retries all it may
+    Then in no 10 s there are more retries than the limit
 
     Examples:
       | daemons | rate |
@@ -17,11 +17,12 @@
       | 9       | 0.5  |
       | 82      | 3    |
 
-  Scenario Outline: a cold upstream that everybody wants, <daemons> daemons
-    Well above its rate it crashes, and all that it runs is lost.
+  Scenario Outline: a cold upstream that all daemons use, <daemons> daemons
+    Guards against overload of a cold upstream: well above its rate it
+    crashes, and all its running requests are lost.
 
-    Given <daemons> daemons before a cold upstream of 59 requests a second
-    When each wants to send 40 a second for 5 s
+    Given <daemons> daemons and a cold upstream of 59 requests a second
+    When each tries to send 40 a second for 5 s
     Then in no second the upstream gets more than 59
 
     Examples:
@@ -45,14 +46,15 @@
       | in a data centre taken out  | 1    |
       | gone from the list          | 1    |
       | closing its group           | 1    |
-      | told of by an older entry   | 2    |
+      | updated by an older entry   | 2    |
 
-  Scenario Outline: an entry that goes <when> a failed call to the store
-    Entries lapse while the store is away and return with it. One that stays
-    away is gone, and gets no request two seconds after the store said so.
+  Scenario Outline: an entry that is removed <when> a failed call to the store
+    Entries lapse while the store is unreachable and return with it. An entry
+    that stays away is gone; its runner gets no request two seconds after the
+    store removed it.
 
     Given a list of runners, and a call to the store that failed
-    When an entry goes <after> ms later
+    When an entry is removed <after> ms later
     Then its runner is used for <kept> ms and no longer
 
     Examples:
@@ -60,15 +62,15 @@
       | right after | 100   | 1500  |
       | long after  | 9000  | 0     |
 
-  Scenario: an entry goes, and the store is not read again
-    Guards against an upstream that is used until the next reading, however
-    late that comes.
+  Scenario: an entry is removed, and the store is not read again
+    Guards against using an upstream until the next read, however late that
+    is.
 
     Given a list of runners, and a call to the store that failed
-    When an entry goes 100 ms later, and nothing is read from then on
+    When an entry is removed 100 ms later, and nothing is read after that
     Then its runner is used for 1500 ms and no longer
 
   Scenario: an entry that lapsed returns with the store
     Given a list of runners, and a call to the store that failed
-    When an entry is away 100 ms later, and back after 1 s
-    Then its runner has been used all the while
+    When an entry is removed 100 ms later, and restored after 1 s
+    Then its runner has been used all the time
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what all daemons together may send."""
+"""Steps about limits over all daemons together."""
 
 import random
 
@@ -18,73 +18,77 @@
 from citronvalve.storage import rows
 from tests import quietlog
 
-_TERMS = retrybudget.RetryLimits(0.2, 130, 10_000)
-_RATE = 59
+_LIMITS = retrybudget.RetryLimits(0.2, 130, 10_000)
+_COLD_RATE = 59
 _TICK = 5
 
 
-@behave.given("{count:d} daemons with 0.2 repeats a request and 130 in 10 s")
+@behave.given("{count:d} daemons with 0.2 retries per request and 130 in 10 s")
 def step_budgets(context, count):
-    context.budgets = [retrybudget.RetryBudget(_TERMS) for _ in range(count)]
+    context.budgets = [retrybudget.RetryBudget(_LIMITS) for _ in range(count)]
 
 
 @behave.when(
-    "each gets {rate:g} requests a second for {seconds:d} s, and repeats all "
+    "each gets {rate:g} requests a second for {seconds:d} s, and retries all "
     "it may"
 )
-def step_repeat(context, rate, seconds):
-    chance = random.Random(3)
-    context.requests, context.repeats = [], []
+def step_retry(context, rate, seconds):
+    rng = random.Random(3)
+    context.requests, context.retries = [], []
     daemons = len(context.budgets)
     for now in range(0, seconds * 1_000, _TICK):
         for budget in context.budgets:
-            if chance.random() < rate * _TICK / 1_000:
+            if rng.random() < rate * _TICK / 1_000:
                 budget.record_request(now)
                 context.requests.append(now)
             while budget.spend(daemons, now):
-                context.repeats.append(now)
+                context.retries.append(now)
 
 
-def _within(moments, start, span):
-    return sum(start <= at < start + span for at in moments)
+def _count_within(times, start, span):
+    return sum(start <= at < start + span for at in times)
 
 
-@behave.then("in no 10 s there are more repeats than the bound")
-def step_bound(context):
-    assert context.repeats
+@behave.then("in no 10 s there are more retries than the limit")
+def step_within_limit(context):
+    assert context.retries
     for start in range(0, 20_000, 250):
-        asked = _within(context.requests, start, 10_000)
-        bound = _TERMS.share * asked + _TERMS.slack
-        seen = _within(context.repeats, start, 10_000)
-        assert seen <= bound, f"{seen} in place of {bound:.0f} at {start}"
+        requests = _count_within(context.requests, start, 10_000)
+        bound = _LIMITS.share * requests + _LIMITS.slack
+        retries = _count_within(context.retries, start, 10_000)
+        assert retries <= bound, (
+            f"{retries} in place of {bound:.0f} at {start}"
+        )
 
 
 @behave.given(
-    "{count:d} daemons before a cold upstream of {rate:d} requests a second"
+    "{count:d} daemons and a cold upstream of {rate:d} requests a second"
 )
 def step_cold(context, count, rate):
-    context.rates = [coldrate.ColdRate(random.Random(n)) for n in range(count)]
+    context.cold_rates = [
+        coldrate.ColdRate(random.Random(n)) for n in range(count)
+    ]
 
 
-@behave.when("each wants to send {rate:d} a second for {seconds:d} s")
+@behave.when("each tries to send {rate:d} a second for {seconds:d} s")
 def step_send(context, rate, seconds):
-    chance = random.Random(4)
+    rng = random.Random(4)
     context.sent = []
-    daemons = len(context.rates)
+    daemons = len(context.cold_rates)
     for now in range(0, seconds * 1_000, _TICK):
-        for one in context.rates:
-            wants = chance.random() < rate * _TICK / 1_000
-            if wants and one.allows("u", _RATE, daemons, now):
+        for one in context.cold_rates:
+            wants = rng.random() < rate * _TICK / 1_000
+            if wants and one.allows("u", _COLD_RATE, daemons, now):
                 one.record_sent("u", now)
                 context.sent.append(now)
 
 
 @behave.then("in no second the upstream gets more than {most:d}")
-def step_most(context, most):
+def step_max_rate(context, most):
     assert context.sent
     for start in sorted(set(context.sent)):
-        seen = _within(context.sent, start, 1_000)
-        assert seen <= most, f"{seen} at {start}"
+        sent = _count_within(context.sent, start, 1_000)
+        assert sent <= most, f"{sent} at {start}"
 
 
 def _head(name, zone, seen=5, **changes):
@@ -106,7 +110,7 @@
     context.directory.update_runner(_head("h-2", "z-2"))
 
 
-def _closing():
+def _closing_head():
     held = _head("h-1", "z-1", 6)
     return held._replace(
         membership=held.membership._replace(phase=phase.Phase.CLOSING)
@@ -120,8 +124,8 @@
         frozenset({"z-1"})
     ),
     "gone from the list": lambda d: d.remove("h-1"),
-    "closing its group": lambda d: d.update_runner(_closing()),
-    "told of by an older entry": lambda d: d.update_runner(
+    "closing its group": lambda d: d.update_runner(_closing_head()),
+    "updated by an older entry": lambda d: d.update_runner(
         _head("h-1", "z-1", 4, leaving=True)
     ),
 }
@@ -159,63 +163,63 @@
     context.list.replace_all((rows.Row("t", "h-1", {}, 5),))
     failed = context.clock.now()
     context.list.trouble_at = lambda: failed
-    context.due = []
-    context.list.later = lambda span, act: context.due.append(
+    context.timers = []
+    context.list.later = lambda span, act: context.timers.append(
         (context.clock.now() + span, act)
     )
     context.is_read = True
 
 
-def _used(context):
+def _is_used(context):
     return bool(context.directory.open_heads("s", "m"))
 
 
-def _pass(context, span):
+def _advance(context, span):
     for _ in range(0, span, 50):
         context.clock.advance(50)
         now = context.clock.now()
         if context.is_read:
             context.list.confirm(now)
-        for at, act in context.due:
+        for at, act in context.timers:
             if at <= now:
                 act()
 
 
-@behave.when("an entry goes {after:d} ms later")
-def step_goes(context, after):
-    _pass(context, after)
+@behave.when("an entry is removed {after:d} ms later")
+def step_removed(context, after):
+    _advance(context, after)
     context.list.apply_changes((), ("h-1",))
 
 
 @behave.when(
-    "an entry goes {after:d} ms later, and nothing is read from then on"
+    "an entry is removed {after:d} ms later, and nothing is read after that"
 )
-def step_goes_unread(context, after):
-    step_goes(context, after)
+def step_removed_unread(context, after):
+    step_removed(context, after)
     context.is_read = False
 
 
 @behave.then("its runner is used for {kept:d} ms and no longer")
 def step_kept(context, kept):
     if kept:
-        _pass(context, kept - 100)
-        assert _used(context)
-        _pass(context, 200)
-    assert not _used(context)
+        _advance(context, kept - 100)
+        assert _is_used(context)
+        _advance(context, 200)
+    assert not _is_used(context)
 
 
-@behave.when("an entry is away {after:d} ms later, and back after 1 s")
-def step_back(context, after):
-    step_goes(context, after)
+@behave.when("an entry is removed {after:d} ms later, and restored after 1 s")
+def step_restored(context, after):
+    step_removed(context, after)
     context.used = []
     for _ in range(10):
-        _pass(context, 100)
-        context.used.append(_used(context))
+        _advance(context, 100)
+        context.used.append(_is_used(context))
     context.list.apply_changes((rows.Row("t", "h-1", {}, 9),), ())
-    _pass(context, 3_000)
-    context.used.append(_used(context))
+    _advance(context, 3_000)
+    context.used.append(_is_used(context))
 
 
-@behave.then("its runner has been used all the while")
-def step_all(context):
+@behave.then("its runner has been used all the time")
+def step_always_used(context):
     assert all(context.used), context.used
--- a/tests/forward/answers.feature
+++ b/tests/forward/answers.feature
@@ -1,9 +1,10 @@
-Feature: Whole answers, once, or a word that is true
-  Runners break off, answer late, answer something else, or not at all.
+Feature: Requests get one complete response, or a correct refusal
+  Guards against partial, duplicated and misattributed responses when runners
+  disconnect, answer late, answer another request, or don't answer.
 
   Scenario Outline: a stream whose first runner <way>
-    The caller sees each event once and in order, and a proper end; what the
-    first runner began, another goes on with after the last whole event.
+    Guards against lost and repeated events: the stream is resumed at another
+    runner after the last complete event.
 
     Given two heads, of which the first "<way>"
     When a caller asks for a stream
@@ -22,18 +23,18 @@
       | no_http            |
       | unsealed           |
 
-  Scenario: a stream that nobody can finish does not look complete
-    Both runners break off; what the caller has is a part, and must not pass
+  Scenario: a stream that no runner can finish does not look complete
+    Both runners disconnect; the caller must not take the part that it has
     for the whole.
 
     Given two heads, of which both "cut_in_an_event"
     When a caller asks for a stream
     Then it gets 3 events and no proper end
 
-  Scenario Outline: a request that may run any number of times, runner <way>
+  Scenario Outline: an idempotent request, runner <way>
     Given two plain runners, of which the first "<way>"
     When a caller calls /any/thing
-    Then it gets 200 with the whole body of a runner
+    Then it gets 200 with the complete body of a runner
 
     Examples:
       | way                   |
@@ -50,9 +51,9 @@
       | crashes_unframed      |
       | resets_unframed       |
 
-  Scenario Outline: a request that may run once, runner <way>
-    Whatever may have run is never sent on again, and no status that promises
-    "not run" is given for it.
+  Scenario Outline: an at-most-once request, runner <way>
+    Guards against a second run. A request that may have run is not retried;
+    its response has no status that implies "not run".
 
     Given two plain runners, of which both "<way>"
     When a caller calls /once/thing
@@ -74,30 +75,30 @@
       | crashes_unframed      | 502    | 1    |
       | resets_unframed       | 502    | 1    |
 
-  Scenario: nobody listens at any runner
-    The list lags: the runners have gone. Nothing was sent, so the refusal
-    says "not run" and when to come back.
+  Scenario: every runner refuses connections
+    The list is outdated and the runners have gone. Nothing was sent, so the
+    refusal states that the request did not run, and when to retry.
 
-    Given two plain runners that nobody listens at
+    Given two plain runners that refuse connections
     When a caller calls /once/thing
     Then it gets 503, and 0 runs were made
-    And it is told when to come back
+    And its response has a Retry-After of less than a second
 
-  Scenario: a request that crashes whoever runs it
-    Its caller sends it again after each crash. Other requests go on being
-    served by whoever is left.
+  Scenario: a request that crashes each runner that runs it
+    Guards against the loss of all runners when the caller retries after each
+    crash. Other requests are served by the runners that are left.
 
     Given five plain runners, of which four crash on what they run
-    When a caller keeps sending /any/poison until it is answered or refused without a try
-    Then at most 3 runners were lost to it
+    When a caller retries /any/poison until it is answered or refused without an attempt
+    Then at most 3 runners were lost to the request
     And a caller that calls /any/other is answered by a runner
 
-  Scenario Outline: the caller leaves <when>
-    The runner would work on for nobody, and both runners are silent, so that
-    nothing but the caller's close can end the request.
+  Scenario Outline: the caller disconnects <when>
+    Guards against runs that no caller waits for. Both runners are silent, so
+    only the caller's disconnect can end the request.
 
     Given two <kind>, of which both "<way>"
-    When a caller leaves <path> <when>
+    When a caller disconnects from <path> <when>
     Then within 0.5 s the runner sees its connection closed, and only one ran
 
     Examples:
@@ -106,28 +107,26 @@
       | heads         | silent             | /stream/a | before the first event |
       | plain runners | silent             | /once/a   | before the first event |
 
-  Scenario: headers that only the system may set
-    A caller that names another team, another runner or its own rank must not
-    have its way, in any spelling.
+  Scenario: headers that only the daemon may set
+    Guards against a caller that sets another team, another runner or its own
+    rank, in any spelling.
 
     Given two plain runners, of which the first "whole"
-    When a caller sets the system's own headers on /any/thing
-    Then the runner sees team-1, its own id, and no key
+    When a caller sets the daemon's own headers on /any/thing
+    Then the runner receives team-1, its own id, and no API key
 
   Scenario: the only replica pauses and goes on
-    It looks as one that stands still. There is nowhere else to go, so to end
-    the answer loses what the replica would have written 0.8 s later. The
-    daemon gave a silent try up before it asked whether it could go on
-    elsewhere: with the process that plays all replicas stopped for 0.5 s, six
-    daemons logged "upstream stands still" with silent_ms 369 to 406, and 27
-    streams were cut.
+    Guards against giving up a paused replica without another one to switch
+    to, which loses what it sends 0.8 s later. When all replicas paused for
+    0.5 s, six daemons logged "upstream stands still" with silent_ms 369 to
+    406, and 27 streams were cut.
 
     Given two heads, of which both "pauses_after_three"
     When a caller asks for a stream, and nothing but its first head is open
     Then it gets 6 events in order and a proper end
 
   Scenario Outline: the only replica <way> and goes on
-    The same before anything was written, where the caller got a 502.
+    The same before the first event; the caller would get a 502.
 
     Given two heads, of which both "<way>"
     When a caller asks for a stream, and nothing but its first head is open
@@ -138,18 +137,18 @@
       | pauses_at_first        |
       | pauses_before_its_head |
 
-  Scenario: no repeat is left when a replica pauses
-    Another replica is open, but the budget of repeats would not let the
-    stream go on there: to give the first one up ends the answer.
+  Scenario: no retry is left when a replica pauses
+    Another replica is open, but the retry budget would not let the stream
+    resume there: giving up the first one would end the stream.
 
     Given two heads, of which the first "pauses_after_three"
-    And no repeat is left
+    And no retry is left in the budget
     When a caller asks for a stream
     Then it gets 6 events in order and a proper end
 
-  Scenario: the only replica stands still until another opens
-    It will never go on. The stream waits for what it has, and goes on at the
-    other replica as soon as there is one.
+  Scenario: the only replica stalls until another opens
+    The stalled replica never recovers. The stream resumes at the other
+    replica as soon as that one is open.
 
     Given two heads, of which the first "silent_after_three"
     And the second opens 0.9 s later
@@ -157,9 +156,9 @@
     Then it gets 6 events in order and a proper end
 
   Scenario: the only plain runner is slow to answer
-    What may be repeated is sent to another after 0.25 s of silence; there is
-    no other, and the answer would have come.
+    A retryable request is sent to another runner after 0.25 s of silence.
+    There is no other here, and the response does come.
 
-    Given a daemon before a plain runner that "takes_a_second"
+    Given a daemon in front of a plain runner that "takes_a_second"
     When a caller calls /any/thing
-    Then it gets 200 with the whole body of a runner
+    Then it gets 200 with the complete body of a runner
--- a/tests/forward/environment.py
+++ b/tests/forward/environment.py
@@ -1,4 +1,4 @@
-"""The daemon's parts run on green threads here as they do in a daemon."""
+"""Runs the steps on green threads, as in a daemon."""
 
 from citronvalve.daemon import green
 
@@ -9,7 +9,7 @@
 
 
 def after_scenario(context, scenario):
-    """Close what the scenario opened."""
+    """Close the sockets of the scenario."""
     rig = getattr(context, "rig", None)
     if rig is not None:
         rig.close()
--- a/tests/forward/leaving.feature
+++ b/tests/forward/leaving.feature
@@ -1,23 +1,23 @@
-Feature: Nothing is begun for a caller that has left
+Feature: Requests of disconnected callers are not sent to upstreams
 
   Scenario Outline: a caller has <left> before the daemon reads its request
-    Guards against a run for nobody: daemons that stood still for 0.5 s sent
-    on what callers had given up meanwhile.
+    Guards against runs that no caller waits for: after a pause of 0.5 s,
+    daemons sent requests that callers had given up in the pause.
 
-    Given a daemon with a connection kept to its plain runner
+    Given a daemon with an idle connection to its plain runner
     When a caller of /<kind>/thing has <left> before the daemon reads it
-    Then the request ends as left, and the runner has not run it
+    Then the request ends with the outcome left, and the runner has not run it
 
     Examples:
       | kind | left                                   |
       | any  | closed its connection                  |
       | once | closed its connection                  |
       | any  | reset its connection                   |
-      | any  | sent another request ahead, and closed |
+      | any  | pipelined another request, and closed  |
 
-  Scenario: a caller sends another request ahead and waits
-    Guards against taking bytes that came ahead for the caller's end.
+  Scenario: a caller pipelines another request and waits
+    Guards against taking pipelined bytes for the caller's disconnect.
 
-    Given a daemon with a connection kept to its plain runner
+    Given a daemon with an idle connection to its plain runner
     When a caller sends two requests at once and waits
     Then it gets two answers
--- a/tests/forward/rig.py
+++ b/tests/forward/rig.py
@@ -1,4 +1,4 @@
-"""The forwarding path of one daemon, with scripted runners behind it."""
+"""The forwarding path of one daemon in front of scripted runners."""
 
 import random
 
@@ -34,8 +34,8 @@
 LIMITS = callerlimits.CallerLimits(2_000, 10_000, 400, 2_000)
 
 
-class Lines(decisionlog.DecisionLog):
-    """Keeps what was noted."""
+class RecordingLog(decisionlog.DecisionLog):
+    """Records the events that are logged."""
 
     def __init__(self):
         self.lines = []
@@ -48,10 +48,10 @@
 
 
 class Rig:
-    """Routes /once/, /any/ and /stream/ of host h.example."""
+    """A daemon with routes /once/, /any/ and /stream/ of host h.example."""
 
     def __init__(self, scripts, timeout=2_000, attempts=2):
-        self.log = Lines()
+        self.log = RecordingLog()
         self.env = environments.Environment(
             "daemon-1",
             "zone-0",
@@ -63,29 +63,29 @@
         self.directory = directories.Directory("zone-0")
         self.runners = {}
         for name, script in scripts.items():
-            self._add(name, script)
+            self._add_runner(name, script)
         self.directory.adopt(_catalogue(timeout, attempts))
         self.directory.list_known = True
         self.directory.confirmed_at = self.env.clock.now()
-        book = upstreamchoice.LoadTable()
-        terms = retrybudget.RetryLimits(0.2, 100, 10_000)
-        self.stall_detector = stalldetector.StallDetector(self.env, book)
-        kept = connectionpool.ConnectionPool(self.env.clock)
-        self.retry_budgets = retrybudgets.RetryBudgets(self.env, terms)
-        made = dependencies.Dependencies(
+        loads = upstreamchoice.LoadTable()
+        limits = retrybudget.RetryLimits(0.2, 100, 10_000)
+        self.stall_detector = stalldetector.StallDetector(self.env, loads)
+        pool = connectionpool.ConnectionPool(self.env.clock)
+        self.retry_budgets = retrybudgets.RetryBudgets(self.env, limits)
+        deps = dependencies.Dependencies(
             self.env,
             self.directory,
-            book,
-            kept,
+            loads,
+            pool,
             placement.Placement(
-                self.env, self.directory, book, placement.ColdLimits()
+                self.env, self.directory, loads, placement.ColdLimits()
             ),
             self.retry_budgets,
             self.stall_detector,
-            crashdetector.CrashDetector(self.env, kept),
+            crashdetector.CrashDetector(self.env, pool),
         )
         self.forwarder = forwarder.Forwarder(
-            made, admission.Admission(self.env, self.directory)
+            deps, admission.Admission(self.env, self.directory)
         )
         self.acceptor = acceptor.Acceptor(
             "127.0.0.1:0", self.env, lambda: LIMITS, self.forwarder.handle
@@ -102,7 +102,7 @@
             one.close()
 
     def send(self, path, headers="", method="POST", body=b"", seconds=3.0):
-        """Send a request of its own connection; return all that comes."""
+        """Send a request on a new connection; return all that is received."""
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Key: secret\r\n"
             f"X-Request-Id: req-1\r\nConnection: close\r\n"
@@ -113,15 +113,15 @@
     def runs(self):
         return sum(one.runs for one in self.runners.values())
 
-    def _add(self, name, script):
-        made = scriptedrunner.ScriptedRunner(name, script)
-        self.runners[name] = made
+    def _add_runner(self, name, script):
+        runner = scriptedrunner.ScriptedRunner(name, script)
+        self.runners[name] = runner
         key = membership.GroupKey(f"large~{len(self.runners)}", 1)
         self.directory.update_runner(
             runners.Runner(
                 name,
                 "engine" if name.startswith("head") else "plain",
-                made.address,
+                runner.address,
                 "zone-0",
                 slots=6,
                 membership=membership.Membership(key, 0, phase.Phase.OPEN),
@@ -136,7 +136,7 @@
         "any": kind.RequestKind.IDEMPOTENT,
         "stream": kind.RequestKind.STREAM,
     }
-    made = [
+    routes = [
         route.Route(
             name,
             "h.example",
@@ -161,7 +161,7 @@
     }
     return catalogue.Catalogue(
         1,
-        {(r.host, r.prefix): r for r in made},
+        {(r.host, r.prefix): r for r in routes},
         services,
         {"secret": keyholder.KeyHolder("team-1")},
         LIMITS,
--- a/tests/forward/steps/forward_steps.py
+++ b/tests/forward/steps/forward_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests on their way."""
+"""Steps about the forwarding of requests."""
 
 import re
 import time
@@ -11,7 +11,7 @@
 from tests.forward import rig as rigs
 
 
-def _first_and(way, names):
+def _script_first(way, names):
     first, second = names
     good = "stream" if first.startswith("head") else "whole"
     return {first: [way], second: [good]}
@@ -19,8 +19,8 @@
 
 @behave.given('two heads, of which the first "{way}"')
 def step_heads(context, way):
-    context.rig = rigs.Rig(_first_and(way, ("head-1", "head-2")))
-    _prefer(context.rig, "head-2")
+    context.rig = rigs.Rig(_script_first(way, ("head-1", "head-2")))
+    _demote(context.rig, "head-2")
 
 
 @behave.given('two heads, of which both "{way}"')
@@ -30,8 +30,8 @@
 
 @behave.given('two plain runners, of which the first "{way}"')
 def step_plain(context, way):
-    context.rig = rigs.Rig(_first_and(way, ("plain-1", "plain-2")))
-    _prefer(context.rig, "plain-2")
+    context.rig = rigs.Rig(_script_first(way, ("plain-1", "plain-2")))
+    _demote(context.rig, "plain-2")
 
 
 @behave.given('two plain runners, of which both "{way}"')
@@ -39,8 +39,8 @@
     context.rig = rigs.Rig({"plain-1": [way], "plain-2": [way]})
 
 
-@behave.given("two plain runners that nobody listens at")
-def step_nobody(context):
+@behave.given("two plain runners that refuse connections")
+def step_unreachable(context):
     context.rig = rigs.Rig({"plain-1": ["whole"], "plain-2": ["whole"]})
     for one in context.rig.runners.values():
         one.close()
@@ -50,23 +50,23 @@
 def step_crashing(context):
     scripts = {f"plain-{n}": ["crashes"] for n in range(1, 5)}
     context.rig = rigs.Rig({**scripts, "plain-5": ["whole"]})
-    _prefer(context.rig, "plain-5")
+    _demote(context.rig, "plain-5")
 
 
-@behave.given("a daemon before a plain runner")
+@behave.given("a daemon in front of a plain runner")
 def step_one(context):
     context.rig = rigs.Rig({"plain-1": ["whole"]})
 
 
-@behave.given('a daemon before a plain runner that "{way}"')
+@behave.given('a daemon in front of a plain runner that "{way}"')
 def step_one_that(context, way):
     context.rig = rigs.Rig({"plain-1": [way]})
 
 
-@behave.given("no repeat is left")
-def step_no_repeat(context):
-    none = retrybudget.RetryLimits(0.0, 0, 10_000)
-    context.rig.retry_budgets.limits = none
+@behave.given("no retry is left in the budget")
+def step_no_retry(context):
+    no_retries = retrybudget.RetryLimits(0.0, 0, 10_000)
+    context.rig.retry_budgets.limits = no_retries
 
 
 @behave.given("the second opens {seconds:g} s later")
@@ -76,10 +76,11 @@
     eventlet.spawn_after(seconds, directory.update_runner, second)
 
 
-def _prefer(rig, later):
-    # The other one is tried first: this one seems to have more to do.
+def _demote(rig, name):
+    # Moves the runner to another data centre, so that the other one is tried
+    # first.
     for runner in rig.directory.runner_by_id.values():
-        if runner.id == later:
+        if runner.id == name:
             rig.directory.update_runner(
                 runner._replace(
                     datacentre="zone-1", list_version=runner.list_version + 1
@@ -102,12 +103,12 @@
 
 
 @behave.when("a caller calls {path}")
-def step_ask(context, path):
+def step_call(context, path):
     context.got = context.rig.send(path, body=b"question")
 
 
-@behave.when("a caller leaves {path} {when} the first event")
-def step_leave(context, path, when):
+@behave.when("a caller disconnects from {path} {when} the first event")
+def step_disconnect(context, path, when):
     host, _, port = context.rig.address.rpartition(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(
@@ -122,7 +123,7 @@
     sock.close()
 
 
-@behave.when("a caller sets the system's own headers on {path}")
+@behave.when("a caller sets the daemon's own headers on {path}")
 def step_forge(context, path):
     context.got = context.rig.send(
         path,
@@ -146,7 +147,7 @@
     assert not context.got.endswith(b"0\r\n\r\n"), context.got
 
 
-@behave.then("it gets 200 with the whole body of a runner")
+@behave.then("it gets 200 with the complete body of a runner")
 def step_whole(context):
     assert context.got.startswith(b"HTTP/1.1 200"), context.got
     head, _, body = context.got.partition(b"\r\n\r\n")
@@ -160,8 +161,8 @@
     assert context.rig.runs() == runs, context.rig.runs()
 
 
-@behave.then("it is told when to come back")
-def step_back(context):
+@behave.then("its response has a Retry-After of less than a second")
+def step_retry_after(context):
     assert re.search(rb"(?i)\r\nretry-after: 0\.\d+", context.got), context.got
 
 
@@ -170,49 +171,51 @@
     "ran"
 )
 def step_closed(context, seconds):
-    made = context.rig.runners.values()
-    until = time.monotonic() + seconds
-    while time.monotonic() < until and not any(r.closed_on for r in made):
+    runners = context.rig.runners.values()
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline and not any(
+        r.closed_on for r in runners
+    ):
         eventlet.sleep(0.01)
-    assert sum(r.closed_on for r in made) == 1
+    assert sum(r.closed_on for r in runners) == 1
     assert context.rig.runs() == 1
     assert not context.rig.forwarder.in_progress
 
 
-@behave.then("the runner sees team-1, its own id, and no key")
+@behave.then("the runner receives team-1, its own id, and no API key")
 def step_seen(context):
-    asked = context.rig.runners["plain-1"].requests[0].lower()
-    assert "x-team: team-1" in asked, asked
-    assert "x-expect-upstream: plain-1" in asked, asked
-    assert "x-mine: kept" in asked, asked
+    request = context.rig.runners["plain-1"].requests[0].lower()
+    assert "x-team: team-1" in request, request
+    assert "x-expect-upstream: plain-1" in request, request
+    assert "x-mine: kept" in request, request
     for absent in ("other", "plain-9", "secret", "x-hidden", "x-rank: 0"):
-        assert absent not in asked, asked
+        assert absent not in request, request
 
 
 @behave.when(
-    "a caller keeps sending {path} until it is answered or refused without a "
-    "try"
+    "a caller retries {path} until it is answered or refused without an "
+    "attempt"
 )
-def step_again(context, path):
+def step_retry(context, path):
     for _ in range(8):
-        tried = context.rig.runs()
+        runs = context.rig.runs()
         context.got = context.rig.send(path, body=b"poison")
         eventlet.sleep(0.05)
-        if context.rig.runs() == tried:
+        if context.rig.runs() == runs:
             return
 
 
-@behave.then("at most {count:d} runners were lost to it")
+@behave.then("at most {count:d} runners were lost to the request")
 def step_lost(context, count):
-    made = context.rig.runners
-    lost = sum(made[f"plain-{n}"].runs for n in range(1, 5))
+    runners = context.rig.runners
+    lost = sum(runners[f"plain-{n}"].runs for n in range(1, 5))
     assert lost <= count, lost
 
 
 @behave.then("a caller that calls {path} is answered by a runner")
 def step_other(context, path):
     context.got = context.rig.send(path, body=b"other")
-    # The last of the crashing ones may be met first.
+    # The last of the crashing runners may be chosen first.
     if not context.got.startswith(b"HTTP/1.1 200"):
         context.got = context.rig.send(path, body=b"other")
     step_whole(context)
--- a/tests/forward/steps/leaving_steps.py
+++ b/tests/forward/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers that leave before their request is sent on."""
+"""Steps about callers that disconnect before their request is sent."""
 
 import behave
 import eventlet
@@ -6,8 +6,8 @@
 
 from tests.forward import rig as rigs
 
-#: Seconds in which the daemon reads what a caller left behind.
-_READ = 0.3
+#: Seconds in which the daemon reads what a caller has sent.
+_READ_TIME = 0.3
 
 _RESET = b"\1\0\0\0\0\0\0\0"
 
@@ -40,15 +40,15 @@
     sock.close()
 
 
-_LEAVE_BY_HOW = {
+_DISCONNECT_BY_HOW = {
     "closed its connection": _close,
     "reset its connection": _reset,
-    "sent another request ahead, and closed": _close_after_another,
+    "pipelined another request, and closed": _close_after_another,
 }
 
 
-@behave.given("a daemon with a connection kept to its plain runner")
-def step_kept(context):
+@behave.given("a daemon with an idle connection to its plain runner")
+def step_idle_connection(context):
     context.rig = rigs.Rig({"plain-1": ["whole"]})
     context.rig.send("/any/first")
     assert context.rig.runs() == 1
@@ -56,21 +56,23 @@
 
 
 @behave.when("a caller of {path} has {how} before the daemon reads it")
-def step_leave(context, path, how):
-    # No green thread runs between the request and the end behind it.
+def step_disconnect(context, path, how):
+    # No green thread runs between the request and the disconnect.
     sock = _connect(context.rig)
-    _LEAVE_BY_HOW[how](sock, path)
-    eventlet.sleep(_READ)
+    _DISCONNECT_BY_HOW[how](sock, path)
+    eventlet.sleep(_READ_TIME)
 
 
-@behave.then("the request ends as left, and the runner has not run it")
-def step_left(context):
-    ends = [
+@behave.then(
+    "the request ends with the outcome left, and the runner has not run it"
+)
+def step_not_run(context):
+    outcomes = [
         inputs["outcome"]
         for event, inputs in context.rig.log.lines
         if event == "request ended"
     ]
-    assert ends == ["left"], context.rig.log.lines
+    assert outcomes == ["left"], context.rig.log.lines
     assert context.rig.runs() == 1, context.rig.runs()
 
 
@@ -79,7 +81,7 @@
     sock = _connect(context.rig)
     sock.sendall(_request("/any/thing") * 2)
     context.got = b""
-    with eventlet.Timeout(_READ, False):
+    with eventlet.Timeout(_READ_TIME, False):
         while piece := sock.recv(65_536):
             context.got += piece
     sock.close()
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps about waiting for an upstream's answer."""
+"""Steps about waiting for an upstream's response."""
 
 import random
 
@@ -20,12 +20,12 @@
 
 _PART = h11.Data(b"id: 4\ndata: piece 4\n\n")
 
-#: How late a timer fires on a daemon that runs.
-_LATE = 3
+#: Delay in ms with which a timer fires on a running daemon.
+_TIMER_DELAY = 3
 
 
 class _Clock(clock.Clock):
-    """Moves only when it is told to."""
+    """A clock that the steps advance."""
 
     def __init__(self):
         self.ms = 1_000_000
@@ -37,10 +37,10 @@
         return self.ms
 
 
-class _Link:
-    """An upstream that writes at some time, read by a daemon that may pause.
+class _Connection:
+    """A connection to an upstream that sends once, at a daemon that may pause.
 
-    ``pauses`` are the ms by which each read is held up, as long as it lasts.
+    ``pauses`` are the ms by which the first reads are delayed.
     """
 
     def __init__(self, time, writes_at, pauses):
@@ -49,25 +49,25 @@
         self._pauses = list(pauses)
 
     def next_event(self, until):
-        """Return what came by ``until``, or tell that nothing did."""
+        """Return what arrived by ``until``, or raise that nothing did."""
         pause = self._pauses.pop(0) if self._pauses else 0
         if pause:
-            # The timer fell due in the pause, and is served before sockets.
+            # The timer is due after the pause, and served before sockets.
             self._clock.ms += pause
             raise self._silent()
         if self._writes_at <= until:
             self._clock.ms = max(self._clock.ms, self._writes_at)
             return _PART
-        self._clock.ms = until + _LATE
+        self._clock.ms = until + _TIMER_DELAY
         raise self._silent()
 
     def _silent(self):
-        trouble = exchangeerror.ExchangeFailure.SILENT
-        return exchangeerror.ExchangeError(trouble, "no data arrived in time")
+        failure = exchangeerror.ExchangeFailure.SILENT
+        return exchangeerror.ExchangeError(failure, "no data arrived in time")
 
 
-class _Means:
-    """What a try that waits is given of the daemon's parts."""
+class _Dependencies:
+    """The components of a daemon that a waiting attempt uses."""
 
     def __init__(self):
         self.env = environments.Environment(
@@ -75,15 +75,15 @@
             "zone-0",
             _Clock(),
             random.Random(1),
-            rigs.Lines(),
+            rigs.RecordingLog(),
             headernames.HeaderNames(),
         )
         self.loads = upstreamchoice.LoadTable()
         self.stall_detector = stalldetector.StallDetector(self.env, self.loads)
 
 
-class _Demand:
-    """A request for a stream that has a minute left."""
+class _RoutedRequest:
+    """A request for a stream with a minute until its deadline."""
 
     service = service.Service("engine", "/", 99, engine=world.spec())
 
@@ -91,17 +91,17 @@
         self.deadline = now + clock.MINUTE
 
 
-@behave.given("a try at a replica, and another replica that has room")
-def step_try(context):
-    context.means = _Means()
-    time = context.means.env.clock
-    demand: routedrequest.RoutedRequest = _Demand(time.now())
-    placed = upstreamchoice.Chosen(
+@behave.given("an attempt at a replica, and another replica with a free slot")
+def step_attempt(context):
+    context.deps = _Dependencies()
+    time = context.deps.env.clock
+    routed: routedrequest.RoutedRequest = _RoutedRequest(time.now())
+    chosen = upstreamchoice.Chosen(
         "head-1", enginepace.Forecast(100.0, 40.0, 2_000.0)
     )
-    context.means.stall_detector.record_activity("head-1")
-    context.patience = responsereader.ResponseReader(
-        context.means, demand, placed, lambda: True
+    context.deps.stall_detector.record_activity("head-1")
+    context.reader = responsereader.ResponseReader(
+        context.deps, routed, chosen, lambda: True
     )
 
 
@@ -113,48 +113,50 @@
 }
 
 
-def _wait(context, what, link):
+def _wait(context, what, connection):
     try:
-        context.got = _WAIT_BY_WHAT[what](context.patience, link)
+        context.got = _WAIT_BY_WHAT[what](context.reader, connection)
     except exchangeerror.ExchangeError as error:
         context.got = error
 
 
-@behave.when("the daemon stands still for {seconds:g} s while {what}")
+@behave.when("the daemon pauses for {seconds:g} s while {what}")
 def step_pause(context, seconds, what):
-    time = context.means.env.clock
+    time = context.deps.env.clock
     pause = round(seconds * 1_000)
-    link = _Link(time, time.now() + 40, [pause])
-    _wait(context, what, link)
+    connection = _Connection(time, time.now() + 40, [pause])
+    _wait(context, what, connection)
 
 
-@behave.when("nothing comes for {seconds:g} s while {what}")
+@behave.when("nothing arrives for {seconds:g} s while {what}")
 def step_nothing(context, seconds, what):
-    time = context.means.env.clock
-    link = _Link(time, time.now() + round(seconds * 1_000), [])
-    _wait(context, what, link)
+    time = context.deps.env.clock
+    connection = _Connection(time, time.now() + round(seconds * 1_000), [])
+    _wait(context, what, connection)
 
 
-def _told(context):
-    return [what for what, _ in context.means.env.log.lines]
+def _logged_events(context):
+    return [what for what, _ in context.deps.env.log.lines]
 
 
-def _standing(context):
-    return "upstream stands still" in _told(context)
+def _is_stall_logged(context):
+    return "upstream stands still" in _logged_events(context)
 
 
-@behave.then("the daemon tells of its pause")
-def step_tells(context):
-    assert "daemon stood still" in _told(context), _told(context)
+@behave.then("the daemon logs its pause")
+def step_pause_logged(context):
+    assert "daemon stood still" in _logged_events(context), _logged_events(
+        context
+    )
 
 
-@behave.then("the try has its part, and no replica stands still")
+@behave.then("the attempt has its part, and no replica is stalled")
 def step_part(context):
     assert context.got is _PART, context.got
-    assert not _standing(context), context.means.env.log.lines
+    assert not _is_stall_logged(context), context.deps.env.log.lines
 
 
-@behave.then("the try is given up, and the replica stands still")
+@behave.then("the attempt is given up, and the replica is stalled")
 def step_given_up(context):
     assert isinstance(context.got, exchangeerror.ExchangeError), context.got
-    assert _standing(context)
+    assert _is_stall_logged(context)
--- a/tests/forward/waiting.feature
+++ b/tests/forward/waiting.feature
@@ -1,17 +1,17 @@
-Feature: A silence is the upstream's only while the daemon itself runs
-  A daemon that stands still reads nothing, and its clock goes on.
+Feature: Pauses of a daemon do not count as silence of its upstreams
+  A paused daemon reads nothing, while its clock advances.
 
-  Scenario Outline: a daemon stands still for <pause> s while <what>
-    What the replica wrote meanwhile lies in the daemon's socket, but timers
-    that fell due are served first: each stream looks silent for the whole
-    pause, is given up, and begins anew elsewhere or ends. Six daemons stopped
-    for 0.5 s logged "upstream stands still" for replicas that wrote on, and
-    28 streams were cut.
+  Scenario Outline: a daemon pauses for <pause> s while <what>
+    Guards against giving up working replicas. What a replica sends in the
+    pause is unread in the socket, but due timers are served first: each
+    stream seems silent for the whole pause, is given up, and is resumed
+    elsewhere or ends. Six daemons paused for 0.5 s logged "upstream stands
+    still" for replicas that were sending, and 28 streams were cut.
 
-    Given a try at a replica, and another replica that has room
-    When the daemon stands still for <pause> s while <what>
-    Then the try has its part, and no replica stands still
-    And the daemon tells of its pause
+    Given an attempt at a replica, and another replica with a free slot
+    When the daemon pauses for <pause> s while <what>
+    Then the attempt has its part, and no replica is stalled
+    And the daemon logs its pause
 
     Examples:
       | pause | what                               |
@@ -19,10 +19,10 @@
       | 0.5   | it waits for the next event        |
       | 5     | it waits for the next event        |
 
-  Scenario: a daemon runs while nothing comes
-    The same wait without a pause: here the replica is the silent one, and the
-    caller is better off elsewhere.
+  Scenario: a daemon runs while nothing arrives
+    The same wait without a pause: the replica itself is silent, and the
+    request is better sent to another one.
 
-    Given a try at a replica, and another replica that has room
-    When nothing comes for 0.6 s while it waits for the next event
-    Then the try is given up, and the replica stands still
+    Given an attempt at a replica, and another replica with a free slot
+    When nothing arrives for 0.6 s while it waits for the next event
+    Then the attempt is given up, and the replica is stalled
