--- a/src/citronvalve/forward/admission.py
+++ b/src/citronvalve/forward/admission.py
@@ -14,9 +14,9 @@
 _NOT_READY_RETRY: clock.Ms = 500
 
 #: While the store is reachable, the catalogue is confirmed at least every
-#: 2.5 s (a poll of 1 s plus a timeout of 1.5 s).  A much older one may lack a
-#: route or a key that is in force elsewhere, so a final "not found" would be
-#: wrong.
+#: 2.5 s (a long poll of 1 s that times out 1.5 s later).  A much older one may
+#: lack a route or a key that is in force elsewhere, so a final "not found"
+#: would be wrong.
 _MAX_CATALOGUE_AGE: clock.Ms = 4_500
 
 _Kind = refusal.RefusalKind
