--- a/src/citronvalve/forward/attempt.py
+++ b/src/citronvalve/forward/attempt.py
@@ -248,7 +248,7 @@
 
         A response without a length ends when its connection closes, which
         a crash in the middle does too: the caller would take the part for
-        the whole.  A crashed upstream does not accept connections.
+        a complete response.  A crashed upstream does not accept connections.
 
         :raises exchangeerror.ExchangeError: when nothing accepts
             connections at the upstream's address.
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -207,7 +207,7 @@
         if not isinstance(head, h11.Request):
             return None
         _check_head(head)
-        arrived = self._env.clock.now()
+        arrived_at = self._env.clock.now()
         if self._parser.they_are_waiting_for_100_continue:
             self._write(
                 self._parser.send(
@@ -229,7 +229,11 @@
                 )
         self._pipelined_bytes = 0
         return callerrequest.CallerRequest(
-            head.method, head.target, list(head.headers), bytes(body), arrived
+            head.method,
+            head.target,
+            list(head.headers),
+            bytes(body),
+            arrived_at,
         )
 
     def _next_event(
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -123,7 +123,7 @@
             if runner.leaving or runner.datacentre in self.datacentres_out:
                 continue
             if runner.is_open_head:
-                place = runner.service, runner.membership.key.model
-                heads.setdefault(place, []).append(runner)
+                key = runner.service, runner.membership.key.model
+                heads.setdefault(key, []).append(runner)
             plain.setdefault(runner.service, []).append(runner)
         self._open_heads_by_model, self._upstreams_by_service = heads, plain
--- a/src/citronvalve/forward/metrics.py
+++ b/src/citronvalve/forward/metrics.py
@@ -85,14 +85,14 @@
         result = "answered" if answered else "failed"
         self._platform_reads.inc({"table": table, "result": result})
 
-    def observe_first_event(self, took: clock.Ms, forecast: float) -> None:
+    def observe_first_event(self, elapsed: clock.Ms, forecast: float) -> None:
         """Record the time to a first event.
 
-        :param took: ms from arrival.
+        :param elapsed: ms from arrival.
         :param forecast: forecast ms from the start of the attempt.
         """
-        self._first_event.observe({}, took / clock.SECOND)
-        late = max(0.0, took - forecast)
+        self._first_event.observe({}, elapsed / clock.SECOND)
+        late = max(0.0, elapsed - forecast)
         self._forecast_error.observe({}, late / clock.SECOND)
 
     def observe_gap(self, longest: clock.Ms) -> None:
--- a/src/citronvalve/forward/reply.py
+++ b/src/citronvalve/forward/reply.py
@@ -30,7 +30,7 @@
 
         :param status: HTTP status.
         :param head: headers without framing.
-        :param body: the whole body.
+        :param body: the complete body.
         """
 
     @abc.abstractmethod
--- a/src/citronvalve/forward/responsereader.py
+++ b/src/citronvalve/forward/responsereader.py
@@ -15,10 +15,10 @@
 #: arrive.
 _DEADLINE_GRACE: clock.Ms = 150
 
-#: A stream that is silent for this multiple of the expected time, and at
-#: least for the minimum below, may be stalled.  Passes that prefill long
-#: prompts take up to four times as long as usual ones, and callers disconnect
-#: after two seconds.
+#: A stream that is silent for this multiple of the expected gap, or half this
+#: multiple of the expected time to its first event, may be stalled; the
+#: minimums below apply.  Passes that prefill long prompts take up to four
+#: times as long as usual ones, and callers disconnect after two seconds.
 _STALL_FACTOR = 5.0
 _MIN_FIRST_EVENT_TIMEOUT: clock.Ms = 450
 _MIN_GAP_TIMEOUT: clock.Ms = 350
--- a/src/citronvalve/forward/upstreamconnection.py
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -51,7 +51,7 @@
         :param method: as the caller sent it.
         :param target: path and query, as the caller sent them.
         :param head: without framing.
-        :param body: the whole body.
+        :param body: the complete body.
         :raises exchangeerror.ExchangeError: when the connection is closed.
         """
         if body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
--- a/tests/bounds/steps/bounds_steps.py
+++ b/tests/bounds/steps/bounds_steps.py
@@ -91,7 +91,7 @@
         assert sent <= most, f"{sent} at {start}"
 
 
-def _head(name, zone, seen=5, **changes):
+def _head(name, zone, list_version=5, **changes):
     key = membership.GroupKey("m~1", 1)
     return runners.Runner(
         name,
@@ -99,7 +99,7 @@
         "10.0.0.1:1",
         zone,
         membership=membership.Membership(key, 0, phase.Phase.OPEN),
-        list_version=seen,
+        list_version=list_version,
     )._replace(**changes)
 
 
@@ -111,9 +111,9 @@
 
 
 def _closing_head():
-    held = _head("h-1", "z-1", 6)
-    return held._replace(
-        membership=held.membership._replace(phase=phase.Phase.CLOSING)
+    head = _head("h-1", "z-1", 6)
+    return head._replace(
+        membership=head.membership._replace(phase=phase.Phase.CLOSING)
     )
 
 
--- a/tests/forward/steps/waiting_steps.py
+++ b/tests/forward/steps/waiting_steps.py
@@ -43,9 +43,9 @@
     ``pauses`` are the ms by which the first reads are delayed.
     """
 
-    def __init__(self, time, writes_at, pauses):
+    def __init__(self, time, sends_at, pauses):
         self._clock = time
-        self._writes_at = writes_at
+        self._sends_at = sends_at
         self._pauses = list(pauses)
 
     def next_event(self, until):
@@ -55,8 +55,8 @@
             # The timer is due after the pause, and served before sockets.
             self._clock.ms += pause
             raise self._silent()
-        if self._writes_at <= until:
-            self._clock.ms = max(self._clock.ms, self._writes_at)
+        if self._sends_at <= until:
+            self._clock.ms = max(self._clock.ms, self._sends_at)
             return _PART
         self._clock.ms = until + _TIMER_DELAY
         raise self._silent()
