--- a/src/citronvalve/forward/acceptor.py
+++ b/src/citronvalve/forward/acceptor.py
@@ -49,7 +49,7 @@
             raise errors.SettingsError(
                 str(error),
                 where=address,
-                remedy="free the address or configure another one",
+                remedy="free the address or give another one",
             ) from error
 
     @property
