--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -19,16 +19,16 @@
 from citronvalve.daemon import ports as ports_
 from citronvalve.daemon import runnerlist
 from citronvalve.forward import acceptor
-from citronvalve.forward import crashes
+from citronvalve.forward import admission
+from citronvalve.forward import connectionpool
+from citronvalve.forward import crashdetector
+from citronvalve.forward import dependencies
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
 from citronvalve.forward import forwarder
-from citronvalve.forward import intake
-from citronvalve.forward import links
-from citronvalve.forward import means as means_
-from citronvalve.forward import placing
-from citronvalve.forward import repeats
-from citronvalve.forward import stalls
+from citronvalve.forward import placement
+from citronvalve.forward import retrybudgets
+from citronvalve.forward import stalldetector
 from citronvalve.model import clock
 from citronvalve.model import errors
 from citronvalve.policy import upstreamchoice
@@ -102,21 +102,23 @@
 
     def _make_forwarding(self) -> None:
         env, settings = self.env, self._settings
-        self._stalls = stalls.Stalls(env, self._book)
-        kept = links.Links(env.clock)
-        self._crashes = crashes.Crashes(env, kept)
-        self._means = means_.Means(
+        self._stalls = stalldetector.StallDetector(env, self._book)
+        kept = connectionpool.ConnectionPool(env.clock)
+        self._crashes = crashdetector.CrashDetector(env, kept)
+        self._means = dependencies.Dependencies(
             env,
             self.directory,
             self._book,
             kept,
-            placing.Placing(env, self.directory, self._book, settings.cold),
-            repeats.Repeats(env, settings.repeats),
+            placement.Placement(
+                env, self.directory, self._book, settings.cold
+            ),
+            retrybudgets.RetryBudgets(env, settings.repeats),
             self._stalls,
             self._crashes,
         )
         self._forwarder = forwarder.Forwarder(
-            self._means, intake.Intake(env, self.directory)
+            self._means, admission.Admission(env, self.directory)
         )
 
     def _make_leading(self) -> None:
@@ -142,13 +144,13 @@
         )
         self._news.on_standstill = self._on_standstill
         self._lease.has_majority = self._news.has_company
-        self._news.on_crash = self._crashes.learn
+        self._news.on_crash = self._crashes.record_loss
         self._crashes.on_crash = self._news.tell_crash
-        self._news.loads.is_pressed = self._means.placing.is_pressed
+        self._news.loads.is_pressed = self._means.placement.is_pressed
         self._stalls.on_stall = self._news.tell_standstill
 
     def _on_standstill(self, upstream: str) -> None:
-        self._stalls.told(upstream)
+        self._stalls.record_remote_stall(upstream)
         if self._lease.held:
             self._conductor.accuse(upstream)
 
@@ -170,7 +172,7 @@
         return catalogue.limits if catalogue else callerlimits.CallerLimits()
 
     def _is_early(self) -> bool:
-        return self._settings.first_start and not self._forwarder.served
+        return self._settings.first_start and not self._forwarder.received
 
     def _follow(self) -> None:
         listed = runnerlist.RunnerList(
@@ -195,7 +197,7 @@
             self._news.tables.tail_by_table[table] = followed
             followed.is_reader = self._news.is_reader
             followed.on_call = functools.partial(
-                self.env.metrics.read_platform, table
+                self.env.metrics.record_platform_read, table
             )
             followed.on_unreadable = functools.partial(
                 self._news.request_whole, table
@@ -209,7 +211,7 @@
         while True:
             if not self.env.stopping:
                 self._lease.step()
-                self.env.daemons = self._lease.daemon_count
+                self.env.daemon_count = self._lease.daemon_count
             eventlet.sleep(lease.RENEW_INTERVAL / clock.SECOND)
 
     def _tidy(self) -> None:
@@ -259,8 +261,8 @@
         self._settings = self._settings._replace(
             repeats=read.repeats, cold=read.cold, grace=read.grace
         )
-        self._means.repeats.terms = read.repeats
-        self._means.placing.cold = read.cold
+        self._means.retry_budgets.limits = read.repeats
+        self._means.placement.cold_limits = read.cold
         self.env.log.change("reloaded", grace_ms=read.grace)
 
     def _drain(self) -> None:
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reads requests strictly, sends answers."""
+"""One caller's connection: reads requests strictly, sends responses."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -19,20 +19,20 @@
 from citronvalve.model import refusal
 from citronvalve.routes import callerlimits
 
-#: Bytes taken at once; a usual request comes in one piece.
-_PIECE = 65_536
+#: Bytes per read; a usual request fits into one.
+_READ_SIZE = 65_536
 
-#: Bytes that a caller may send ahead while its request is answered.
-_MOST_AHEAD = 65_536
+#: Bytes that a caller may pipeline while its request is answered.
+_MAX_PIPELINED_BYTES = 65_536
 
-#: A caller that takes no byte of its answer for so long is given up.
+#: A caller that reads nothing for this long is disconnected.
 _WRITE_TIMEOUT: clock.Ms = 10_000
 
-#: After a refusal that leaves bytes unread, closing at once would reset the
-#: connection and destroy the answer on its way.
+#: Time to drain unread bytes after a refusal: closing at once would reset the
+#: connection and discard the response in flight.
 _LINGER: clock.Ms = 1_000
 
-#: Past the idle time, so that a request sent at its very end is not cut.
+#: Added to the idle timeout, so that a request sent at its end is served.
 _IDLE_SLACK: clock.Ms = 1_000
 
 _VERSIONS = frozenset({b"1.0", b"1.1"})
@@ -41,17 +41,17 @@
 
 
 class CallerConnection(reply.Reply):
-    """Reads one request after the other and hands each to the handler.
+    """Reads one request after the other and passes each to the handler.
 
-    The parser refuses what can be read in two ways (two lengths, a space
-    before a colon, a length beside a transfer coding), since whatever
-    follows such a request could be run in another caller's name.
+    The parser rejects ambiguous framing (two lengths, a space before a
+    colon, a length with a transfer coding) to prevent request smuggling:
+    what follows such a request could run as another caller's.
 
-    :param sock: accepted.
+    :param sock: an accepted socket.
     :param env: the daemon's environment.
     :param limits: returns the limits in force.
     :param handler: answers a request.
-    :ivar idle: whether it waits for a request.
+    :ivar idle: whether the connection waits for a request.
     """
 
     def __init__(
@@ -69,53 +69,53 @@
             h11.SERVER, max_incomplete_event_size=limits().max_header_bytes
         )
         self._aborted = False
-        self._ahead = 0
-        self._quiet = False
+        self._pipelined_bytes = 0
+        self._omit_body = False
         self.idle = True
-        self.begun = False
+        self.started = False
 
     def run(self) -> None:
         """Serve until the connection ends."""
         try:
             while self._serve_one():
                 pass
-            self._close_gently()
+            self._close_gracefully()
         except (OSError, h11.LocalProtocolError):
-            # The caller is gone, or its answer was cut on purpose; the
-            # request's own log line says which.
+            # The caller has disconnected or the response was aborted; the
+            # log line of the request says which.
             self._reset()
 
     def close_if_idle(self) -> None:
-        """Close a connection that waits for a request."""
+        """Close the connection if it waits for a request."""
         if self.idle:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def check_caller(self) -> None:
-        # The watch's green thread has not run yet if nothing has blocked
-        # since the request was read.
+        # The green thread that watches the caller has not run yet if nothing
+        # has blocked since the request was read.
         try:
-            while self._ahead < _MOST_AHEAD:
-                self._take_ahead(
-                    self._sock.fd.recv(_PIECE, socket.MSG_DONTWAIT)
+            while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
+                self._receive_pipelined(
+                    self._sock.fd.recv(_READ_SIZE, socket.MSG_DONTWAIT)
                 )
         except BlockingIOError:
             return
         except (OSError, h11.RemoteProtocolError) as error:
-            raise _gone(error) from error
+            raise _caller_gone(error) from error
 
-    def whole(
+    def send_whole(
         self, status: int, head: Iterable[headers.Header], body: bytes
     ) -> None:
         length = (b"content-length", b"%d" % len(body))
         self._start(status, [*head, length])
         data = self._out
-        if body and not self._quiet:
+        if body and not self._omit_body:
             data += self._parser.send(h11.Data(body))
         data += self._parser.send(h11.EndOfMessage())
         self._write(data)
 
-    def begin(self, status: int, head: Iterable[headers.Header]) -> None:
+    def start(self, status: int, head: Iterable[headers.Header]) -> None:
         self._start(status, [*head, (b"transfer-encoding", b"chunked")])
         self._write(self._out)
 
@@ -128,12 +128,12 @@
     def abort(self) -> None:
         self._aborted = True
 
-    def refuse(self, refused: refusal.Refusal, request: str) -> None:
-        made = problem.render(refused, request)
-        self.whole(made.status, made.headers, made.body)
+    def send_refusal(self, refused: refusal.Refusal, request_id: str) -> None:
+        rendered = problem.render(refused, request_id)
+        self.send_whole(rendered.status, rendered.headers, rendered.body)
 
     def _start(self, status: int, head: list[headers.Header]) -> None:
-        self.begun = True
+        self.started = True
         if self._env.stopping:
             head.append((b"connection", b"close"))
         self._out = self._parser.send(
@@ -146,20 +146,20 @@
 
     def _serve_one(self) -> bool:
         try:
-            request = self._read()
+            request = self._read_request()
         except h11.RemoteProtocolError as error:
-            self._refuse_bytes(error)
+            self._reject_malformed(error)
             return False
         if request is None:
             return False
         self.idle = False
-        self.begun = False
+        self.started = False
         self._aborted = False
-        self._quiet = request.method == b"HEAD"
+        self._omit_body = request.method == b"HEAD"
         self._answer(request)
         self.idle = True
         if self._aborted:
-            raise BrokenPipeError("the answer was cut")
+            raise BrokenPipeError("the response was aborted")
         if self._parser.our_state is not h11.DONE:
             return False
         if self._parser.their_state is not h11.DONE:
@@ -168,44 +168,46 @@
         return True
 
     def _answer(self, request: callerrequest.CallerRequest) -> None:
-        watch = eventlet.spawn(self._watch, eventlet.getcurrent())
+        watch = eventlet.spawn(self._watch_caller, eventlet.getcurrent())
         try:
             self._handler(request, self)
         finally:
             watch.kill()
 
-    def _watch(self, handler: eventlet.greenlet.greenlet) -> None:
+    def _watch_caller(self, handler: eventlet.greenlet.greenlet) -> None:
         try:
-            while self._ahead < _MOST_AHEAD:
-                self._take_ahead(receiving.receive(self._sock, _PIECE, None))
+            while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
+                self._receive_pipelined(
+                    receiving.receive(self._sock, _READ_SIZE, None)
+                )
         except (OSError, h11.RemoteProtocolError) as error:
             eventlet.hubs.get_hub().schedule_call_global(
-                0, _throw, handler, _gone(error)
+                0, _throw_into, handler, _caller_gone(error)
             )
 
-    def _take_ahead(self, data: bytes) -> None:
-        """Take in what a caller sends while its request is answered.
+    def _receive_pipelined(self, data: bytes) -> None:
+        """Buffer what a caller sends while its request is answered.
 
-        One that waits sends nothing, or its next request ahead; the end of
-        its bytes means that it has left.
+        A waiting caller sends nothing or pipelines its next request; the
+        end of its data means that it has disconnected.
 
         :param data: as received; empty at the end.
         :raises ConnectionError: at the end.
-        :raises h11.RemoteProtocolError: after a request that asked to be the
-            last, which ends the connection, too.
+        :raises h11.RemoteProtocolError: for data after a request with
+            ``Connection: close``, which ends the connection, too.
         """
         if not data:
-            raise ConnectionResetError("the caller closed")
-        self._ahead += len(data)
+            raise ConnectionResetError("the caller closed the connection")
+        self._pipelined_bytes += len(data)
         self._parser.receive_data(data)
 
-    def _read(self) -> callerrequest.CallerRequest | None:
+    def _read_request(self) -> callerrequest.CallerRequest | None:
         limits = self._limits()
-        head = self._next(limits.idle_timeout + _IDLE_SLACK, limits)
+        head = self._next_event(limits.idle_timeout + _IDLE_SLACK, limits)
         if not isinstance(head, h11.Request):
             return None
-        _check(head)
-        arrived = self._env.clock.now()
+        _check_head(head)
+        arrived_at = self._env.clock.now()
         if self._parser.they_are_waiting_for_100_continue:
             self._write(
                 self._parser.send(
@@ -214,7 +216,7 @@
             )
         body = bytearray()
         while True:
-            event = self._next(limits.header_timeout, limits)
+            event = self._next_event(limits.header_timeout, limits)
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
@@ -222,53 +224,61 @@
             body += event.data
             if len(body) > limits.max_body_bytes:
                 raise h11.RemoteProtocolError(
-                    f"the body has more than {limits.max_body_bytes} bytes",
+                    f"the body is larger than {limits.max_body_bytes} bytes",
                     error_status_hint=413,
                 )
-        self._ahead = 0
+        self._pipelined_bytes = 0
         return callerrequest.CallerRequest(
-            head.method, head.target, list(head.headers), bytes(body), arrived
+            head.method,
+            head.target,
+            list(head.headers),
+            bytes(body),
+            arrived_at,
         )
 
-    def _next(self, wait: clock.Ms, limits: callerlimits.CallerLimits):
-        until = self._env.clock.now() + wait
-        begun = False
+    def _next_event(
+        self, timeout: clock.Ms, limits: callerlimits.CallerLimits
+    ):
+        deadline = self._env.clock.now() + timeout
+        has_data = False
         while True:
             event = self._parser.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            left = until - self._env.clock.now()
-            if left <= 0:
+            remaining = deadline - self._env.clock.now()
+            if remaining <= 0:
                 return None
             try:
-                data = receiving.receive(self._sock, _PIECE, left)
+                data = receiving.receive(self._sock, _READ_SIZE, remaining)
             except TimeoutError:
                 return None
-            if data and not begun and wait > limits.header_timeout:
-                # The idle time is over with the first byte.
-                begun = True
-                until = self._env.clock.now() + limits.header_timeout
+            if data and not has_data and timeout > limits.header_timeout:
+                # The idle timeout ends with the first byte.
+                has_data = True
+                deadline = self._env.clock.now() + limits.header_timeout
             self._parser.receive_data(data)
 
-    def _refuse_bytes(self, error: h11.RemoteProtocolError) -> None:
-        self._env.metrics.refused_bytes(error.error_status_hint)
+    def _reject_malformed(self, error: h11.RemoteProtocolError) -> None:
+        self._env.metrics.record_malformed(error.error_status_hint)
         if self._parser.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
-            made = problem.of_bytes(error.error_status_hint, str(error))
-            head = [*made.headers, (b"connection", b"close")]
-            self.whole(made.status, head, made.body)
+            rendered = problem.for_malformed(
+                error.error_status_hint, str(error)
+            )
+            head = [*rendered.headers, (b"connection", b"close")]
+            self.send_whole(rendered.status, head, rendered.body)
 
-    def _close_gently(self) -> None:
+    def _close_gracefully(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
-        until = self._env.clock.now() + _LINGER
-        while (left := until - self._env.clock.now()) > 0:
-            if not receiving.receive(self._sock, _PIECE, left):
+        deadline = self._env.clock.now() + _LINGER
+        while (remaining := deadline - self._env.clock.now()) > 0:
+            if not receiving.receive(self._sock, _READ_SIZE, remaining):
                 break
         self._sock.close()
 
     def _reset(self) -> None:
         with contextlib.suppress(OSError):
-            # Without a reset a cut answer of unknown length could pass for
-            # one that ended.
+            # Without a reset, an aborted response of unknown length could be
+            # taken for a complete one.
             self._sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
             )
@@ -276,26 +286,28 @@
             self._sock.close()
 
 
-def _throw(handler: eventlet.greenlet.greenlet, error: BaseException) -> None:
+def _throw_into(
+    handler: eventlet.greenlet.greenlet, error: BaseException
+) -> None:
     if not handler.dead:
         handler.throw(error)
 
 
-def _gone(error: Exception) -> callergone.CallerGoneError:
-    return callergone.CallerGoneError(f"the caller left: {error}")
+def _caller_gone(error: Exception) -> callergone.CallerGoneError:
+    return callergone.CallerGoneError(f"the caller has disconnected: {error}")
 
 
-def _check(head: h11.Request) -> None:
+def _check_head(head: h11.Request) -> None:
     if head.http_version not in _VERSIONS:
-        # The parser reads any version as 1.1, though another one may frame
-        # its bodies otherwise; what follows could then be run as a request.
+        # The parser reads any version as 1.1, but another version may frame
+        # bodies differently; part of a body could then run as a request.
         raise h11.RemoteProtocolError(
-            "this version of HTTP is not served", error_status_hint=505
+            "this HTTP version is not supported", error_status_hint=505
         )
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
         raise h11.RemoteProtocolError(
-            "a length stands beside a transfer coding"
+            "Content-Length and Transfer-Encoding are both given"
         )
     if head.method == b"CONNECT":
-        raise h11.RemoteProtocolError("CONNECT is not served")
+        raise h11.RemoteProtocolError("CONNECT is not supported")
--- a/src/citronvalve/forward/directory.py
+++ b/src/citronvalve/forward/directory.py
@@ -1,84 +1,90 @@
-"""What a daemon believes of routes and upstreams at this moment."""
+"""A daemon's current view of routes and upstreams."""
 
 from citronvalve.model import clock
 from citronvalve.policy import upstreamchoice
 from citronvalve.replicas import runner as runners
 from citronvalve.routes import catalogue as catalogues
 
-#: One way, in ms, to another data centre where nothing is declared.
-_FAR = 1.0
+#: One-way latency in ms to another data centre.
+_REMOTE_LATENCY = 1.0
 
 
 class Directory:
     """Catalogue and upstreams, written by the watchers, read by handlers.
 
-    :param datacentre: where the daemon stands.
+    :param datacentre: the daemon's data centre.
     :ivar catalogue: the newest configuration, or None before the first.
     :ivar runner_by_id: every upstream of the platform's list.
-    :ivar known: whether the list has been read.
-    :ivar out: data centres that get no new work.
-    :ivar confirmed_at: when the catalogue was last known to be the newest.
+    :ivar list_known: whether the list has been read.
+    :ivar datacentres_out: data centres that get no new requests.
+    :ivar confirmed_at: monotonic ms at which the catalogue was last known to
+        be the newest.
     """
 
     def __init__(self, datacentre: str) -> None:
         self._datacentre = datacentre
         self.catalogue: catalogues.Catalogue | None = None
         self.runner_by_id: dict[str, runners.Runner] = {}
-        self.known = False
-        self.out: frozenset[str] = frozenset()
+        self.list_known = False
+        self.datacentres_out: frozenset[str] = frozenset()
         self.confirmed_at: clock.Ms = 0
-        self._heads: dict[tuple[str, str], list[runners.Runner]] = {}
-        self._plain: dict[str, list[runners.Runner]] = {}
+        self._open_heads_by_model: dict[
+            tuple[str, str], list[runners.Runner]
+        ] = {}
+        self._upstreams_by_service: dict[str, list[runners.Runner]] = {}
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be answered from what is known."""
-        return self.catalogue is not None and self.known
+        """Return whether both the catalogue and the list have been read."""
+        return self.catalogue is not None and self.list_known
 
     def adopt(self, catalogue: catalogues.Catalogue) -> bool:
-        """Put a version in force unless a newer one is.
+        """Activate a catalogue if it is newer; return whether it was.
 
-        A version that came late would otherwise bring back a route or a
-        key that operators have taken away.
+        A late version would otherwise restore a route or a key that
+        operators have removed.
 
         :param catalogue: as read.
         """
-        held = self.catalogue
-        if held is not None and catalogue.version <= held.version:
+        current = self.catalogue
+        if current is not None and catalogue.version <= current.version:
             return False
         self.catalogue = catalogue
         return True
 
-    def put(self, runner: runners.Runner) -> runners.Runner | None:
-        """Take in what the list says of an upstream; return what it said.
+    def update_runner(self, runner: runners.Runner) -> runners.Runner | None:
+        """Apply an entry of the list and return the previous one.
 
-        :param runner: ignored if the list said something newer before.
+        :param runner: ignored if the known entry is not older.
         """
-        held = self.runner_by_id.get(runner.id)
-        if held is not None and held.list_version >= runner.list_version:
-            return held
+        previous = self.runner_by_id.get(runner.id)
+        if (
+            previous is not None
+            and previous.list_version >= runner.list_version
+        ):
+            return previous
         self.runner_by_id[runner.id] = runner
-        self._sort()
-        return held
+        self._rebuild_index()
+        return previous
 
     def remove(self, upstream: str) -> runners.Runner | None:
-        """Forget an upstream that left the list.
+        """Remove an upstream that is no longer in the list.
 
         :param upstream: its id.
         """
-        held = self.runner_by_id.pop(upstream, None)
-        self._sort()
-        return held
+        previous = self.runner_by_id.pop(upstream, None)
+        self._rebuild_index()
+        return previous
 
-    def set_out(self, datacentres: frozenset[str]) -> None:
-        """Say which data centres get no new work.
+    def set_datacentres_out(self, datacentres: frozenset[str]) -> None:
+        """Set the data centres that get no new requests.
 
         :param datacentres: their names.
         """
-        self.out = datacentres
-        self._sort()
+        self.datacentres_out = datacentres
+        self._rebuild_index()
 
-    def heads(
+    def open_heads(
         self, service: str, model: str
     ) -> list[upstreamchoice.Candidate]:
         """Return the open replicas of a model.
@@ -87,30 +93,37 @@
         :param model: the model.
         """
         return [
-            self._candidate(r) for r in self._heads.get((service, model), ())
+            self._candidate(r)
+            for r in self._open_heads_by_model.get((service, model), ())
         ]
 
-    def plain(self, service: str) -> list[upstreamchoice.Candidate]:
+    def plain_upstreams(self, service: str) -> list[upstreamchoice.Candidate]:
         """Return the upstreams of a plain service.
 
         :param service: its name.
         """
-        return [self._candidate(r) for r in self._plain.get(service, ())]
+        return [
+            self._candidate(r)
+            for r in self._upstreams_by_service.get(service, ())
+        ]
 
     def _candidate(self, runner: runners.Runner) -> upstreamchoice.Candidate:
-        near = runner.datacentre == self._datacentre
+        is_local = runner.datacentre == self._datacentre
         return upstreamchoice.Candidate(
-            runner.id, runner.slots, 0.0 if near else _FAR, near
+            runner.id,
+            runner.slots,
+            0.0 if is_local else _REMOTE_LATENCY,
+            is_local,
         )
 
-    def _sort(self) -> None:
+    def _rebuild_index(self) -> None:
         heads: dict[tuple[str, str], list[runners.Runner]] = {}
         plain: dict[str, list[runners.Runner]] = {}
         for runner in self.runner_by_id.values():
-            if runner.leaving or runner.datacentre in self.out:
+            if runner.leaving or runner.datacentre in self.datacentres_out:
                 continue
             if runner.is_open_head:
-                place = runner.service, runner.membership.key.model
-                heads.setdefault(place, []).append(runner)
+                key = runner.service, runner.membership.key.model
+                heads.setdefault(key, []).append(runner)
             plain.setdefault(runner.service, []).append(runner)
-        self._heads, self._plain = heads, plain
+        self._open_heads_by_model, self._upstreams_by_service = heads, plain
--- /dev/null
+++ b/src/citronvalve/forward/dispatch.py
@@ -0,0 +1,214 @@
+"""Dispatch of one request to upstreams, with retries."""
+
+from citronvalve.forward import attempt as attempts
+from citronvalve.forward import attemptresult
+from citronvalve.forward import dependencies
+from citronvalve.forward import headers
+from citronvalve.forward import reply as replies
+from citronvalve.forward import routedrequest
+from citronvalve.forward import streamprogress
+from citronvalve.model import clock
+from citronvalve.model import ran
+from citronvalve.model import refusal
+from citronvalve.policy import upstreamchoice
+
+#: Attempts that may be rejected without running, which don't count as runs;
+#: more show that the service as a whole has no free slot.
+_MAX_REJECTIONS = 3
+
+#: With less time than this left, another attempt is not worth starting.
+_MIN_ATTEMPT_TIME: clock.Ms = 60
+
+_Ending = attemptresult.Ending
+_Kind = refusal.RefusalKind
+
+
+class Dispatch:
+    """Sends a request to upstreams until it is answered, refused or aborted.
+
+    :param deps: the daemon's components.
+    :param routed: the request.
+    :param reply: receives the response.
+    :ivar outcome: how the request ended, for log and metrics.
+    :ivar reason: the cause, from a closed set.
+    """
+
+    def __init__(
+        self,
+        deps: dependencies.Dependencies,
+        routed: routedrequest.RoutedRequest,
+        reply: replies.Reply,
+    ) -> None:
+        self._deps = deps
+        self._routed = routed
+        self._reply = reply
+        self._tried: list[str] = []
+        self._runs = 0
+        self._rejections = 0
+        self._ran = ran.Ran.NO
+        self._failure: attemptresult.AttemptResult | None = None
+        self._progress = streamprogress.StreamProgress()
+        self.outcome = "failed"
+        self.reason = ""
+
+    @property
+    def tried(self) -> tuple[str, ...]:
+        """Return the upstreams that the request was sent to."""
+        return tuple(self._tried)
+
+    def run(self) -> None:
+        """Run attempts until the caller has a response."""
+        refused = self._deps.crash_detector.find_refusal(self._routed)
+        if refused is not None:
+            self._refuse(refused)
+            return
+        while True:
+            chosen = self._deps.placement.place(self._routed, self._tried)
+            if isinstance(chosen, refusal.Refusal):
+                self._end_unplaced(chosen)
+                return
+            result = self._attempt(chosen)
+            if result.ending is _Ending.DELIVERED:
+                self.outcome, self.reason = (
+                    "whole",
+                    str(result.response.status),
+                )
+                self._deps.crash_detector.clear(self._routed)
+                return
+            if not self._may_retry(result):
+                self._end_after(result)
+                return
+
+    def _attempt(
+        self, chosen: upstreamchoice.Chosen
+    ) -> attemptresult.AttemptResult:
+        self._tried.append(chosen.upstream)
+        attempt = attempts.Attempt(
+            self._deps,
+            self._routed,
+            self._reply,
+            chosen,
+            self._progress,
+            self._can_switch,
+        )
+        result = attempt.run()
+        self._deps.env.metrics.record_attempt(result.ending.name.lower())
+        self._deps.env.log.note(
+            "try ended",
+            self._routed.id,
+            upstream=chosen.upstream,
+            ending=result.ending.name,
+            why=result.why,
+            after=self._progress.last_event_id,
+            expected_ms=round(chosen.forecast.first),
+        )
+        if result.ending is _Ending.NOT_RUN:
+            self._rejections += 1
+        else:
+            self._runs += 1
+            self._ran = ran.Ran.UNKNOWN
+        if result.response is not None:
+            self._failure = result
+        return result
+
+    def _can_switch(self) -> bool:
+        """Return whether the request could continue at another upstream.
+
+        A slow replica can't be told from a stalled one.  Without another
+        upstream, giving up loses what the replica still sends: the caller
+        of a stream gets a part, because of a pause of some hundred ms.
+        """
+        deps, service = self._deps, self._routed.service.name
+        return (
+            self._may_attempt_again()
+            and self._may_run_again(self._runs + 1)
+            and deps.retry_budgets.allows(service)
+            and deps.placement.can_place(self._routed, self._tried)
+        )
+
+    def _may_retry(self, result: attemptresult.AttemptResult) -> bool:
+        if not self._may_attempt_again():
+            return False
+        may_have_run = result.ending is not _Ending.NOT_RUN
+        if may_have_run and not self._may_run_again(self._runs):
+            return False
+        return self._deps.retry_budgets.spend(self._routed.service.name)
+
+    def _may_attempt_again(self) -> bool:
+        remaining = self._routed.deadline - self._deps.env.clock.now()
+        if remaining < _MIN_ATTEMPT_TIME or self._rejections > _MAX_REJECTIONS:
+            return False
+        return self._deps.crash_detector.find_refusal(self._routed) is None
+
+    def _may_run_again(self, runs: int) -> bool:
+        # A request that is not idempotent must not run twice.
+        route = self._routed.route
+        return route.may_repeat and runs < route.max_attempts
+
+    def _end_unplaced(self, refused: refusal.Refusal) -> None:
+        if self._failure is not None or self._runs:
+            self._end_after(
+                attemptresult.AttemptResult(_Ending.BROKEN, refused.detail)
+            )
+            return
+        self._refuse(refused)
+
+    def _end_after(self, result: attemptresult.AttemptResult) -> None:
+        self.reason = result.ending.name.lower()
+        if self._reply.started:
+            self.outcome = "broken"
+            self._reply.abort()
+        elif self._failure is not None:
+            self._relay_failure(self._failure)
+        elif self._ran is ran.Ran.NO:
+            self._refuse(
+                self._deps.placement.not_run_refusal(self._routed, result)
+            )
+        else:
+            self._refuse(self._outcome_unknown(result))
+
+    def _relay_failure(self, failure: attemptresult.AttemptResult) -> None:
+        # The upstream's response says itself whether the request ran.
+        self.outcome = "failed"
+        names = self._deps.env.header_names
+        status = failure.response.status
+        if status in (408, 421, 429, 503) and failure.response.may_have_run(
+            names
+        ):
+            # These statuses imply that the request did not run, which the
+            # upstream did not state.
+            self._refuse(self._outcome_unknown(failure))
+            return
+        self._reply.send_whole(
+            status, headers.end_to_end(failure.response.headers), failure.body
+        )
+
+    def _refuse(self, refused: refusal.Refusal) -> None:
+        self.outcome, self.reason = "refused", refused.kind.value
+        if refused.ran is not ran.Ran.NO:
+            self.outcome = "failed"
+        self._deps.env.log.note(
+            "refused",
+            self._routed.id,
+            kind=refused.kind,
+            why=refused.detail,
+            ran=refused.ran,
+            retry_after_ms=refused.retry_after,
+        )
+        self._reply.send_refusal(refused, self._routed.id)
+
+    def _outcome_unknown(
+        self, result: attemptresult.AttemptResult
+    ) -> refusal.Refusal:
+        remaining = self._routed.deadline - self._deps.env.clock.now()
+        kind = (
+            _Kind.DEADLINE_PASSED
+            if remaining < _MIN_ATTEMPT_TIME
+            else _Kind.OUTCOME_UNKNOWN
+        )
+        return refusal.Refusal(
+            kind,
+            f"the request was sent; no complete response came: {result.why}",
+            "check whether the request took effect before sending it again",
+            ran.Ran.UNKNOWN,
+        )
--- a/src/citronvalve/forward/environment.py
+++ b/src/citronvalve/forward/environment.py
@@ -1,24 +1,24 @@
-"""What every part of the forwarding path is given."""
+"""The context shared by all components of the forwarding path."""
 
 import random
 
-from citronvalve.forward import dialect as dialects
+from citronvalve.forward import headernames
 from citronvalve.forward import metrics as metrics_
 from citronvalve.model import clock
 from citronvalve.model import decisionlog
 
 
 class Environment:
-    """Name, place, clock, chance, log and metrics of one daemon.
+    """Name, location, clock, random generator, log and metrics of a daemon.
 
     :param name: the daemon's name.
-    :param datacentre: where it stands.
+    :param datacentre: its data centre.
     :param clock_: the clock.
-    :param chance: source of chance.
-    :param log: takes one line a decision.
-    :param dialect: names of headers.
+    :param rng: the random number generator.
+    :param log: the decision log.
+    :param header_names: names of the headers that the daemon reads and sets.
     :ivar stopping: set once the daemon has been asked to stop.
-    :ivar daemons: how many daemons share what is bounded for all.
+    :ivar daemon_count: how many daemons share the limits.
     """
 
     def __init__(
@@ -26,16 +26,16 @@
         name: str,
         datacentre: str,
         clock_: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
         log: decisionlog.DecisionLog,
-        dialect: dialects.Dialect,
+        header_names: headernames.HeaderNames,
     ) -> None:
         self.name = name
         self.datacentre = datacentre
         self.clock = clock_
-        self.chance = chance
+        self.rng = rng
         self.log = log
-        self.dialect = dialect
+        self.header_names = header_names
         self.metrics = metrics_.Metrics()
         self.stopping = False
-        self.daemons = 1
+        self.daemon_count = 1
--- /dev/null
+++ b/src/citronvalve/forward/exchangeerror.py
@@ -0,0 +1,30 @@
+"""Failures of an exchange with an upstream."""
+
+import enum
+
+from citronvalve.model import errors
+
+
+class ExchangeFailure(enum.StrEnum):
+    """How an exchange failed; after the first two, nothing was sent."""
+
+    UNREACHED = "unreached"
+    REFUSED = "refused"
+    #: Closed or reset; a request that was sent may have run.
+    BROKEN = "broken"
+    SILENT = "silent"
+    GARBLED = "garbled"
+
+
+class ExchangeError(errors.UpstreamError):
+    """The exchange failed.
+
+    :param failure: its kind.
+    :param why: the cause, as text.
+    """
+
+    def __init__(self, failure: ExchangeFailure, why: str) -> None:
+        super().__init__(
+            why, remedy="retry at another upstream if the request is retryable"
+        )
+        self.failure = failure
--- a/src/citronvalve/forward/forwarder.py
+++ b/src/citronvalve/forward/forwarder.py
@@ -1,29 +1,31 @@
-"""Handles the callers' requests from their arrival to their end."""
+"""Handler of callers' requests from arrival to end."""
 
+from citronvalve.forward import admission as admissions
 from citronvalve.forward import callergone
 from citronvalve.forward import callerrequest
-from citronvalve.forward import demand as demands
-from citronvalve.forward import intake as intakes
-from citronvalve.forward import means as means_
-from citronvalve.forward import passage as passages
+from citronvalve.forward import dependencies
+from citronvalve.forward import dispatch as dispatches
 from citronvalve.forward import reply as replies
+from citronvalve.forward import routedrequest
 from citronvalve.model import refusal
 
 
 class Forwarder:
-    """Admits a request, passes it on and notes its end.
+    """Admits a request, dispatches it and records its end.
 
-    :param means: what it works with.
-    :param intake: finds route, team and service.
-    :ivar in_progress: requests that have no end yet.
-    :ivar served: requests that have come so far.
+    :param deps: the daemon's components.
+    :param admission: resolves route, team and service.
+    :ivar in_progress: number of requests that have not ended.
+    :ivar received: number of requests received.
     """
 
-    def __init__(self, means: means_.Means, intake: intakes.Intake) -> None:
-        self._means = means
-        self._intake = intake
+    def __init__(
+        self, deps: dependencies.Dependencies, admission: admissions.Admission
+    ) -> None:
+        self._deps = deps
+        self._admission = admission
         self.in_progress = 0
-        self.served = 0
+        self.received = 0
 
     def handle(
         self, request: callerrequest.CallerRequest, reply: replies.Reply
@@ -31,63 +33,71 @@
         """Answer a request.
 
         :param request: the caller's.
-        :param reply: takes the answer.
+        :param reply: receives the response.
         """
         self.in_progress += 1
-        self.served += 1
+        self.received += 1
         try:
-            demand = self._intake.admit(request)
-            if isinstance(demand, refusal.Refusal):
-                self._turn_away(request, reply, demand)
+            routed = self._admission.admit(request)
+            if isinstance(routed, refusal.Refusal):
+                self._reject(request, reply, routed)
             else:
-                self._pass_on(demand, reply)
+                self._dispatch(routed, reply)
         finally:
             self.in_progress -= 1
 
-    def _turn_away(
+    def _reject(
         self,
         request: callerrequest.CallerRequest,
         reply: replies.Reply,
         refused: refusal.Refusal,
     ) -> None:
-        env = self._means.env
-        number = request.header(env.dialect.request).decode("latin-1")
-        env.metrics.ended("unknown", "refused", refused.kind)
+        env = self._deps.env
+        request_id = request.header(env.header_names.request_id).decode(
+            "latin-1"
+        )
+        env.metrics.record_request("unknown", "refused", refused.kind)
         env.log.note(
-            "turned away", number, kind=refused.kind, why=refused.detail
+            "turned away", request_id, kind=refused.kind, why=refused.detail
         )
-        reply.refuse(refused, number)
+        reply.send_refusal(refused, request_id)
 
-    def _pass_on(self, demand: demands.Demand, reply: replies.Reply) -> None:
-        env = self._means.env
-        self._means.repeats.requested(demand.service.name)
-        passage = passages.Passage(self._means, demand, reply)
+    def _dispatch(
+        self, routed: routedrequest.RoutedRequest, reply: replies.Reply
+    ) -> None:
+        env = self._deps.env
+        self._deps.retry_budgets.record_request(routed.service.name)
+        dispatch = dispatches.Dispatch(self._deps, routed, reply)
         try:
-            passage.run()
+            dispatch.run()
         except callergone.CallerGoneError:
-            passage.outcome, passage.reason = "left", "caller closed"
+            dispatch.outcome, dispatch.reason = "left", "caller closed"
             reply.abort()
         except OSError as error:
-            passage.outcome, passage.reason = "left", "caller unreachable"
-            env.log.note("caller lost", demand.id, why=str(error))
+            dispatch.outcome, dispatch.reason = "left", "caller unreachable"
+            env.log.note("caller lost", routed.id, why=str(error))
             reply.abort()
         finally:
-            self._ended(demand, passage)
+            self._record_end(routed, dispatch)
 
-    def _ended(
-        self, demand: demands.Demand, passage: passages.Passage
+    def _record_end(
+        self,
+        routed: routedrequest.RoutedRequest,
+        dispatch: dispatches.Dispatch,
     ) -> None:
-        env = self._means.env
-        catalogue = self._means.directory.catalogue
-        env.metrics.ended(demand.route.kind, passage.outcome, passage.reason)
+        env = self._deps.env
+        catalogue = self._deps.directory.catalogue
+        env.metrics.record_request(
+            routed.route.kind, dispatch.outcome, dispatch.reason
+        )
         env.log.note(
             "request ended",
-            demand.id,
-            outcome=passage.outcome,
-            reason=passage.reason,
-            route=demand.route.name,
-            model=demand.model,
-            upstreams=passage.tried,
-            took_ms=env.clock.now() - demand.request.arrived,
+            routed.id,
+            outcome=dispatch.outcome,
+            reason=dispatch.reason,
+            route=routed.route.name,
+            model=routed.model,
+            upstreams=dispatch.tried,
+            took_ms=env.clock.now() - routed.request.arrived_at,
             config=catalogue.version if catalogue else 0,
         )
--- a/src/citronvalve/forward/metrics.py
+++ b/src/citronvalve/forward/metrics.py
@@ -5,7 +5,7 @@
 from citronvalve.entry import gauges
 from citronvalve.model import clock
 
-#: Fine around the latency objectives of 0.2 to 0.5 s.
+#: Bounds in seconds; fine around the latency objectives of 0.2 to 0.5 s.
 _BUCKETS = (
     *(0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5),
     *(0.75, 1.0, 2.0, 4.0, 8.0, float("inf")),
@@ -13,88 +13,90 @@
 
 
 class Metrics(gauges.Gauges):
-    """Counters and histograms whose labels no caller can grow."""
+    """Counters and histograms; callers can't add label values."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._ended = self._counter(
+        self._requests = self._counter(
             "requests_total", "Requests ended, by kind, outcome and reason."
         )
-        self._tries = self._counter(
+        self._attempts = self._counter(
             "tries_total", "Tries at upstreams, by how they ended."
         )
-        self._bytes = self._counter(
+        self._malformed = self._counter(
             "malformed_total", "Bytes that were no request, by status."
         )
         self._orders = self._counter(
             "orders_total", "Orders to engines, by kind and result."
         )
-        self._readings = self._counter(
+        self._platform_reads = self._counter(
             "platform_readings_total", "Calls for a table, by result."
         )
-        self._first = self._histogram(
+        self._first_event = self._histogram(
             "first_event_seconds", "Arrival to the first event or answer."
         )
         self._gap = self._histogram(
             "event_gap_seconds", "Longest pause between events of a stream."
         )
-        self._error = self._histogram(
+        self._forecast_error = self._histogram(
             "forecast_error_seconds", "First event after its forecast."
         )
 
-    def ended(self, kind: str, outcome: str, reason: str) -> None:
-        """Count a request's end.
+    def record_request(self, kind: str, outcome: str, reason: str) -> None:
+        """Count the end of a request.
 
-        :param kind: of its route.
+        :param kind: the kind of its route.
         :param outcome: ``whole``, ``refused``, ``failed``, ``broken`` or
             ``left``.
-        :param reason: one of a closed set.
+        :param reason: the cause, from a closed set.
         """
-        self._ended.inc({"kind": kind, "outcome": outcome, "reason": reason})
+        self._requests.inc(
+            {"kind": kind, "outcome": outcome, "reason": reason}
+        )
 
-    def tried(self, result: str) -> None:
-        """Count a try at an upstream.
+    def record_attempt(self, result: str) -> None:
+        """Count an attempt at an upstream.
 
         :param result: how it ended.
         """
-        self._tries.inc({"result": result})
+        self._attempts.inc({"result": result})
 
-    def refused_bytes(self, status: int) -> None:
-        """Count bytes that were no request.
+    def record_malformed(self, status: int) -> None:
+        """Count malformed input.
 
-        :param status: what they were answered with.
+        :param status: the status of the response to it.
         """
-        self._bytes.inc({"status": str(status)})
+        self._malformed.inc({"status": str(status)})
 
-    def ordered(self, order: str, result: str) -> None:
+    def record_order(self, order: str, result: str) -> None:
         """Count an order to an engine.
 
         :param order: its kind.
-        :param result: the status, or why there is none.
+        :param result: the status, or the reason why there is none.
         """
         self._orders.inc({"order": order, "result": result})
 
-    def read_platform(self, table: str, answered: bool) -> None:
-        """Count a call for the changes of a table.
+    def record_platform_read(self, table: str, answered: bool) -> None:
+        """Count a poll for the changes of a table.
 
         :param table: its name; the daemon follows a fixed few.
-        :param answered: whether an answer came.
+        :param answered: whether the platform answered.
         """
         result = "answered" if answered else "failed"
-        self._readings.inc({"table": table, "result": result})
+        self._platform_reads.inc({"table": table, "result": result})
 
-    def first_event(self, took: clock.Ms, forecast: float) -> None:
-        """Note the time to a first event.
+    def observe_first_event(self, elapsed: clock.Ms, forecast: float) -> None:
+        """Record the time to a first event.
 
-        :param took: ms from arrival.
-        :param forecast: ms that were expected from the try's start.
+        :param elapsed: ms from arrival.
+        :param forecast: forecast ms from the start of the attempt.
         """
-        self._first.observe({}, took / clock.SECOND)
-        late = max(0.0, took - forecast)
-        self._error.observe({}, late / clock.SECOND)
+        self._first_event.observe({}, elapsed / clock.SECOND)
+        late = max(0.0, elapsed - forecast)
+        self._forecast_error.observe({}, late / clock.SECOND)
 
-    def gap(self, longest: clock.Ms) -> None:
-        """Note a stream's longest pause.
+    def observe_gap(self, longest: clock.Ms) -> None:
+        """Record the longest pause of a stream.
 
         :param longest: ms.
         """
--- /dev/null
+++ b/src/citronvalve/forward/placement.py
@@ -0,0 +1,264 @@
+"""Chooses the upstream of a request, or the refusal of the request."""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from citronvalve.forward import attemptresult
+from citronvalve.forward import directory as directories
+from citronvalve.forward import environment as environments
+from citronvalve.forward import routedrequest
+from citronvalve.model import clock
+from citronvalve.model import refusal
+from citronvalve.policy import coldrate
+from citronvalve.policy import enginepace
+from citronvalve.policy import upstreamchoice
+
+#: Part of the objective within which the first event must be expected:
+#: actual times vary around the forecast, which excludes the way back.
+_OBJECTIVE_SHARE = 0.8
+
+#: Longest forecast time in ms to a first event past the objective.  Callers
+#: disconnect after two seconds, and forecasts of long queues are rough.
+_MAX_LATE_WAIT = 900.0
+
+#: The same for a request with less time than its route's timeout: its caller
+#: was refused before or is in a hurry, and does not retry again.
+_MAX_LATE_WAIT_RETRIED = 1_500.0
+
+#: Part of the route's timeout below which a request has less time.
+_SHORTENED_SHARE = 0.95
+
+#: A replica whose first event is forecast past this part of the objective is
+#: nearly full, and the loads of other daemons matter for this long.
+_PRESSURE_SHARE = 0.5
+_PRESSURE_TIME: clock.Ms = 1_000
+
+#: The engine's last rank, for requests that will miss their objective.
+LATE_RANK = 9
+
+#: Shortest ``Retry-After``: sooner the load is unchanged.
+_MIN_RETRY_AFTER: clock.Ms = 250
+
+#: Typical time in which a replica that lost a member is repaired.
+_REPAIR_TIME: clock.Ms = 1_500
+
+#: ``Retry-After`` is at most the caller's remaining time divided by this.
+_RETRY_AFTER_DIVISOR = 3
+
+#: Plain services have no forecast.
+_NO_FORECAST = enginepace.Forecast(0.0, 0.0, 0.0)
+
+#: The service has no upstream that could be full.
+_NO_UPSTREAM = upstreamchoice.Full(0, 0)
+
+
+class ColdLimits(NamedTuple):
+    """How far the declared rate of a cold upstream may be exceeded.
+
+    ``over`` is a factor on the rate; ``slack`` is added to it, in requests
+    per second.
+    """
+
+    over: float = 1.0
+    slack: float = 0.0
+
+
+class Placement:
+    """Chooses upstreams by their state and load.
+
+    :param env: the daemon's environment.
+    :param directory: the upstreams.
+    :param loads: the upstreams' loads.
+    :param cold_limits: the limits for cold upstreams.
+    :ivar cold_limits: the same; replaced when the settings change.
+    """
+
+    def __init__(
+        self,
+        env: environments.Environment,
+        directory: directories.Directory,
+        loads: upstreamchoice.LoadTable,
+        cold_limits: ColdLimits,
+    ) -> None:
+        self._env = env
+        self._directory = directory
+        self.cold_limits = cold_limits
+        self._pressed_at: clock.Ms | None = None
+        self._choice = upstreamchoice.UpstreamChoice(loads, env.rng)
+        self._cold_rate = coldrate.ColdRate(env.rng)
+
+    def place(
+        self, routed: routedrequest.RoutedRequest, tried: list[str]
+    ) -> upstreamchoice.Chosen | refusal.Refusal:
+        """Choose an untried upstream, or return a refusal.
+
+        :param routed: the request.
+        :param tried: ids of the upstreams of earlier attempts.
+        """
+        now = self._env.clock.now()
+        found = self._choose(routed, tried, now)
+        if found is not _NO_UPSTREAM:
+            self._update_pressure(found, routed, now)
+        if isinstance(found, upstreamchoice.Chosen):
+            self._record_sent(found.upstream, routed, now)
+            return found
+        if found.candidates:
+            return self._refuse(
+                routed,
+                f"all {found.candidates} replicas are full",
+                max(_MIN_RETRY_AFTER, found.retry_in),
+            )
+        return self._refuse(routed, _no_upstream_reason(routed), _REPAIR_TIME)
+
+    def can_place(
+        self, routed: routedrequest.RoutedRequest, tried: list[str]
+    ) -> bool:
+        """Return whether an untried upstream has room for the request.
+
+        :param routed: the request.
+        :param tried: ids of the upstreams of earlier attempts.
+        """
+        found = self._choose(routed, tried, self._env.clock.now())
+        return isinstance(found, upstreamchoice.Chosen)
+
+    def is_pressed(self) -> bool:
+        """Return whether a recent request found its replicas nearly full."""
+        if self._pressed_at is None:
+            return False
+        return self._env.clock.now() - self._pressed_at < _PRESSURE_TIME
+
+    def not_run_refusal(
+        self,
+        routed: routedrequest.RoutedRequest,
+        result: attemptresult.AttemptResult,
+    ) -> refusal.Refusal:
+        """Return the refusal of a request that no upstream ran.
+
+        :param routed: the request.
+        :param result: the result of the last attempt.
+        """
+        return self._refuse(routed, f"not run: {result.why}", _MIN_RETRY_AFTER)
+
+    def _choose(
+        self,
+        routed: routedrequest.RoutedRequest,
+        tried: list[str],
+        now: clock.Ms,
+    ) -> upstreamchoice.Chosen | upstreamchoice.Full:
+        service, engine = routed.service, routed.service.engine
+        if engine is None:
+            candidates = self._directory.plain_upstreams(service.name)
+            eligible = self._eligible(candidates, routed, tried, now)
+            chosen = self._choice.least_loaded(eligible, now)
+            if chosen is None:
+                return _NO_UPSTREAM
+            return upstreamchoice.Chosen(chosen, _NO_FORECAST)
+        model = engine.model_by_name.get(routed.model)
+        if model is None:
+            return _NO_UPSTREAM
+        candidates = self._directory.open_heads(service.name, model.name)
+        eligible = self._eligible(candidates, routed, tried, now)
+        pace = enginepace.EnginePace(engine, model.time_factor)
+        return self._choice.choose(
+            self._job(routed, tried, now), eligible, pace, now
+        )
+
+    def _update_pressure(
+        self,
+        chosen: upstreamchoice.Chosen | upstreamchoice.Full,
+        routed: routedrequest.RoutedRequest,
+        now: clock.Ms,
+    ) -> None:
+        room = _PRESSURE_SHARE * routed.route.latency_objective
+        full = isinstance(chosen, upstreamchoice.Full)
+        if full or chosen.late or chosen.forecast.first > room:
+            self._pressed_at = now
+
+    def _job(
+        self,
+        routed: routedrequest.RoutedRequest,
+        tried: list[str],
+        now: clock.Ms,
+    ) -> upstreamchoice.Job:
+        remaining = float(routed.deadline - now)
+        # A retry is not queued behind on-time requests again.
+        objective = remaining if tried else routed.route.latency_objective
+        return upstreamchoice.Job(
+            routed.prompt_tokens,
+            routed.response_tokens,
+            _OBJECTIVE_SHARE * objective - (now - routed.request.arrived_at),
+            remaining if tried else min(remaining, self._max_wait(routed)),
+        )
+
+    def _max_wait(self, routed: routedrequest.RoutedRequest) -> float:
+        caller_timeout = routed.deadline - routed.request.arrived_at
+        is_shortened = caller_timeout < _SHORTENED_SHARE * routed.route.timeout
+        return _MAX_LATE_WAIT_RETRIED if is_shortened else _MAX_LATE_WAIT
+
+    def _eligible(
+        self,
+        candidates: Iterable[upstreamchoice.Candidate],
+        routed: routedrequest.RoutedRequest,
+        tried: list[str],
+        now: clock.Ms,
+    ) -> list[upstreamchoice.Candidate]:
+        rate = self._cold_limit(routed)
+        return [
+            candidate._replace(
+                slots=routed.service.engine.slots
+                if routed.service.engine
+                else candidate.slots
+            )
+            for candidate in candidates
+            if candidate.upstream not in tried
+            and self._allows(candidate.upstream, rate, now)
+        ]
+
+    def _allows(self, upstream: str, rate: float, now: clock.Ms) -> bool:
+        if not rate or not self._is_cold(upstream, now):
+            return True
+        return self._cold_rate.allows(
+            upstream, rate, self._env.daemon_count, now
+        )
+
+    def _is_cold(self, upstream: str, now: clock.Ms) -> bool:
+        runner = self._directory.runner_by_id.get(upstream)
+        return runner is not None and now < runner.cold_until
+
+    def _cold_limit(self, routed: routedrequest.RoutedRequest) -> float:
+        declared = routed.service.cold_rate
+        if not declared:
+            return 0.0
+        return declared * self.cold_limits.over + self.cold_limits.slack
+
+    def _record_sent(
+        self, upstream: str, routed: routedrequest.RoutedRequest, now: clock.Ms
+    ) -> None:
+        if self._cold_limit(routed):
+            # Recorded while warm, too: an upstream can become cold without
+            # notice, and the requests of the last second count then.
+            self._cold_rate.record_sent(upstream, now)
+
+    def _refuse(
+        self, routed: routedrequest.RoutedRequest, why: str, retry_in: clock.Ms
+    ) -> refusal.Refusal:
+        remaining = max(0, routed.deadline - self._env.clock.now())
+        # Jitter keeps refused callers from retrying all at once.
+        jittered = retry_in * self._env.rng.uniform(1.0, 1.5)
+        return refusal.Refusal(
+            refusal.RefusalKind.NO_UPSTREAM,
+            why,
+            "send the request again after the time given",
+            retry_after=max(
+                1, min(round(jittered), remaining // _RETRY_AFTER_DIVISOR)
+            ),
+        )
+
+
+def _no_upstream_reason(routed: routedrequest.RoutedRequest) -> str:
+    engine = routed.service.engine
+    if engine is None:
+        return "no upstream of the service"
+    if routed.model not in engine.model_by_name:
+        return "the service has no such model"
+    return "no replica of the model is open"
--- /dev/null
+++ b/src/citronvalve/forward/responsereader.py
@@ -0,0 +1,132 @@
+"""Reads of an upstream's response, with timeouts from its forecast."""
+
+from collections.abc import Callable
+
+import h11
+
+from citronvalve.forward import dependencies
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import routedrequest
+from citronvalve.forward import upstreamconnection
+from citronvalve.model import clock
+from citronvalve.policy import upstreamchoice
+
+#: An upstream may answer at the deadline itself; its response still has to
+#: arrive.
+_DEADLINE_GRACE: clock.Ms = 150
+
+#: A stream that is silent for this multiple of the expected gap, or half this
+#: multiple of the expected time to its first event, may be stalled; the
+#: minimums below apply.  Passes that prefill long prompts take up to four
+#: times as long as usual ones, and callers disconnect after two seconds.
+_STALL_FACTOR = 5.0
+_MIN_FIRST_EVENT_TIMEOUT: clock.Ms = 450
+_MIN_GAP_TIMEOUT: clock.Ms = 350
+
+#: While other connections to the replica are active, only this one may be
+#: lost; its timeout is multiplied by this.
+_SINGLE_CONNECTION_FACTOR = 3
+
+#: Time between checks whether the replica has been found stalled elsewhere;
+#: all requests that wait for it then switch at once.
+_POLL_INTERVAL: clock.Ms = 100
+
+#: A poll that takes longer was delayed by a pause of this daemon.  Only this
+#: much of it counts as silence of the upstream: data that arrived in the
+#: pause is still unread, since due timers are served before sockets.
+_MAX_POLL_TIME: clock.Ms = 2 * _POLL_INTERVAL
+
+#: A plain upstream that is silent for this multiple of the latency objective
+#: is taken to hang; a retryable request is then sent to another.
+_PLAIN_STALL_FACTOR = 2.5
+
+_Failure = exchangeerror.ExchangeFailure
+
+
+class ResponseReader:
+    """Reads the parts of a response and gives up on a stalled upstream.
+
+    :param deps: the daemon's components.
+    :param routed: the request.
+    :param chosen: the upstream and its forecast.
+    :param can_switch: returns whether the request could continue at another
+        upstream; if not, the response is awaited until the deadline.
+    """
+
+    def __init__(
+        self,
+        deps: dependencies.Dependencies,
+        routed: routedrequest.RoutedRequest,
+        chosen: upstreamchoice.Chosen,
+        can_switch: Callable[[], bool],
+    ) -> None:
+        self._clock = deps.env.clock
+        self._stall_detector = deps.stall_detector
+        self._routed = routed
+        self._chosen = chosen
+        self._can_switch = can_switch
+
+    def next_part(
+        self, connection: upstreamconnection.UpstreamConnection
+    ) -> h11.Event:
+        """Read the next part of a response's head or of a buffered body.
+
+        :param connection: the connection.
+        :raises exchangeerror.ExchangeError: when the upstream is given up.
+        """
+        if self._routed.service.engine is not None:
+            expected = _STALL_FACTOR * self._chosen.forecast.first / 2
+            return self._wait(
+                connection, max(_MIN_FIRST_EVENT_TIMEOUT, round(expected))
+            )
+        objective = self._routed.route.latency_objective
+        return self._wait(connection, round(_PLAIN_STALL_FACTOR * objective))
+
+    def next_stream_part(
+        self, connection: upstreamconnection.UpstreamConnection
+    ) -> h11.Event:
+        """Read the next part of a stream.
+
+        :param connection: the connection.
+        :raises exchangeerror.ExchangeError: when the upstream is given up.
+        """
+        expected = _STALL_FACTOR * self._chosen.forecast.gap
+        return self._wait(connection, max(_MIN_GAP_TIMEOUT, round(expected)))
+
+    def _wait(
+        self,
+        connection: upstreamconnection.UpstreamConnection,
+        timeout: clock.Ms,
+    ) -> h11.Event:
+        end = self._routed.deadline + _DEADLINE_GRACE
+        waited: clock.Ms = 0
+        while True:
+            started_at = self._clock.now()
+            poll_end = min(end, started_at + _POLL_INTERVAL)
+            try:
+                return connection.next_event(poll_end)
+            except exchangeerror.ExchangeError as error:
+                if error.failure is not _Failure.SILENT or poll_end >= end:
+                    raise
+                waited += self._count_silence(self._clock.now() - started_at)
+                # Checked at each poll: a replica may open in between.
+                if self._is_given_up(waited, timeout) and self._can_switch():
+                    raise
+
+    def _count_silence(self, elapsed: clock.Ms) -> clock.Ms:
+        """Return how much of a poll counts as silence of the upstream."""
+        if elapsed > _MAX_POLL_TIME:
+            self._stall_detector.record_pause(elapsed)
+        return min(elapsed, _MAX_POLL_TIME)
+
+    def _is_given_up(self, waited: clock.Ms, timeout: clock.Ms) -> bool:
+        if self._routed.service.engine is None:
+            return waited >= timeout
+        upstream = self._chosen.upstream
+        if self._stall_detector.is_stalled(upstream):
+            return True
+        if waited < timeout:
+            return False
+        if self._stall_detector.record_silence(upstream):
+            return True
+        return waited >= _SINGLE_CONNECTION_FACTOR * timeout
--- /dev/null
+++ b/src/citronvalve/forward/upstreamconnection.py
@@ -0,0 +1,196 @@
+"""One connection to an upstream, for one exchange at a time."""
+
+import contextlib
+import socket
+
+import eventlet
+import h11
+
+from citronvalve.forward import exchangeerror
+from citronvalve.forward import headers
+from citronvalve.forward import receiving
+from citronvalve.model import clock
+
+_READ_SIZE = 65_536
+
+#: Requests of up to this many bytes fit into the socket's buffer and are sent
+#: inline.  Larger ones are sent on a green thread, since an upstream may
+#: respond before it has read them.
+_MAX_INLINE_SEND = 16_384
+
+_Failure = exchangeerror.ExchangeFailure
+
+
+class UpstreamConnection:
+    """An h11 client on one socket.
+
+    :param sock: a connected socket.
+    :param time_source: the clock.
+    :ivar reusable_until: monotonic ms until which it may be reused.
+    :ivar used: whether an exchange on it has completed.
+    """
+
+    def __init__(self, sock: socket.socket, time_source: clock.Clock) -> None:
+        self._sock = sock
+        self._clock = time_source
+        self._parser = h11.Connection(h11.CLIENT)
+        self._method = b"GET"
+        self._sender: eventlet.greenthread.GreenThread | None = None
+        self.reusable_until: clock.Ms = 0
+        self.used = False
+
+    def send(
+        self,
+        method: bytes,
+        target: bytes,
+        head: list[headers.Header],
+        body: bytes,
+    ) -> None:
+        """Send a request, framed anew.
+
+        :param method: as the caller sent it.
+        :param target: path and query, as the caller sent them.
+        :param head: without framing.
+        :param body: the complete body.
+        :raises exchangeerror.ExchangeError: when the connection is closed.
+        """
+        if body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
+            head = [*head, (b"content-length", b"%d" % len(body))]
+        self._method = method
+        data = self._parser.send(
+            h11.Request(method=method, target=target, headers=head)
+        )
+        if body:
+            data += self._parser.send(h11.Data(body))
+        data += self._parser.send(h11.EndOfMessage())
+        if len(data) <= _MAX_INLINE_SEND:
+            self._send(data)
+        else:
+            self._sender = eventlet.spawn(self._send_in_background, data)
+
+    def next_event(self, deadline: clock.Ms) -> h11.Event:
+        """Return the next part of the response.
+
+        :param deadline: monotonic ms.
+        :raises exchangeerror.ExchangeError: when nothing arrives in time,
+            the connection breaks or the data is not HTTP.
+        """
+        while True:
+            try:
+                event = self._parser.next_event()
+            except h11.RemoteProtocolError as error:
+                raise exchangeerror.ExchangeError(
+                    _failure_of(error), str(error)
+                ) from error
+            if isinstance(event, h11.InformationalResponse):
+                continue
+            if isinstance(event, h11.ConnectionClosed):
+                raise exchangeerror.ExchangeError(
+                    _Failure.BROKEN, "connection closed without a response"
+                )
+            if event is not h11.NEED_DATA:
+                return event
+            self._parser.receive_data(self._receive(deadline))
+
+    def expect_next_response(self) -> None:
+        """Read another response, after one to a different request.
+
+        An upstream may send a late duplicate response to an earlier request
+        before the response to this one.
+
+        :raises exchangeerror.ExchangeError: when no other can follow.
+        """
+        if self._parser.their_state is not h11.DONE:
+            raise exchangeerror.ExchangeError(
+                _Failure.GARBLED, "response is to another request"
+            )
+        trailing, closed = self._parser.trailing_data
+        if closed:
+            raise exchangeerror.ExchangeError(
+                _Failure.BROKEN, "closed after a response to another request"
+            )
+        # The request is sent already; a parser that reads the next response
+        # needs only its method.
+        self._parser = h11.Connection(h11.CLIENT)
+        host = [(b"host", b"-")]
+        self._parser.send(
+            h11.Request(method=self._method, target=b"/", headers=host)
+        )
+        self._parser.send(h11.EndOfMessage())
+        if trailing:
+            self._parser.receive_data(trailing)
+
+    def prepare_reuse(self) -> bool:
+        """Reset for the next request; return False if it must be closed."""
+        sent = self._sender is None or self._sender.dead
+        parser = self._parser
+        if not sent or parser.trailing_data[0]:
+            return False
+        if parser.our_state is not h11.DONE:
+            return False
+        if parser.their_state is not h11.DONE:
+            return False
+        parser.start_next_cycle()
+        self._sender = None
+        self.used = True
+        return True
+
+    def is_idle(self) -> bool:
+        """Return whether the connection is open with nothing to read.
+
+        Data that arrives between two exchanges belongs to no request.
+        """
+        try:
+            self._sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        except BlockingIOError:
+            return True
+        except OSError:
+            return False
+        return False
+
+    def close(self) -> None:
+        """Close it; the upstream cancels the request that it was running."""
+        if self._sender is not None:
+            self._sender.kill()
+        with contextlib.suppress(OSError):
+            self._sock.close()
+
+    def _send(self, data: bytes) -> None:
+        try:
+            self._sock.settimeout(None)
+            self._sock.sendall(data)
+        except OSError as error:
+            raise exchangeerror.ExchangeError(
+                _Failure.BROKEN, str(error)
+            ) from error
+
+    def _send_in_background(self, data: bytes) -> None:
+        # The reader sees an error here as a broken response.
+        with contextlib.suppress(exchangeerror.ExchangeError):
+            self._send(data)
+
+    def _receive(self, deadline: clock.Ms) -> bytes:
+        remaining = deadline - self._clock.now()
+        if remaining <= 0:
+            raise exchangeerror.ExchangeError(
+                _Failure.SILENT, "no data arrived in time"
+            )
+        try:
+            return receiving.receive(self._sock, _READ_SIZE, remaining)
+        except TimeoutError as error:
+            raise exchangeerror.ExchangeError(
+                _Failure.SILENT, "no data arrived in time"
+            ) from error
+        except OSError as error:
+            raise exchangeerror.ExchangeError(
+                _Failure.BROKEN, str(error)
+            ) from error
+
+
+def _failure_of(
+    error: h11.RemoteProtocolError,
+) -> exchangeerror.ExchangeFailure:
+    # The parser raises the same type for a premature close and for bytes
+    # that are no response.
+    cut = "closed" in str(error).lower()
+    return _Failure.BROKEN if cut else _Failure.GARBLED
