--- a/benchmarks/once.py
+++ b/benchmarks/once.py
@@ -14,13 +14,13 @@
 
 from benchmarks import figure
 from citronvalve.model import invariant
-from citronvalve.once import answer
 from citronvalve.once import batch as batches
-from citronvalve.once import job as jobs
-from citronvalve.once import kept
+from citronvalve.once import change as changes
+from citronvalve.once import changeresult
 from citronvalve.once import record
-from citronvalve.once import settled
+from citronvalve.once import response
 from citronvalve.once import state
+from citronvalve.once import storedresponse
 from citronvalve.once import writer
 from standins import memorytable
 
@@ -76,7 +76,7 @@
         self._table = memorytable.MemoryTable()
         self._free_at = 0.0
         self._asked_at: dict[str, int] = {}
-        self._due: dict[int, list[tuple[_Daemon, jobs.Job]]] = {}
+        self._due: dict[int, list[tuple[_Daemon, changes.Change]]] = {}
         self._waits: list[int] = []
         self._trips: list[int] = []
         self._recorded = 0
@@ -110,13 +110,13 @@
             )
             self._asked_at[row.attempt] = now
             daemon = self._chance.choice(self._daemons)
-            daemon.writer.submit(jobs.claim(f"team/key-{number}", row))
+            daemon.writer.submit(changes.claim(f"team/key-{number}", row))
 
     def _step(self, daemon: _Daemon, now: int) -> None:
         if daemon.sent and daemon.sent[0] <= now:
             self._settle(daemon, now)
         began = time.process_time()
-        taken = daemon.writer.take(now, now)
+        taken = daemon.writer.next_batch(now, now)
         self._cpu += time.process_time() - began
         if taken:
             start = max(now, self._free_at)
@@ -138,22 +138,26 @@
         for end in ends:
             self._end(daemon, end, now)
 
-    def _end(self, daemon: _Daemon, end: settled.Settled, now: int) -> None:
-        if isinstance(end.end, settled.Recorded):
+    def _end(
+        self, daemon: _Daemon, end: changeresult.ChangeResult, now: int
+    ) -> None:
+        if isinstance(end.outcome, changeresult.Applied):
             self._recorded += 1
             return
-        self._waits.append(now - self._asked_at[end.job.attempt])
-        sent = answer.Answer(201, "text/plain", _BODY)
-        done = end.job.record._replace(
+        self._waits.append(now - self._asked_at[end.change.attempt_id])
+        sent = response.Response(201, "text/plain", _BODY)
+        done = end.change.record._replace(
             state=state.State.DONE,
-            kept=kept.Kept(*sent[:2], kept.Place.ROW, sent.body),
+            kept=storedresponse.StoredResponse(
+                *sent[:2], storedresponse.BodyLocation.ROW, sent.body
+            ),
         )
-        finish = jobs.Job(
-            jobs.JobKind.FINISH,
-            end.job.place,
-            end.job.attempt,
+        finish = changes.Change(
+            changes.ChangeKind.FINISH,
+            end.change.row_key,
+            end.change.attempt_id,
             done,
-            end.end.version,
+            end.outcome.version,
         )
         self._due.setdefault(now + _SERVICE, []).append((daemon, finish))
 
@@ -169,11 +173,11 @@
 def _throughput() -> Iterator[figure.Figure]:
     batched = _Simulation(Load(_TARGET * 5 // 4, 10)).run()
     # Two writes a request: half of the store's rate is all there is.
-    most, batches.MOST = batches.MOST, 1
+    most, batches.MAX_CHANGES = batches.MAX_CHANGES, 1
     try:
         single = _Simulation(Load(_STORE_WRITES // 2, 10)).run()
     finally:
-        batches.MOST = most
+        batches.MAX_CHANGES = most
     rate = batched.recorded / _SECONDS
     yield figure.Figure(
         "keyed requests a second at 300 writes a second, beside one a write",
--- a/src/citronvalve/daemon/recordtask.py
+++ b/src/citronvalve/daemon/recordtask.py
@@ -6,8 +6,8 @@
 
 from citronvalve.entry import environment as environments
 from citronvalve.model import clock
-from citronvalve.once import greenwaiting
-from citronvalve.once import loop
+from citronvalve.once import commitloop
+from citronvalve.once import greenscheduler
 from citronvalve.once import pacer
 from citronvalve.once import recorder as recorders
 from citronvalve.once import sweeper
@@ -42,7 +42,7 @@
     ) -> None:
         self._env = env
         self._daemons = daemons
-        waiting = greenwaiting.GreenWaiting()
+        waiting = greenscheduler.GreenScheduler()
         # Two starts of one daemon must not share names of attempts: the
         # second would take the first one's rows for its own.
         start = env.rng.getrandbits(_START_BITS)
@@ -58,9 +58,9 @@
             waiting,
             env.rng,
             env.invariants,
-            pacer.share(daemons()),
+            pacer.rate_for(daemons()),
         )
-        self._loop = loop.Loop(self.recorder, waiting, env.clock)
+        self._loop = commitloop.CommitLoop(self.recorder, waiting, env.clock)
 
     def run(self) -> None:
         """Write batches until the daemon ends."""
@@ -69,7 +69,7 @@
 
     def _share(self) -> None:
         while True:
-            rate = pacer.share(self._daemons())
+            rate = pacer.rate_for(self._daemons())
             self.recorder.writer.pacer.rate = rate
             eventlet.sleep(_LOOK / clock.SECOND)
 
--- a/src/citronvalve/entry/keyedrunner.py
+++ b/src/citronvalve/entry/keyedrunner.py
@@ -5,11 +5,11 @@
 from citronvalve.entry import work as works
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.once import answer as answers
 from citronvalve.once import attempt as attempts
-from citronvalve.once import call as oncecalls
+from citronvalve.once import keyedrequest as keyedrequests
 from citronvalve.once import outcome as outcomes
 from citronvalve.once import recorder as recorders
+from citronvalve.once import response as responses
 from citronvalve.upstreams import plainrequest
 
 #: The service's response, or why there is none.
@@ -39,7 +39,7 @@
         self._recorder = recorder
 
     def run(
-        self, call: oncecalls.Call, dispatch: Callable[[], Result]
+        self, call: keyedrequests.KeyedRequest, dispatch: Callable[[], Result]
     ) -> Result:
         """Run a request, or return its stored response.
 
@@ -50,9 +50,9 @@
         started = self._recorder.begin(call)
         if isinstance(started, refusal.Refusal):
             return started
-        if isinstance(started, attempts.Run):
+        if isinstance(started, attempts.Permit):
             return self._dispatch(started.attempt, dispatch)
-        return plainrequest.PlainResponse(*started.answer)
+        return plainrequest.PlainResponse(*started.response)
 
     def _dispatch(
         self, attempt: attempts.Attempt, dispatch: Callable[[], Result]
@@ -63,7 +63,7 @@
             result = dispatch()
             outcome = _outcome(result)
         finally:
-            recorded = self._recorder.end(attempt, outcome)
+            recorded = self._recorder.record_outcome(attempt, outcome)
         if isinstance(result, refusal.Refusal):
             return result
         if isinstance(recorded, refusal.Refusal):
@@ -73,7 +73,7 @@
 
 def make_call(
     work: works.Work, key: str, digest: str, now: int
-) -> oncecalls.Call:
+) -> keyedrequests.KeyedRequest:
     """Return a request in the form that the recorder takes.
 
     :param work: the request as used for placement.
@@ -81,10 +81,12 @@
     :param digest: digest of method, path and body.
     :param now: monotonic time in ms.
     """
-    return oncecalls.Call(work.team, key, digest, max(0, work.deadline - now))
+    return keyedrequests.KeyedRequest(
+        work.team, key, digest, max(0, work.deadline - now)
+    )
 
 
 def _outcome(result: Result) -> outcomes.Outcome:
     if isinstance(result, refusal.Refusal):
         return outcomes.Outcome(_EVENT_BY_RAN[result.ran])
-    return outcomes.of_answer(answers.Answer(*result))
+    return outcomes.from_response(responses.Response(*result))
--- a/src/citronvalve/once/attempt.py
+++ b/src/citronvalve/once/attempt.py
@@ -12,14 +12,14 @@
     others take it as left behind.
     """
 
-    attempt: str
-    place: str
+    attempt_id: str
+    row_key: str
     digest: str
     version: int
-    until: clock.Ms
+    expires_at: clock.Ms
 
 
-class Run(NamedTuple):
+class Permit(NamedTuple):
     """Dispatch it now, once, and tell the recorder how it ended."""
 
     attempt: Attempt
--- a/src/citronvalve/once/batch.py
+++ b/src/citronvalve/once/batch.py
@@ -6,19 +6,19 @@
 
 from citronvalve.model import clock
 from citronvalve.model import missing
-from citronvalve.once import job as jobs
+from citronvalve.once import change as changes
+from citronvalve.once import changeresult
 from citronvalve.once import record as records
-from citronvalve.once import settled
 from citronvalve.storage import rows
 
 #: Changes in one transaction.  At 3,000 keyed requests a second over 8
 #: daemons and 37 transactions a second each, some 20 are enough; the rest
 #: is for the burst after an outage.  The limit keeps a transaction near a
 #: tenth of a megabyte.
-MOST = 256
+MAX_CHANGES = 256
 
 #: Bytes of answers in one transaction; the rest waits for the next one.
-MOST_BYTES = 512 * 1024
+MAX_BODY_BYTES = 512 * 1024
 
 _MINUTE_TABLE = "once-minute-"
 
@@ -30,15 +30,15 @@
     """
 
     name: str
-    jobs: tuple[jobs.Job, ...]
-    wall: clock.Ms
+    changes: tuple[changes.Change, ...]
+    created_at: clock.Ms
 
 
-class Result(NamedTuple):
+class BatchResult(NamedTuple):
     """What became of the changes; ``again`` holds those still to do."""
 
-    settled: tuple[settled.Settled, ...]
-    again: tuple[jobs.Job, ...] = ()
+    finished: tuple[changeresult.ChangeResult, ...]
+    to_retry: tuple[changes.Change, ...] = ()
 
 
 def minute_table(wall: clock.Ms) -> str:
@@ -52,7 +52,7 @@
     return f"{_MINUTE_TABLE}{wall // clock.MINUTE}"
 
 
-def pick(waiting: Iterable[jobs.Job]) -> tuple[jobs.Job, ...]:
+def pick(queue: Iterable[changes.Change]) -> tuple[changes.Change, ...]:
     """Choose the changes of the next batch, oldest first.
 
     A key comes once: two claims of one key in one transaction would both
@@ -60,14 +60,16 @@
 
     :param waiting: every change not yet done.
     """
-    job_by_place: dict[str, jobs.Job] = {}
+    change_by_row_key: dict[str, changes.Change] = {}
     size = 0
-    for job in waiting:
-        size += _size(job)
-        if len(job_by_place) == MOST or (job_by_place and size > MOST_BYTES):
+    for change in queue:
+        size += _body_size(change)
+        if len(change_by_row_key) == MAX_CHANGES or (
+            change_by_row_key and size > MAX_BODY_BYTES
+        ):
             break
-        job_by_place.setdefault(job.place, job)
-    return tuple(job_by_place.values())
+        change_by_row_key.setdefault(change.row_key, change)
+    return tuple(change_by_row_key.values())
 
 
 def transaction(batch: Batch) -> rows.Transaction:
@@ -76,97 +78,115 @@
     :param batch: changes of different keys.
     """
     conditions = tuple(
-        rows.Condition(records.TABLE, job.place, job.version)
-        for job in batch.jobs
+        rows.Condition(records.TABLE, job.row_key, job.version)
+        for job in batch.changes
     )
-    writes = [_write(job) for job in batch.jobs if _changes(job)]
+    writes = [_write(job) for job in batch.changes if _has_write(job)]
     if writes:
-        writes.append(_listed(batch))
+        writes.append(_index_write(batch))
     return rows.Transaction(batch.name, conditions, tuple(writes))
 
 
-def settle(batch: Batch, result: Any) -> Result:
+def settle(batch: Batch, result: Any) -> BatchResult:
     """Tell what the platform's answer means for each change.
 
     :param batch: as it was sent.
     :param result: what :meth:`TableService.commit` returned.
     """
     if isinstance(result, rows.Committed):
-        return Result(tuple(_done(job, result.revision) for job in batch.jobs))
+        return BatchResult(
+            tuple(_applied(job, result.revision) for job in batch.changes)
+        )
     if isinstance(result, rows.Conflict):
-        return _after_conflict(batch, result)
+        return _resolve_conflict(batch, result)
     lost = isinstance(result, missing.AnswerLost)
-    return Result(
-        (), tuple(j._replace(unsure=j.unsure or lost) for j in batch.jobs)
+    return BatchResult(
+        (),
+        tuple(
+            j._replace(maybe_applied=j.maybe_applied or lost)
+            for j in batch.changes
+        ),
     )
 
 
-def _size(job: jobs.Job) -> int:
-    kept = job.record.kept if job.record else None
-    return len(kept.body) if kept else 0
+def _body_size(change: changes.Change) -> int:
+    stored = change.record.kept if change.record else None
+    return len(stored.body) if stored else 0
 
 
-def _changes(job: jobs.Job) -> bool:
+def _has_write(change: changes.Change) -> bool:
     # A release of a row that is not there only looks whether it is.
-    return job.record is not None or job.version != rows.NO_ROW
+    return change.record is not None or change.version != rows.NO_ROW
 
 
-def _write(job: jobs.Job) -> rows.Write:
-    value = None if job.record is None else records.encode(job.record)
-    return rows.Write(records.TABLE, job.place, value)
+def _write(change: changes.Change) -> rows.Write:
+    value = None if change.record is None else records.encode(change.record)
+    return rows.Write(records.TABLE, change.row_key, value)
 
 
-def _listed(batch: Batch) -> rows.Write:
-    kept = [j for j in batch.jobs if j.record is not None]
-    objects = [j.record.kept.name for j in kept if j.record.kept]
+def _index_write(batch: Batch) -> rows.Write:
+    recorded = [j for j in batch.changes if j.record is not None]
+    objects = [j.record.kept.name for j in recorded if j.record.kept]
     value = {
-        "places": [job.place for job in kept],
+        "places": [job.row_key for job in recorded],
         "objects": [name for name in objects if name],
     }
-    return rows.Write(minute_table(batch.wall), batch.name, value)
-
-
-def _done(job: jobs.Job, version: int) -> settled.Settled:
-    if job.kind is jobs.JobKind.CLAIM:
-        return settled.Settled(job, settled.Owned(version))
-    return settled.Settled(job, settled.Recorded())
-
-
-def _after_conflict(batch: Batch, conflict: rows.Conflict) -> Result:
-    row_by_place = {row.key: row for row in conflict.rows}
-    ends = []
-    again = []
-    for job in batch.jobs:
-        found = _compare(job, row_by_place.get(job.place))
-        (ends if isinstance(found, settled.Settled) else again).append(found)
-    return Result(tuple(ends), tuple(again))
-
-
-def _compare(
-    job: jobs.Job, row: rows.Row | None
-) -> settled.Settled | jobs.Job:
+    return rows.Write(minute_table(batch.created_at), batch.name, value)
+
+
+def _applied(
+    change: changes.Change, version: int
+) -> changeresult.ChangeResult:
+    if change.kind is changes.ChangeKind.CLAIM:
+        return changeresult.ChangeResult(change, changeresult.Claimed(version))
+    return changeresult.ChangeResult(change, changeresult.Applied())
+
+
+def _resolve_conflict(batch: Batch, conflict: rows.Conflict) -> BatchResult:
+    row_by_key = {row.key: row for row in conflict.rows}
+    finished = []
+    to_retry = []
+    for change in batch.changes:
+        resolved = _resolve_change(change, row_by_key.get(change.row_key))
+        (
+            finished
+            if isinstance(resolved, changeresult.ChangeResult)
+            else to_retry
+        ).append(resolved)
+    return BatchResult(tuple(finished), tuple(to_retry))
+
+
+def _resolve_change(
+    change: changes.Change, row: rows.Row | None
+) -> changeresult.ChangeResult | changes.Change:
     """Tell whether a change is settled by the row as it is, or still due."""
     if row is None:
-        return _without_row(job)
-    if row.version == job.version:
-        return job
+        return _resolve_missing_row(change)
+    if row.version == change.version:
+        return change
     found = records.decode(row.value)
-    if found.attempt != job.attempt:
-        return _beside_another(job, found)
-    if job.record == found:
+    if found.attempt != change.attempt_id:
+        return _resolve_other_attempt(change, found)
+    if change.record == found:
         # An earlier try took effect and its answer was lost.
-        return _done(job, row.version)
-    return job._replace(version=row.version)
+        return _applied(change, row.version)
+    return change._replace(version=row.version)
 
 
-def _without_row(job: jobs.Job) -> settled.Settled | jobs.Job:
-    if job.version == rows.NO_ROW:
-        return job
+def _resolve_missing_row(
+    change: changes.Change,
+) -> changeresult.ChangeResult | changes.Change:
+    if change.version == rows.NO_ROW:
+        return change
     # Deleted by an earlier try of this release, or swept after its time.
-    return settled.Settled(job, settled.Recorded())
+    return changeresult.ChangeResult(change, changeresult.Applied())
 
 
-def _beside_another(job: jobs.Job, found: records.Record) -> settled.Settled:
-    if job.kind is jobs.JobKind.CLAIM:
-        return settled.Settled(job, settled.Taken(found))
-    return settled.Settled(job, settled.Recorded())
+def _resolve_other_attempt(
+    change: changes.Change, found: records.Record
+) -> changeresult.ChangeResult:
+    if change.kind is changes.ChangeKind.CLAIM:
+        return changeresult.ChangeResult(
+            change, changeresult.ClaimedByOther(found)
+        )
+    return changeresult.ChangeResult(change, changeresult.Applied())
--- a/src/citronvalve/once/job.py
+++ b/src/citronvalve/once/change.py
@@ -7,7 +7,7 @@
 from citronvalve.storage import rows
 
 
-class JobKind(enum.StrEnum):
+class ChangeKind(enum.StrEnum):
     """What a change is for."""
 
     #: Claim the key before the request is dispatched.
@@ -18,31 +18,33 @@
     RELEASE = "release"
 
 
-class Job(NamedTuple):
+class Change(NamedTuple):
     """A change that happens only while the row has ``version``.
 
     ``record`` is the new row, or None to delete it.  ``unsure`` says that
     an answer was lost, so that the change may have happened already.
     """
 
-    kind: JobKind
-    place: str
-    attempt: str
+    kind: ChangeKind
+    row_key: str
+    attempt_id: str
     record: records.Record | None
     version: int = rows.NO_ROW
-    unsure: bool = False
+    maybe_applied: bool = False
 
 
-def claim(place: str, record: records.Record) -> Job:
+def claim(row_key: str, record: records.Record) -> Change:
     """Return the claim of a key that has no row.
 
     :param place: key of the row.
     :param record: the pending row.
     """
-    return Job(JobKind.CLAIM, place, record.attempt, record)
+    return Change(ChangeKind.CLAIM, row_key, record.attempt, record)
 
 
-def release(place: str, attempt: str, version: int = rows.NO_ROW) -> Job:
+def release(
+    row_key: str, attempt_id: str, version: int = rows.NO_ROW
+) -> Change:
     """Return the change that gives a key back.
 
     :param place: key of the row.
@@ -50,4 +52,4 @@
     :param version: of the row; :data:`rows.NO_ROW` when it is not known
         whether the claim took effect.  The platform then shows the row.
     """
-    return Job(JobKind.RELEASE, place, attempt, None, version)
+    return Change(ChangeKind.RELEASE, row_key, attempt_id, None, version)
--- a/src/citronvalve/once/settled.py
+++ b/src/citronvalve/once/changeresult.py
@@ -3,34 +3,34 @@
 from typing import NamedTuple
 
 from citronvalve.model import missing
-from citronvalve.once import job as jobs
+from citronvalve.once import change as changes
 from citronvalve.once import record as records
 
 
-class Owned(NamedTuple):
+class Claimed(NamedTuple):
     """The key is claimed; its row has this version."""
 
     version: int
 
 
-class Taken(NamedTuple):
+class ClaimedByOther(NamedTuple):
     """The key has a row of another attempt."""
 
     record: records.Record
 
 
-class Recorded(NamedTuple):
+class Applied(NamedTuple):
     """The row says how the dispatch ended, or is gone."""
 
 
-class Failed(NamedTuple):
+class ClaimFailed(NamedTuple):
     """The claim was given up before anything was dispatched."""
 
     reason: missing.Missing
 
 
-class Settled(NamedTuple):
+class ChangeResult(NamedTuple):
     """One change and its end."""
 
-    job: jobs.Job
-    end: Owned | Taken | Recorded | Failed
+    change: changes.Change
+    outcome: Claimed | ClaimedByOther | Applied | ClaimFailed
--- a/src/citronvalve/once/decision.py
+++ b/src/citronvalve/once/decision.py
@@ -3,14 +3,14 @@
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.once import kept
 from citronvalve.once import record as records
 from citronvalve.once import state
+from citronvalve.once import storedresponse
 
 #: A repeat asks again no sooner and no later than this: sooner finds the
 #: same row, later keeps a caller at a counter waiting for a short call.
-SOONEST: clock.Ms = 500
-LATEST: clock.Ms = 5_000
+MIN_RETRY_AFTER: clock.Ms = 500
+MAX_RETRY_AFTER: clock.Ms = 5_000
 
 _Kind = refusal.RefusalKind
 
@@ -21,7 +21,7 @@
 
 def decide(
     found: records.Record, digest: str, wall: clock.Ms
-) -> kept.Kept | refusal.Refusal:
+) -> storedresponse.StoredResponse | refusal.Refusal:
     """Decide about a request whose key has a row of another attempt.
 
     Made for callers that give up and send again to another daemon.  It
@@ -44,7 +44,7 @@
     return _REFUSAL_BY_STATE[found.state, wall >= found.until](found, wall)
 
 
-def lost(status: int) -> refusal.Refusal:
+def body_lost(status: int) -> refusal.Refusal:
     """Refuse to replay an answer whose body was not kept.
 
     :param status: that the service gave.
@@ -58,7 +58,7 @@
     )
 
 
-def unknown(detail: str) -> refusal.Refusal:
+def outcome_unknown(detail: str) -> refusal.Refusal:
     """Say that a request was sent and how it ended is not known.
 
     :param detail: what was seen.
@@ -69,34 +69,38 @@
 
 
 def _in_progress(found: records.Record, wall: clock.Ms) -> refusal.Refusal:
-    left = found.until - wall
+    time_left = found.until - wall
     return refusal.Refusal(
         _Kind.IN_PROGRESS,
         "a request with this key is in progress",
         "send the same request with the same key again later",
         ran.Ran.UNKNOWN,
-        min(max(left, SOONEST), LATEST),
+        min(max(time_left, MIN_RETRY_AFTER), MAX_RETRY_AFTER),
     )
 
 
-def _left_behind(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
-    return unknown("the daemon that ran this key's request went away")
+def _abandoned(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
+    return outcome_unknown("the daemon that ran this key's request went away")
 
 
-def _unanswered(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
-    return unknown("the request was sent and its answer was lost")
+def _no_response(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
+    return outcome_unknown("the request was sent and its answer was lost")
 
 
-def _no_answer(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
-    return unknown("the request was answered, but no answer is recorded")
+def _response_not_stored(
+    _found: records.Record, _wall: clock.Ms
+) -> refusal.Refusal:
+    return outcome_unknown(
+        "the request was answered, but no answer is recorded"
+    )
 
 
 #: By the row's state and whether its time has passed.
 _REFUSAL_BY_STATE = {
     (state.State.PENDING, False): _in_progress,
-    (state.State.PENDING, True): _left_behind,
-    (state.State.UNKNOWN, False): _unanswered,
-    (state.State.UNKNOWN, True): _unanswered,
-    (state.State.DONE, False): _no_answer,
-    (state.State.DONE, True): _no_answer,
+    (state.State.PENDING, True): _abandoned,
+    (state.State.UNKNOWN, False): _no_response,
+    (state.State.UNKNOWN, True): _no_response,
+    (state.State.DONE, False): _response_not_stored,
+    (state.State.DONE, True): _response_not_stored,
 }
--- a/src/citronvalve/once/call.py
+++ b/src/citronvalve/once/keyedrequest.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 
 
-class Call(NamedTuple):
+class KeyedRequest(NamedTuple):
     """A keyed request.
 
     ``digest`` is of method, path and body; ``left`` is ms until its
@@ -15,4 +15,4 @@
     team: str
     key: str
     digest: str
-    left: clock.Ms
+    time_left: clock.Ms
--- a/src/citronvalve/once/outcome.py
+++ b/src/citronvalve/once/outcome.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from citronvalve.once import answer as answers
+from citronvalve.once import response as responses
 
 
 class Event(enum.StrEnum):
@@ -52,7 +52,7 @@
     """How it ended; ``answer`` only when the service answered."""
 
     event: Event
-    answer: answers.Answer | None = None
+    response: responses.Response | None = None
 
     @property
     def kind(self) -> OutcomeKind:
@@ -60,25 +60,25 @@
         return KIND_BY_EVENT[self.event]
 
 
-class _Said(msgspec.Struct):
+class _ErrorBody(msgspec.Struct):
     ran: str = ""
 
 
-def of_answer(answer: answers.Answer) -> Outcome:
+def from_response(response: responses.Response) -> Outcome:
     """Tell what a whole answer proves.
 
     :param answer: as it came back.  ``"ran": "no"`` in the JSON body of an
         error is the service's own word that it did not run the request.
     """
-    if answer.status >= _FIRST_ERROR and _says_not_run(answer.body):
-        return Outcome(Event.REFUSED, answer)
-    if answer.status in _GATEWAY_STATUSES:
+    if response.status >= _FIRST_ERROR and _reports_not_run(response.body):
+        return Outcome(Event.REFUSED, response)
+    if response.status in _GATEWAY_STATUSES:
         return Outcome(Event.GATEWAY)
-    return Outcome(Event.ANSWERED, answer)
+    return Outcome(Event.ANSWERED, response)
 
 
-def _says_not_run(body: bytes) -> bool:
+def _reports_not_run(body: bytes) -> bool:
     try:
-        return msgspec.json.decode(body, type=_Said).ran == "no"
+        return msgspec.json.decode(body, type=_ErrorBody).ran == "no"
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return False
--- a/src/citronvalve/once/pacer.py
+++ b/src/citronvalve/once/pacer.py
@@ -10,14 +10,14 @@
 #: Transactions a second that all daemons together may make for keys.  The
 #: platform takes several hundred; this is the least that the words allow,
 #: and edits and orders to groups are a few a second beside it.
-STORE_WRITES = 300
+MAX_STORE_WRITES_PER_SECOND = 300
 
 #: No daemon makes more than this, however few there are: one in flight at
 #: a time and a round trip of 10 ms allow no more.
-_MOST = 100.0
+_MAX_RATE = 100.0
 
 
-def share(daemons: int) -> float:
+def rate_for(daemons: int) -> float:
     """Return the transactions a second of one daemon.
 
     Daemons that are cut off from others count too few.  The store then
@@ -25,7 +25,7 @@
 
     :param daemons: how many share the store, this one included.
     """
-    return min(_MOST, STORE_WRITES / max(1, daemons))
+    return min(_MAX_RATE, MAX_STORE_WRITES_PER_SECOND / max(1, daemons))
 
 
 class Pacer:
@@ -38,29 +38,29 @@
     def __init__(self, rate: float, now: clock.Ms) -> None:
         self.rate = rate
         self._tokens = float(BURST)
-        self._at = now
+        self._filled_at = now
 
-    def wait(self, now: clock.Ms, spare: int = 0) -> clock.Ms:
+    def wait(self, now: clock.Ms, reserve: int = 0) -> clock.Ms:
         """Return ms until the next transaction may go; 0 is at once.
 
         :param now: monotonic time in ms.
         :param spare: how many more it must leave to others.
         """
-        self._fill(now)
-        short = 1.0 + spare - self._tokens
-        if short <= 0:
+        self._refill(now)
+        shortfall = 1.0 + reserve - self._tokens
+        if shortfall <= 0:
             return 0
-        return max(1, round(short * clock.SECOND / self.rate))
+        return max(1, round(shortfall * clock.SECOND / self.rate))
 
-    def take(self, now: clock.Ms) -> None:
+    def consume(self, now: clock.Ms) -> None:
         """Count a transaction.
 
         :param now: monotonic time in ms.
         """
-        self._fill(now)
+        self._refill(now)
         self._tokens -= 1.0
 
-    def _fill(self, now: clock.Ms) -> None:
-        grown = (now - self._at) * self.rate / clock.SECOND
+    def _refill(self, now: clock.Ms) -> None:
+        grown = (now - self._filled_at) * self.rate / clock.SECOND
         self._tokens = min(float(BURST), self._tokens + grown)
-        self._at = now
+        self._filled_at = now
--- a/src/citronvalve/once/record.py
+++ b/src/citronvalve/once/record.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from citronvalve.model import clock
-from citronvalve.once import kept as keeping
 from citronvalve.once import state
+from citronvalve.once import storedresponse as storedresponses
 
 #: The table of the platform that holds the rows.
 TABLE = "once"
@@ -25,10 +25,10 @@
     attempt: str
     state: state.State
     until: clock.Ms
-    kept: keeping.Kept | None = None
+    kept: storedresponses.StoredResponse | None = None
 
 
-def place(team: str, key: str) -> str:
+def row_key(team: str, key: str) -> str:
     """Return the key of the row; two teams never share one.
 
     :param team: name of the team, which holds no slash.
--- a/src/citronvalve/once/recorder.py
+++ b/src/citronvalve/once/recorder.py
@@ -8,41 +8,41 @@
 from citronvalve.model import invariant
 from citronvalve.model import missing
 from citronvalve.model import refusal
-from citronvalve.once import answer as answers
 from citronvalve.once import attempt as attempts
 from citronvalve.once import batch as batches
-from citronvalve.once import call as calls
+from citronvalve.once import bodystore
+from citronvalve.once import change as changes
+from citronvalve.once import changeresult
 from citronvalve.once import decision
-from citronvalve.once import job as jobs
-from citronvalve.once import kept as keeping
+from citronvalve.once import keyedrequest as keyedrequests
 from citronvalve.once import outcome as outcomes
 from citronvalve.once import record as records
 from citronvalve.once import replay
-from citronvalve.once import said
-from citronvalve.once import settled
+from citronvalve.once import reply
+from citronvalve.once import response as responses
+from citronvalve.once import scheduler as schedulers
 from citronvalve.once import state
-from citronvalve.once import vault
-from citronvalve.once import waiting as waits
+from citronvalve.once import storedresponse as storedresponses
 from citronvalve.once import writer as writers
 from citronvalve.storage import objectstore
 from citronvalve.storage import tableservice
 
 #: Longest key, in characters; common clients send a UUID of 36.
-LONGEST_KEY = 255
+MAX_KEY_LENGTH = 255
 
 #: How long a caller waits for its claim at most: one call of the platform
 #: that times out after 2 s and one more that settles it.  After that the
 #: store is not merely slow, and the caller can still try elsewhere.
-PATIENCE: clock.Ms = 4_000
+CLAIM_TIMEOUT: clock.Ms = 4_000
 
 #: Time after a call's deadline until its row counts as left behind.  The
 #: outcome of a call that ended at its deadline takes a few batches to be
 #: written.
-GRACE: clock.Ms = 10_000
+PENDING_GRACE: clock.Ms = 10_000
 
 #: Changes that wait at once.  An outage leaves one for each call then in
 #: progress; beyond this the daemon refuses new calls.
-MOST_WAITING = 20_000
+MAX_QUEUED_CHANGES = 20_000
 
 _ONE_END = "an attempt is dispatched once and ends once"
 _PROOF = "not run is said only of what was never sent or was refused"
@@ -57,12 +57,12 @@
     objects: objectstore.ObjectStore
 
 
-class Pending(NamedTuple):
+class PendingClaim(NamedTuple):
     """A claim that waits for its batch."""
 
-    call: calls.Call
+    request: keyedrequests.KeyedRequest
     record: records.Record
-    ticket: waits.Ticket
+    future: schedulers.Future
 
 
 class Recorder:
@@ -81,84 +81,90 @@
         self,
         daemon: str,
         stores: Stores,
-        now: clock.Clock,
-        waiting: waits.Waiting,
-        chance: random.Random,
-        promises: invariant.Invariants,
+        time_source: clock.Clock,
+        scheduler: schedulers.Scheduler,
+        rng: random.Random,
+        invariants: invariant.Invariants,
         rate: float,
     ) -> None:
         self._daemon = daemon
         self._table = stores.table
-        self._vault = vault.Vault(stores.objects)
-        self._clock = now
-        self._waiting = waiting
-        self._chance = chance
-        self._promises = promises
-        self.writer = writers.Writer(daemon, rate, now.now(), promises)
+        self._bodies = bodystore.BodyStore(stores.objects)
+        self._clock = time_source
+        self._scheduler = scheduler
+        self._rng = rng
+        self._invariants = invariants
+        self.writer = writers.Writer(
+            daemon, rate, time_source.now(), invariants
+        )
         self._numbers = itertools.count(1)
-        self._ticket_by_attempt: dict[str, waits.Ticket] = {}
+        self._future_by_attempt: dict[str, schedulers.Future] = {}
         self._dispatched: set[str] = set()
 
     def begin(
-        self, call: calls.Call
-    ) -> attempts.Run | replay.Replay | refusal.Refusal:
+        self, request: keyedrequests.KeyedRequest
+    ) -> attempts.Permit | replay.Replay | refusal.Refusal:
         """Claim the key of a request before it is dispatched.
 
         :param call: the request.
         :return: leave to dispatch it once, the stored answer, or a
             refusal, which says truly whether the request was run.
         """
-        pending = self.claim(call)
+        pending = self.submit_claim(request)
         if isinstance(pending, refusal.Refusal):
             return pending
-        end = pending.ticket.wait(min(call.left, PATIENCE))
-        return self.claimed(pending, end)
+        result = pending.future.wait(min(request.time_left, CLAIM_TIMEOUT))
+        return self.complete_claim(pending, result)
 
-    def claim(self, call: calls.Call) -> Pending | refusal.Refusal:
+    def submit_claim(
+        self, request: keyedrequests.KeyedRequest
+    ) -> PendingClaim | refusal.Refusal:
         """Let a claim wait for its batch; the first half of `begin`.
 
         :param call: the request.
         """
-        refused = self._refused(call)
-        if refused:
-            return refused
+        rejection = self._rejection(request)
+        if rejection:
+            return rejection
         record = records.Record(
-            call.digest,
+            request.digest,
             f"{self._daemon}.{next(self._numbers)}",
             state.State.PENDING,
-            self._clock.wall() + call.left + GRACE,
+            self._clock.wall() + request.time_left + PENDING_GRACE,
         )
-        ticket = self._waiting.ticket()
-        self._ticket_by_attempt[record.attempt] = ticket
+        future = self._scheduler.future()
+        self._future_by_attempt[record.attempt] = future
         self.writer.submit(
-            jobs.claim(records.place(call.team, call.key), record)
+            changes.claim(records.row_key(request.team, request.key), record)
         )
-        self._waiting.wake()
-        return Pending(call, record, ticket)
+        self._scheduler.wake()
+        return PendingClaim(request, record, future)
 
-    def claimed(
-        self, pending: Pending, end: settled.Settled | missing.Missing
-    ) -> attempts.Run | replay.Replay | refusal.Refusal:
+    def complete_claim(
+        self,
+        pending: PendingClaim,
+        result: changeresult.ChangeResult | missing.Missing,
+    ) -> attempts.Permit | replay.Replay | refusal.Refusal:
         """Decide by the end of a claim; the second half of `begin`.
 
         :param pending: the claim.
         :param end: what its ticket gave, or why it gave nothing.
         """
-        attempt = pending.record.attempt
-        self._ticket_by_attempt.pop(attempt, None)
-        if missing.is_missing(end):
-            self.writer.withdraw(attempt)
-            self._waiting.wake()
-            return self._not_recorded(attempt, end)
-        if isinstance(end.end, settled.Failed):
-            return self._not_recorded(attempt, end.end.reason)
-        if isinstance(end.end, settled.Taken):
-            return self._found(pending.call, end.end.record)
-        return self._run(pending, end.end)
-
-    def end(
+        attempt_id = pending.record.attempt
+        self._future_by_attempt.pop(attempt_id, None)
+        if missing.is_missing(result):
+            self.writer.withdraw(attempt_id)
+            self._scheduler.wake()
+            return self._claim_failed(attempt_id, result)
+        if isinstance(result.outcome, changeresult.ClaimFailed):
+            return self._claim_failed(attempt_id, result.outcome.reason)
+        if isinstance(result.outcome, changeresult.ClaimedByOther):
+            return self._resolve_repeat(pending.request, result.outcome.record)
+        return self._permit(pending, result.outcome)
+
+    def record_outcome(
         self, attempt: attempts.Attempt, outcome: outcomes.Outcome
-    ) -> answers.Answer | refusal.Refusal:
+    ) -> responses.Response | refusal.Refusal:
         """Record how a dispatch ended, without waiting for the platform.
 
         The row follows as soon as the platform takes it; until then others
@@ -168,24 +174,30 @@
         :param outcome: what was seen of the service.
         :return: what the caller gets.
         """
-        self._promises.check(
-            _ONE_END, attempt.attempt in self._dispatched, attempt.attempt
+        self._invariants.check(
+            _ONE_END,
+            attempt.attempt_id in self._dispatched,
+            attempt.attempt_id,
         )
-        self._dispatched.discard(attempt.attempt)
+        self._dispatched.discard(attempt.attempt_id)
         if outcome.kind is outcomes.OutcomeKind.NOT_RUN:
-            self._promises.check(_PROOF, outcome.event in _PROVEN)
+            self._invariants.check(_PROOF, outcome.event in _PROVEN)
             self._submit(
-                jobs.release(attempt.place, attempt.attempt, attempt.version)
+                changes.release(
+                    attempt.row_key, attempt.attempt_id, attempt.version
+                )
+            )
+        elif _has_large_body(outcome):
+            self._scheduler.spawn(
+                lambda: self._submit_outcome(attempt, outcome)
             )
-        elif _large(outcome):
-            self._waiting.start(lambda: self._finish(attempt, outcome))
         else:
-            self._finish(attempt, outcome)
-        return said.to_caller(outcome)
+            self._submit_outcome(attempt, outcome)
+        return reply.for_outcome(outcome)
 
-    def cycle(self) -> bool:
+    def commit_batch(self) -> bool:
         """Commit one batch, if it is time; tell whether one went."""
-        batch = self.writer.take(self._clock.now(), self._clock.wall())
+        batch = self.writer.next_batch(self._clock.now(), self._clock.wall())
         if batch is None:
             return False
         result = self._table.commit(batches.transaction(batch))
@@ -198,91 +210,104 @@
         :param batch: as it was sent.
         :param result: the answer.
         """
-        ends = self.writer.settle(batch, result, self._clock.now())
-        for end in ends:
-            ticket = self._ticket_by_attempt.pop(end.job.attempt, None)
-            if ticket:
-                ticket.give(end)
-
-    def _refused(self, call: calls.Call) -> refusal.Refusal | None:
-        if not 0 < len(call.key) <= LONGEST_KEY:
-            return said.bad_key(LONGEST_KEY)
+        change_results = self.writer.settle(batch, result, self._clock.now())
+        for change_result in change_results:
+            future = self._future_by_attempt.pop(
+                change_result.change.attempt_id, None
+            )
+            if future:
+                future.set_result(change_result)
+
+    def _rejection(
+        self, request: keyedrequests.KeyedRequest
+    ) -> refusal.Refusal | None:
+        if not 0 < len(request.key) <= MAX_KEY_LENGTH:
+            return reply.invalid_key(MAX_KEY_LENGTH)
         now = self._clock.now()
-        closed = self.writer.closed_for(now)
-        if closed or len(self.writer) >= MOST_WAITING:
-            return said.not_recorded(
-                "the platform's table does not answer", self._back(closed)
+        backoff = self.writer.backoff_left(now)
+        if backoff or len(self.writer) >= MAX_QUEUED_CHANGES:
+            return reply.claim_failed(
+                "the platform's table does not answer",
+                self._retry_after(backoff),
             )
         return None
 
-    def _not_recorded(
-        self, attempt: str, why: missing.Missing
+    def _claim_failed(
+        self, attempt_id: str, why: missing.Missing
     ) -> refusal.Refusal:
-        self._promises.check(_UNUSED, attempt not in self._dispatched, attempt)
-        closed = self.writer.closed_for(self._clock.now())
-        return said.not_recorded(why.reason, self._back(closed))
+        self._invariants.check(
+            _UNUSED, attempt_id not in self._dispatched, attempt_id
+        )
+        backoff = self.writer.backoff_left(self._clock.now())
+        return reply.claim_failed(why.reason, self._retry_after(backoff))
 
-    def _back(self, closed: clock.Ms) -> clock.Ms:
+    def _retry_after(self, backoff: clock.Ms) -> clock.Ms:
         # Spread over as long again: callers refused in one moment would
         # otherwise come back in one moment.
-        soonest = max(closed, clock.SECOND)
-        return soonest + self._chance.randrange(soonest)
+        soonest = max(backoff, clock.SECOND)
+        return soonest + self._rng.randrange(soonest)
 
-    def _found(
-        self, call: calls.Call, found: records.Record
+    def _resolve_repeat(
+        self, request: keyedrequests.KeyedRequest, found: records.Record
     ) -> replay.Replay | refusal.Refusal:
-        decided = decision.decide(found, call.digest, self._clock.wall())
+        decided = decision.decide(found, request.digest, self._clock.wall())
         if isinstance(decided, refusal.Refusal):
             return decided
-        answer = self._vault.load(decided)
-        if isinstance(answer, missing.Unavailable):
-            return said.body_unavailable(self._back(0))
-        if missing.is_missing(answer):
-            return decision.lost(decided.status)
-        return replay.Replay(answer)
-
-    def _run(self, pending: Pending, owned: settled.Owned) -> attempts.Run:
-        call, record, _ = pending
-        self._promises.check(
+        response = self._bodies.load(decided)
+        if isinstance(response, missing.Unavailable):
+            return reply.body_unavailable(self._retry_after(0))
+        if missing.is_missing(response):
+            return decision.body_lost(decided.status)
+        return replay.Replay(response)
+
+    def _permit(
+        self, pending: PendingClaim, claimed: changeresult.Claimed
+    ) -> attempts.Permit:
+        request, record, _ = pending
+        self._invariants.check(
             _ONE_END, record.attempt not in self._dispatched, record.attempt
         )
         self._dispatched.add(record.attempt)
-        return attempts.Run(
+        return attempts.Permit(
             attempts.Attempt(
                 record.attempt,
-                records.place(call.team, call.key),
-                call.digest,
-                owned.version,
+                records.row_key(request.team, request.key),
+                request.digest,
+                claimed.version,
                 record.until,
             )
         )
 
-    def _finish(
+    def _submit_outcome(
         self, attempt: attempts.Attempt, outcome: outcomes.Outcome
     ) -> None:
-        kept: keeping.Kept | None = None
-        if outcome.answer and outcome.kind is outcomes.OutcomeKind.DONE:
-            name = f"once/{attempt.attempt}"
-            kept = self._vault.keep(outcome.answer, name)
-        now = state.State.DONE if kept else state.State.UNKNOWN
+        stored: storedresponses.StoredResponse | None = None
+        if outcome.response and outcome.kind is outcomes.OutcomeKind.DONE:
+            name = f"once/{attempt.attempt_id}"
+            stored = self._bodies.store(outcome.response, name)
+        new_state = state.State.DONE if stored else state.State.UNKNOWN
         record = records.Record(
-            attempt.digest, attempt.attempt, now, attempt.until, kept
+            attempt.digest,
+            attempt.attempt_id,
+            new_state,
+            attempt.expires_at,
+            stored,
         )
         self._submit(
-            jobs.Job(
-                jobs.JobKind.FINISH,
-                attempt.place,
-                attempt.attempt,
+            changes.Change(
+                changes.ChangeKind.FINISH,
+                attempt.row_key,
+                attempt.attempt_id,
                 record,
                 attempt.version,
             )
         )
 
-    def _submit(self, job: jobs.Job) -> None:
-        self.writer.submit(job)
-        self._waiting.wake()
+    def _submit(self, change: changes.Change) -> None:
+        self.writer.submit(change)
+        self._scheduler.wake()
 
 
-def _large(outcome: outcomes.Outcome) -> bool:
-    body = outcome.answer.body if outcome.answer else b""
-    return len(body) > vault.MOST_IN_ROW
+def _has_large_body(outcome: outcomes.Outcome) -> bool:
+    body = outcome.response.body if outcome.response else b""
+    return len(body) > bodystore.MAX_INLINE_BYTES
--- a/src/citronvalve/once/replay.py
+++ b/src/citronvalve/once/replay.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from citronvalve.once import answer as answers
+from citronvalve.once import response as responses
 
 
 class Replay(NamedTuple):
     """Give the caller this and dispatch nothing."""
 
-    answer: answers.Answer
+    response: responses.Response
--- a/src/citronvalve/once/said.py
+++ b/src/citronvalve/once/reply.py
@@ -3,15 +3,15 @@
 from citronvalve.model import clock
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.once import answer as answers
 from citronvalve.once import decision
 from citronvalve.once import outcome as outcomes
+from citronvalve.once import response as responses
 
 _Kind = refusal.RefusalKind
 
 #: Ms until a caller whose request was not run may come back: long enough
 #: for a crashed service to be taken out of routing.
-_BACK_AFTER_REFUSAL: clock.Ms = 1_000
+_RETRY_AFTER_NOT_RUN: clock.Ms = 1_000
 
 _DETAIL_BY_EVENT = {
     outcomes.Event.GATEWAY: "something before the service answered for it",
@@ -20,21 +20,21 @@
 }
 
 
-def to_caller(
+def for_outcome(
     outcome: outcomes.Outcome,
-) -> answers.Answer | refusal.Refusal:
+) -> responses.Response | refusal.Refusal:
     """Tell how a dispatch ended; the same with a key and without.
 
     :param outcome: what was seen of the service.
     """
-    if outcome.kind is outcomes.OutcomeKind.DONE and outcome.answer:
-        return outcome.answer
+    if outcome.kind is outcomes.OutcomeKind.DONE and outcome.response:
+        return outcome.response
     if outcome.kind is outcomes.OutcomeKind.NOT_RUN:
         return _not_run(outcome.event)
-    return decision.unknown(_DETAIL_BY_EVENT[outcome.event])
+    return decision.outcome_unknown(_DETAIL_BY_EVENT[outcome.event])
 
 
-def bad_key(longest: int) -> refusal.Refusal:
+def invalid_key(longest: int) -> refusal.Refusal:
     """Refuse a key that can't be recorded.
 
     :param longest: how many characters it may have.
@@ -46,7 +46,7 @@
     )
 
 
-def not_recorded(why: str, back: clock.Ms) -> refusal.Refusal:
+def claim_failed(why: str, retry_after: clock.Ms) -> refusal.Refusal:
     """Refuse a request whose key could not be claimed.
 
     This try was not run.  An earlier one with the same key may have been:
@@ -62,11 +62,11 @@
         " whether an earlier try with this key was run is not known",
         "send the same request with the same key again",
         ran.Ran.UNKNOWN,
-        back,
+        retry_after,
     )
 
 
-def body_unavailable(back: clock.Ms) -> refusal.Refusal:
+def body_unavailable(retry_after: clock.Ms) -> refusal.Refusal:
     """Say that a request ran and that its answer can't be read now.
 
     :param back: ms until the caller may come back.
@@ -76,7 +76,7 @@
         "the request was run; its stored answer can't be read now",
         "send the same request with the same key again",
         ran.Ran.YES,
-        back,
+        retry_after,
     )
 
 
@@ -86,11 +86,11 @@
             _Kind.UPSTREAM_FAILED,
             "the service refused the request before running it",
             "send the same request again",
-            retry_after=_BACK_AFTER_REFUSAL,
+            retry_after=_RETRY_AFTER_NOT_RUN,
         )
     return refusal.Refusal(
         _Kind.NO_UPSTREAM,
         "no upstream of the service could be reached",
         "send the same request again",
-        retry_after=_BACK_AFTER_REFUSAL,
+        retry_after=_RETRY_AFTER_NOT_RUN,
     )
--- a/src/citronvalve/once/answer.py
+++ b/src/citronvalve/once/response.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What is replayed byte for byte when the request comes again."""
 
     status: int
--- a/src/citronvalve/once/waiting.py
+++ b/src/citronvalve/once/scheduler.py
@@ -5,21 +5,23 @@
 
 from citronvalve.model import clock
 from citronvalve.model import missing
-from citronvalve.once import settled
+from citronvalve.once import changeresult
 
 
-class Ticket(abc.ABC):
+class Future(abc.ABC):
     """One claim's place in the queue for its end."""
 
     @abc.abstractmethod
-    def give(self, end: settled.Settled) -> None:
+    def set_result(self, result: changeresult.ChangeResult) -> None:
         """Tell the end; called once.
 
         :param end: of the claim.
         """
 
     @abc.abstractmethod
-    def wait(self, span: clock.Ms) -> settled.Settled | missing.Unavailable:
+    def wait(
+        self, timeout: clock.Ms
+    ) -> changeresult.ChangeResult | missing.Unavailable:
         """Wait for the end.
 
         :param span: ms to wait at most.
@@ -28,11 +30,11 @@
         """
 
 
-class Waiting(abc.ABC):
+class Scheduler(abc.ABC):
     """Makes tickets, and runs the loop that redeems them."""
 
     @abc.abstractmethod
-    def ticket(self) -> Ticket:
+    def future(self) -> Future:
         """Return a new ticket."""
 
     @abc.abstractmethod
@@ -40,21 +42,21 @@
         """Tell the loop that there is something to do."""
 
     @abc.abstractmethod
-    def sleep(self, span: clock.Ms) -> None:
+    def wait_for_wake(self, timeout: clock.Ms) -> None:
         """Let the loop wait until it is woken.
 
         :param span: ms to wait at most.
         """
 
     @abc.abstractmethod
-    def pause(self, span: clock.Ms) -> None:
+    def sleep(self, duration: clock.Ms) -> None:
         """Let the loop wait, woken or not.
 
         :param span: ms.
         """
 
     @abc.abstractmethod
-    def start(self, work: Callable[[], None]) -> None:
+    def spawn(self, function: Callable[[], None]) -> None:
         """Do something beside the caller.
 
         :param work: what to do.
--- a/src/citronvalve/once/kept.py
+++ b/src/citronvalve/once/storedresponse.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Place(enum.StrEnum):
+class BodyLocation(enum.StrEnum):
     """Where the body of a kept answer is."""
 
     ROW = "row"
@@ -13,7 +13,7 @@
     NOWHERE = "nowhere"
 
 
-class Kept(NamedTuple):
+class StoredResponse(NamedTuple):
     """An answer, with its body or where that is.
 
     ``name`` names the object and ``sha256`` is the hex digest of its
@@ -22,7 +22,7 @@
 
     status: int
     content_type: str
-    place: Place
+    place: BodyLocation
     body: bytes = b""
     name: str = ""
     sha256: str = ""
--- a/src/citronvalve/once/sweeper.py
+++ b/src/citronvalve/once/sweeper.py
@@ -18,26 +18,26 @@
 
 #: Kept longer than stated by so much: rows are listed by the wall clock of
 #: the daemon that wrote them, which may be behind.
-MARGIN: clock.Ms = 10 * clock.MINUTE
+CLOCK_MARGIN: clock.Ms = 10 * clock.MINUTE
 
 #: How far back a row of another daemon vouches for this one's clock.
-_WITNESS_MINUTES = 3
+_CLOCK_CHECK_MINUTES = 3
 
 #: Keys in one transaction; a day of 100 requests a second is swept at two
 #: transactions a second of the platform's several hundred.
-_MOST = 256
-_TRIES = 3
+_MAX_KEYS = 256
+_MAX_ATTEMPTS = 3
 
 _IN_TIME = "a row is swept only after its time"
 
 
-class _Listed(NamedTuple):
+class _IndexRow(NamedTuple):
     """A row that lists keys, written together with them."""
 
     table: str
     key: str
     version: int
-    places: tuple[str, ...]
+    row_keys: tuple[str, ...]
     objects: tuple[str, ...]
 
 
@@ -55,14 +55,14 @@
         daemon: str,
         table: tableservice.TableService,
         objects: objectstore.ObjectStore,
-        promises: invariant.Invariants,
+        invariants: invariant.Invariants,
     ) -> None:
         self._daemon = daemon
         self._table = table
         self._objects = objects
-        self._promises = promises
+        self._invariants = invariants
 
-    def sweep(self, wall: clock.Ms, keep: clock.Ms) -> swept.Swept | None:
+    def sweep(self, wall: clock.Ms, retention: clock.Ms) -> swept.Swept | None:
         """Delete the rows of the oldest minute that is over.
 
         A daemon killed at any step leaves the minute to be swept again.
@@ -75,15 +75,19 @@
         if missing.is_missing(pointer):
             return None
         minute = pointer.value[_KEY] + 1
-        last = (wall - keep - MARGIN) // clock.MINUTE
-        if minute >= last or not self._witnessed(wall):
+        end_minute = (wall - retention - CLOCK_MARGIN) // clock.MINUTE
+        if minute >= end_minute or not self._clock_confirmed(wall):
             return None
-        over = (minute + 1) * clock.MINUTE + keep
-        self._promises.check(_IN_TIME, over <= wall, f"minute {minute}")
-        count = self._minute(batches.minute_table(minute * clock.MINUTE))
-        if count is None or not self._move(pointer, minute):
+        expired_at = (minute + 1) * clock.MINUTE + retention
+        self._invariants.check(
+            _IN_TIME, expired_at <= wall, f"minute {minute}"
+        )
+        deleted = self._delete_minute(
+            batches.minute_table(minute * clock.MINUTE)
+        )
+        if deleted is None or not self._advance_pointer(pointer, minute):
             return None
-        return swept.Swept(minute, count)
+        return swept.Swept(minute, deleted)
 
     def _pointer(self, wall: clock.Ms) -> rows.Row | missing.Missing:
         row = self._table.read(_TABLE, _KEY)
@@ -92,7 +96,7 @@
             self._commit_pointer(rows.NO_ROW, wall // clock.MINUTE - 1)
         return row
 
-    def _move(self, pointer: rows.Row, minute: int) -> bool:
+    def _advance_pointer(self, pointer: rows.Row, minute: int) -> bool:
         done = self._commit_pointer(pointer.version, minute)
         return isinstance(done, rows.Committed)
 
@@ -105,7 +109,7 @@
             )
         )
 
-    def _witnessed(self, wall: clock.Ms) -> bool:
+    def _clock_confirmed(self, wall: clock.Ms) -> bool:
         """Tell whether another daemon's clock agrees with this one's.
 
         A clock a day ahead would have rows deleted that were just written,
@@ -114,7 +118,7 @@
         """
         return any(
             not row.key.startswith(self._daemon)
-            for back in range(_WITNESS_MINUTES)
+            for back in range(_CLOCK_CHECK_MINUTES)
             for row in self._rows(
                 batches.minute_table(wall - back * clock.MINUTE)
             )
@@ -124,77 +128,83 @@
         scan = self._table.scan(table)
         return () if missing.is_missing(scan) else scan.rows
 
-    def _minute(self, table: str) -> int | None:
+    def _delete_minute(self, table: str) -> int | None:
         scan = self._table.scan(table)
         if missing.is_missing(scan):
             return None
         count = 0
-        for part in _parts(scan.rows):
-            deleted = self._part(part)
+        for chunk in _chunks(scan.rows):
+            deleted = self._delete_chunk(chunk)
             if deleted is None:
                 return None
             count += deleted
         return count
 
-    def _part(self, part: list[_Listed]) -> int | None:
-        version_by_place = {
-            place: listed.version for listed in part for place in listed.places
+    def _delete_chunk(self, chunk: list[_IndexRow]) -> int | None:
+        version_by_row_key = {
+            place: listed.version
+            for listed in chunk
+            for place in listed.row_keys
         }
-        for listed in part:
-            for name in listed.objects:
+        for index_row in chunk:
+            for name in index_row.objects:
                 # The store can't delete; an empty object is what is left.
                 self._objects.put(name, b"")
-        for _ in range(_TRIES):
-            result = self._table.commit(_deletion(part, version_by_place))
+        for _ in range(_MAX_ATTEMPTS):
+            result = self._table.commit(
+                _deletion_transaction(chunk, version_by_row_key)
+            )
             if isinstance(result, rows.Committed):
-                return len(version_by_place)
+                return len(version_by_row_key)
             if not isinstance(result, rows.Conflict):
                 return None
             # A key whose row has another version was written again later,
             # and is listed there; one without a row was given back.
-            now = {row.key: row.version for row in result.rows}
-            version_by_place = {
+            current_version_by_row_key = {
+                row.key: row.version for row in result.rows
+            }
+            version_by_row_key = {
                 place: version
-                for place, version in version_by_place.items()
-                if now.get(place) == version
+                for place, version in version_by_row_key.items()
+                if current_version_by_row_key.get(place) == version
             }
         return None
 
 
-def _parts(found: tuple[rows.Row, ...]) -> Iterator[list[_Listed]]:
-    part: list[_Listed] = []
+def _chunks(found: tuple[rows.Row, ...]) -> Iterator[list[_IndexRow]]:
+    chunk: list[_IndexRow] = []
     size = 0
     for row in found:
-        listed = _Listed(
+        index_row = _IndexRow(
             row.table,
             row.key,
             row.version,
             tuple(row.value["places"]),
             tuple(row.value["objects"]),
         )
-        if part and size + len(listed.places) > _MOST:
-            yield part
-            part, size = [], 0
-        part.append(listed)
-        size += len(listed.places)
-    if part:
-        yield part
+        if chunk and size + len(index_row.row_keys) > _MAX_KEYS:
+            yield chunk
+            chunk, size = [], 0
+        chunk.append(index_row)
+        size += len(index_row.row_keys)
+    if chunk:
+        yield chunk
 
 
-def _deletion(
-    part: list[_Listed], version_by_place: dict[str, int]
+def _deletion_transaction(
+    chunk: list[_IndexRow], version_by_row_key: dict[str, int]
 ) -> rows.Transaction:
     return rows.Transaction(
         "sweep",
         tuple(
             rows.Condition(records.TABLE, place, version)
-            for place, version in version_by_place.items()
+            for place, version in version_by_row_key.items()
         ),
         (
             *(
                 rows.Write(records.TABLE, place, None)
-                for place in version_by_place
+                for place in version_by_row_key
             ),
-            *(rows.Write(listed.table, listed.key, None) for listed in part),
+            *(rows.Write(listed.table, listed.key, None) for listed in chunk),
         ),
     )
--- a/src/citronvalve/once/writer.py
+++ b/src/citronvalve/once/writer.py
@@ -7,24 +7,24 @@
 from citronvalve.model import invariant
 from citronvalve.model import missing
 from citronvalve.once import batch as batches
-from citronvalve.once import job as jobs
+from citronvalve.once import change as changes
+from citronvalve.once import changeresult
 from citronvalve.once import pacer as pacers
-from citronvalve.once import settled
 
 #: How long the platform is left alone after it failed.  Doubled each time:
 #: 1,600 daemons that ask an ailing store at once would keep it down, and
 #: a caller is refused for at most the last wait after it came back.
-FIRST_PAUSE: clock.Ms = 100
-LONGEST_PAUSE: clock.Ms = 2_000
+MIN_BACKOFF: clock.Ms = 100
+MAX_BACKOFF: clock.Ms = 2_000
 
 #: Lost answers in a row after which the platform counts as failing.  One
 #: is settled at once by trying again, which is why it is no failure yet.
-_MOST_LOST = 2
+_MAX_LOST_RESPONSES = 2
 
 #: Transactions that outcomes leave to claims.  A caller waits for a claim
 #: and nobody for an outcome, which rides in the next claim's batch when
 #: transactions are scarce, and goes by itself within 100 ms otherwise.
-_SPARE = 2
+_RESERVED_FOR_CLAIMS = 2
 
 _ONE_BATCH = "one batch is in flight at a time"
 _ONE_CLAIM = "a transaction changes a key once"
@@ -47,39 +47,39 @@
         daemon: str,
         rate: float,
         now: clock.Ms,
-        promises: invariant.Invariants,
+        invariants: invariant.Invariants,
     ) -> None:
         self.pacer = pacers.Pacer(rate, now)
         self._daemon = daemon
-        self._promises = promises
-        self._waiting: collections.deque[jobs.Job] = collections.deque()
+        self._invariants = invariants
+        self._queue: collections.deque[changes.Change] = collections.deque()
         self._in_flight: batches.Batch | None = None
         self._withdrawn: set[str] = set()
         self._numbers = itertools.count(1)
-        self._pause: clock.Ms = 0
-        self._open_at = now
-        self._lost = 0
+        self._backoff: clock.Ms = 0
+        self._retry_at = now
+        self._lost_responses = 0
 
     def __len__(self) -> int:
         """Return how many changes are not settled."""
-        flying = self._in_flight.jobs if self._in_flight else ()
-        return len(self._waiting) + len(flying)
+        in_flight = self._in_flight.changes if self._in_flight else ()
+        return len(self._queue) + len(in_flight)
 
-    def closed_for(self, now: clock.Ms) -> clock.Ms:
+    def backoff_left(self, now: clock.Ms) -> clock.Ms:
         """Return ms that the platform is still left alone; 0 is open.
 
         :param now: monotonic time in ms.
         """
-        return max(0, self._open_at - now)
+        return max(0, self._retry_at - now)
 
-    def submit(self, job: jobs.Job) -> None:
+    def submit(self, change: changes.Change) -> None:
         """Let a change wait for its batch.
 
         :param job: the change.
         """
-        self._waiting.append(job)
+        self._queue.append(change)
 
-    def withdraw(self, attempt: str) -> None:
+    def withdraw(self, attempt_id: str) -> None:
         """Give up a claim whose caller went away or is out of time.
 
         The caller is told that nothing was run, so the key must come free
@@ -88,16 +88,16 @@
         :param attempt: the claim's.
         """
         if self._in_flight and any(
-            job.attempt == attempt for job in self._in_flight.jobs
+            job.attempt_id == attempt_id for job in self._in_flight.changes
         ):
-            self._withdrawn.add(attempt)
+            self._withdrawn.add(attempt_id)
             return
-        self._waiting = collections.deque(
-            jobs.release(job.place, attempt)
-            if _is_claim(job, attempt)
+        self._queue = collections.deque(
+            changes.release(job.row_key, attempt_id)
+            if _is_claim(job, attempt_id)
             else job
-            for job in self._waiting
-            if job.unsure or not _is_claim(job, attempt)
+            for job in self._queue
+            if job.maybe_applied or not _is_claim(job, attempt_id)
         )
 
     def wait(self, now: clock.Ms) -> clock.Ms:
@@ -105,33 +105,37 @@
 
         :param now: monotonic time in ms.
         """
-        claims = any(j.kind is jobs.JobKind.CLAIM for j in self._waiting)
-        paced = self.pacer.wait(now, 0 if claims else _SPARE)
-        return max(self.closed_for(now), paced)
+        has_claim = any(
+            j.kind is changes.ChangeKind.CLAIM for j in self._queue
+        )
+        paced = self.pacer.wait(now, 0 if has_claim else _RESERVED_FOR_CLAIMS)
+        return max(self.backoff_left(now), paced)
 
-    def take(self, now: clock.Ms, wall: clock.Ms) -> batches.Batch | None:
+    def next_batch(
+        self, now: clock.Ms, wall: clock.Ms
+    ) -> batches.Batch | None:
         """Take the next batch to commit; None when it is not time.
 
         :param now: monotonic time in ms.
         :param wall: wall time in ms.
         """
-        if self._in_flight or not self._waiting or self.wait(now):
+        if self._in_flight or not self._queue or self.wait(now):
             return None
-        picked = batches.pick(self._waiting)
+        picked = batches.pick(self._queue)
         chosen = {id(job) for job in picked}
-        self._waiting = collections.deque(
-            job for job in self._waiting if id(job) not in chosen
+        self._queue = collections.deque(
+            job for job in self._queue if id(job) not in chosen
         )
-        places = {job.place for job in picked}
-        self._promises.check(_ONE_CLAIM, len(places) == len(picked))
-        self.pacer.take(now)
+        row_keys = {job.row_key for job in picked}
+        self._invariants.check(_ONE_CLAIM, len(row_keys) == len(picked))
+        self.pacer.consume(now)
         name = f"{self._daemon}-{next(self._numbers)}"
         self._in_flight = batches.Batch(name, picked, wall)
         return self._in_flight
 
     def settle(
         self, batch: batches.Batch, result: object, now: clock.Ms
-    ) -> tuple[settled.Settled, ...]:
+    ) -> tuple[changeresult.ChangeResult, ...]:
         """Take the platform's answer to a batch.
 
         :param batch: as it was taken.
@@ -139,63 +143,85 @@
         :param now: monotonic time in ms.
         :return: the ends to tell; what is not among them is tried again.
         """
-        self._promises.check(_ONE_BATCH, batch is self._in_flight, batch.name)
+        self._invariants.check(
+            _ONE_BATCH, batch is self._in_flight, batch.name
+        )
         self._in_flight = None
-        self._note(result, now)
-        ends, again = batches.settle(batch, result)
-        told = [end for end in ends if not self._take_back(end)]
+        self._update_backoff(result, now)
+        finished, to_retry = batches.settle(batch, result)
+        results = [
+            end for end in finished if not self._release_if_withdrawn(end)
+        ]
         if self._failing(result):
-            again += tuple(self._waiting)
-            self._waiting.clear()
-        told += self._retry(again, result)
-        return tuple(told)
+            to_retry += tuple(self._queue)
+            self._queue.clear()
+        results += self._requeue(to_retry, result)
+        return tuple(results)
 
-    def _note(self, result: object, now: clock.Ms) -> None:
+    def _update_backoff(self, result: object, now: clock.Ms) -> None:
         lost = isinstance(result, missing.AnswerLost)
-        self._lost = self._lost + 1 if lost else 0
+        self._lost_responses = self._lost_responses + 1 if lost else 0
         if self._failing(result):
-            self._pause = min(max(FIRST_PAUSE, 2 * self._pause), LONGEST_PAUSE)
-            self._open_at = now + self._pause
+            self._backoff = min(
+                max(MIN_BACKOFF, 2 * self._backoff), MAX_BACKOFF
+            )
+            self._retry_at = now + self._backoff
         elif not lost:
-            self._pause = 0
+            self._backoff = 0
 
     def _failing(self, result: object) -> bool:
         return (
-            isinstance(result, missing.Unavailable) or self._lost >= _MOST_LOST
+            isinstance(result, missing.Unavailable)
+            or self._lost_responses >= _MAX_LOST_RESPONSES
         )
 
-    def _take_back(self, end: settled.Settled) -> bool:
+    def _release_if_withdrawn(
+        self, change_result: changeresult.ChangeResult
+    ) -> bool:
         """Release a claim that took effect after it was withdrawn."""
-        if end.job.attempt not in self._withdrawn:
+        if change_result.change.attempt_id not in self._withdrawn:
             return False
-        self._withdrawn.discard(end.job.attempt)
-        if isinstance(end.end, settled.Owned):
-            self._waiting.append(
-                jobs.release(end.job.place, end.job.attempt, end.end.version)
+        self._withdrawn.discard(change_result.change.attempt_id)
+        if isinstance(change_result.outcome, changeresult.Claimed):
+            self._queue.append(
+                changes.release(
+                    change_result.change.row_key,
+                    change_result.change.attempt_id,
+                    change_result.outcome.version,
+                )
             )
         return True
 
-    def _retry(
-        self, again: tuple[jobs.Job, ...], result: object
-    ) -> list[settled.Settled]:
-        told = []
-        kept = []
-        for job in again:
-            withdrawn = job.attempt in self._withdrawn
-            self._withdrawn.discard(job.attempt)
-            claim = job.kind is jobs.JobKind.CLAIM
-            if not claim or not (withdrawn or self._failing(result)):
-                kept.append(job)
+    def _requeue(
+        self, to_retry: tuple[changes.Change, ...], result: object
+    ) -> list[changeresult.ChangeResult]:
+        results = []
+        requeued = []
+        for change in to_retry:
+            withdrawn = change.attempt_id in self._withdrawn
+            self._withdrawn.discard(change.attempt_id)
+            is_claim = change.kind is changes.ChangeKind.CLAIM
+            if not is_claim or not (withdrawn or self._failing(result)):
+                requeued.append(change)
                 continue
             # The claim ends here.  Unless it is certain that it never took
             # effect, its row would bar the key until someone gives it back.
-            if job.unsure:
-                kept.append(jobs.release(job.place, job.attempt))
+            if change.maybe_applied:
+                requeued.append(
+                    changes.release(change.row_key, change.attempt_id)
+                )
             if not withdrawn:
-                told.append(settled.Settled(job, settled.Failed(result)))
-        self._waiting.extendleft(reversed(kept))
-        return told
-
-
-def _is_claim(job: jobs.Job, attempt: str) -> bool:
-    return job.kind is jobs.JobKind.CLAIM and job.attempt == attempt
+                results.append(
+                    changeresult.ChangeResult(
+                        change, changeresult.ClaimFailed(result)
+                    )
+                )
+        self._queue.extendleft(reversed(requeued))
+        return results
+
+
+def _is_claim(change: changes.Change, attempt_id: str) -> bool:
+    return (
+        change.kind is changes.ChangeKind.CLAIM
+        and change.attempt_id == attempt_id
+    )
--- a/tests/once/machines.py
+++ b/tests/once/machines.py
@@ -44,7 +44,7 @@
         if request.pending and far:
             request.daemon.work()
             request.claimed()
-        if not request.told:
+        if not request.reply:
             self.requests.append(request)
 
     @stateful.rule(who=_WHO)
@@ -95,7 +95,7 @@
             request.end()
         elif request.pending:
             request.claimed()
-            if request.told:
+            if request.reply:
                 self.requests.remove(request)
 
     @stateful.rule(index=strategies.integers(0, 5), key=_KEYS)
--- a/tests/once/steps/once_steps.py
+++ b/tests/once/steps/once_steps.py
@@ -5,15 +5,15 @@
 import behave
 
 from citronvalve.model import ran
-from citronvalve.once import answer
 from citronvalve.once import outcome
 from citronvalve.once import pacer
 from citronvalve.once import recorder
+from citronvalve.once import response
 from standins import faults
 from tests import machinery
 from tests.once import world as worlds
 
-_LONG = worlds.DEADLINE + recorder.GRACE
+_LONG = worlds.DEADLINE + recorder.PENDING_GRACE
 
 #: The steps by which a caller runs out of time.
 _OUT_OF_TIME = {
@@ -81,14 +81,14 @@
     if when == "claim":
         order(faults.Fault(fault), calls)
     first.work()
-    assert request.pending.ticket.end, "the caller was left waiting"
+    assert request.pending.future.result, "the caller was left waiting"
     request.claimed()
     request.serve()
     if when == "outcome":
         order(faults.Fault(fault), calls)
     request.end()
     first.work()
-    context.told = request.told
+    context.told = request.reply
 
 
 @behave.when("the platform is back and the first daemon goes on")
@@ -109,7 +109,7 @@
             context.world.table.faults.order(fault, 1)
         else:
             request.step(name)
-    context.told = request.told
+    context.told = request.reply
 
 
 def _race(order):
@@ -124,7 +124,7 @@
     for request in pair:
         request.serve()
         request.end()
-    told = sorted(worlds.name(request.told) for request in pair)
+    told = sorted(worlds.name(request.reply) for request in pair)
     return told, world.service.runs.total()
 
 
@@ -152,7 +152,7 @@
     for name in ("claimed", "serve", "end"):
         for request in pair:
             request.step(name)
-    context.ends = [worlds.name(request.told) for request in pair]
+    context.ends = [worlds.name(request.reply) for request in pair]
 
 
 @behave.then("one ran it and the other was told {told}")
@@ -181,7 +181,7 @@
         ("claimed", "serve", "end"), requests
     ):
         request.step(name)
-    context.ends = [worlds.name(request.told) for request in requests]
+    context.ends = [worlds.name(request.reply) for request in requests]
     context.counts = (context.ends.count("answer"), new, taken)
 
 
@@ -218,10 +218,10 @@
 )
 def step_sized(context, size, store):
     world = context.world
-    context.sent = answer.Answer(201, "image/png", b"\xff" * size)
+    context.sent = response.Response(201, "image/png", b"\xff" * size)
     world.service.run = lambda key, digest: (
         world.service.runs.update([(key, digest)])
-        or outcome.of_answer(context.sent)
+        or outcome.from_response(context.sent)
     )
     if store == "down":
         world.objects.faults.order(faults.Fault.DOWN)
@@ -241,7 +241,7 @@
 def step_told(context, told):
     assert worlds.name(context.told) == told, context.told
     if told == "replay" and hasattr(context, "sent"):
-        assert context.told.answer == context.sent
+        assert context.told.response == context.sent
 
 
 @behave.then("it is told {told:S}, ran {said:S}")
@@ -257,7 +257,7 @@
 
 @behave.given("a pacer for {daemons:d} daemons")
 def step_pacer(context, daemons):
-    context.pacer = pacer.Pacer(pacer.share(daemons), 0)
+    context.pacer = pacer.Pacer(pacer.rate_for(daemons), 0)
 
 
 @behave.when("it is asked for transactions for {seconds:d} seconds")
@@ -265,7 +265,7 @@
     context.taken = 0
     for now in range(seconds * 1_000):
         if not context.pacer.wait(now):
-            context.pacer.take(now)
+            context.pacer.consume(now)
             context.taken += 1
 
 
--- a/tests/once/steps/sweep_steps.py
+++ b/tests/once/steps/sweep_steps.py
@@ -14,7 +14,7 @@
 
 def _sweeper(context):
     world = context.world
-    return sweeper.Sweeper("d2", world.table, world.objects, world.promises)
+    return sweeper.Sweeper("d2", world.table, world.objects, world.invariants)
 
 
 @behave.given("a key was used {hours:d} hours ago, {what}")
@@ -45,7 +45,7 @@
     wall = context.world.clock.wall()
     if how == "after one that was killed":
         # It has deleted the rows, and the minute is not noted as done.
-        sweep._move = lambda pointer, minute: False
+        sweep._advance_pointer = lambda pointer, minute: False
         sweep.sweep(wall, _KEEP)
         sweep = _sweeper(context)
     if how == "with the platform failing once":
@@ -54,7 +54,7 @@
     for _ in range(_ROUNDS):
         sweep.sweep(wall, _KEEP)
     done = context.world.table.read("once-sweep", "minute").value["minute"]
-    due = (wall - _KEEP - sweeper.MARGIN) // clock.MINUTE
+    due = (wall - _KEEP - sweeper.CLOCK_MARGIN) // clock.MINUTE
     assert done == due - 1, "the sweep got stuck"
 
 
--- a/tests/once/world.py
+++ b/tests/once/world.py
@@ -8,17 +8,17 @@
 from citronvalve.model import missing
 from citronvalve.model import ran
 from citronvalve.model import refusal
-from citronvalve.once import answer as answers
 from citronvalve.once import attempt as attempts
 from citronvalve.once import batch
-from citronvalve.once import call as calls
 from citronvalve.once import fingerprint
+from citronvalve.once import keyedrequest as keyedrequests
 from citronvalve.once import outcome
 from citronvalve.once import recorder
 from citronvalve.once import replay
+from citronvalve.once import response as responses
 from standins import memoryobjects
 from standins import memorytable
-from tests.once import handwaiting
+from tests.once import manualscheduler
 
 TEAM = "kanta"
 DEADLINE = 1_000
@@ -53,24 +53,26 @@
         self.key = key
         self.body = body
         self.digest = fingerprint.digest("POST", "/issue", body)
-        self.told = None
+        self.reply = None
         self.pending = None
         self.attempt = None
         self.outcome = None
 
     def claim(self):
         """Ask for the key."""
-        call = calls.Call(TEAM, self.key, self.digest, DEADLINE)
-        pending = self.daemon.recorder.claim(call)
+        call = keyedrequests.KeyedRequest(
+            TEAM, self.key, self.digest, DEADLINE
+        )
+        pending = self.daemon.recorder.submit_claim(call)
         if isinstance(pending, refusal.Refusal):
-            self._tell(pending)
+            self._receive(pending)
         else:
             self.pending = pending
 
     def claimed(self):
         """Take what the ticket gives by now."""
-        end = self.pending.ticket.wait(0)
-        self._take(self.daemon.recorder.claimed(self.pending, end))
+        end = self.pending.future.wait(0)
+        self._apply(self.daemon.recorder.complete_claim(self.pending, end))
 
     def serve(self):
         """Dispatch the request, if it may be."""
@@ -80,16 +82,18 @@
     def end(self):
         """Record the outcome and tell the caller."""
         if self.attempt:
-            self._tell(self.daemon.recorder.end(self.attempt, self.outcome))
+            self._receive(
+                self.daemon.recorder.record_outcome(self.attempt, self.outcome)
+            )
 
-    def _take(self, result):
-        if isinstance(result, attempts.Run):
+    def _apply(self, result):
+        if isinstance(result, attempts.Permit):
             self.attempt = result.attempt
         else:
-            self._tell(result)
+            self._receive(result)
 
-    def _tell(self, told):
-        self.told = told
+    def _receive(self, told):
+        self.reply = told
         self.world.check(self)
 
     def step(self, name):
@@ -110,9 +114,9 @@
             name,
             recorder.Stores(world.table, world.objects),
             world.clock,
-            handwaiting.HandWaiting(),
+            manualscheduler.ManualScheduler(),
             random.Random(name),
-            world.promises,
+            world.invariants,
             rate=1_000.0,
         )
         self.batch = None
@@ -122,7 +126,7 @@
         """Take a batch, if there is one."""
         now = self.world.clock.now()
         if self.batch is None:
-            self.batch = self.recorder.writer.take(now, now)
+            self.batch = self.recorder.writer.next_batch(now, now)
 
     def commit(self):
         """Send the batch."""
@@ -162,21 +166,25 @@
             return outcome.Outcome(outcome.Event.NEVER_SENT)
         if self.fault == "refuses":
             body = b'{"ran": "no"}'
-            return outcome.of_answer(
-                answers.Answer(503, "application/json", body)
+            return outcome.from_response(
+                responses.Response(503, "application/json", body)
             )
         if self.fault in ("crashes before", "silent before"):
-            return outcome.Outcome(_SEEN[self.fault])
+            return outcome.Outcome(_EVENT_BY_FAULT[self.fault])
         self.runs[key, digest] += 1
-        if self.fault in _SEEN:
-            return outcome.Outcome(_SEEN[self.fault])
+        if self.fault in _EVENT_BY_FAULT:
+            return outcome.Outcome(_EVENT_BY_FAULT[self.fault])
         if self.fault == "lost by a balancer":
-            return outcome.of_answer(answers.Answer(502, "text/html", b"?"))
+            return outcome.from_response(
+                responses.Response(502, "text/html", b"?")
+            )
         body = f"certificate {self.runs.total()}".encode() + BODY
-        return outcome.of_answer(answers.Answer(201, "text/plain", body))
+        return outcome.from_response(
+            responses.Response(201, "text/plain", body)
+        )
 
 
-_SEEN = {
+_EVENT_BY_FAULT = {
     "crashes before": outcome.Event.CUT,
     "crashes during": outcome.Event.CUT,
     "crashes after": outcome.Event.CUT,
@@ -188,12 +196,12 @@
 class World:
     """Everything around the daemons, and the checks on what they say."""
 
-    def __init__(self, promises=None):
+    def __init__(self, invariants=None):
         self.clock = manualclock.ManualClock()
         self.table = memorytable.MemoryTable()
         self.objects = memoryobjects.MemoryObjects()
         self.service = Service()
-        self.promises = promises or invariant.Invariants()
+        self.invariants = invariants or invariant.Invariants()
         self._starts = 0
 
     def daemon(self):
@@ -211,16 +219,16 @@
             request.serve()
             request.end()
             daemon.work()
-        return request.told
+        return request.reply
 
     def check(self, request):
         """Hold what a caller is told against the service's log."""
-        told = request.told
+        told = request.reply
         runs = self.service.runs[request.key, request.digest]
         said = getattr(told, "ran", None)
         assert said is not ran.Ran.NO or runs == 0, told
         assert said is not ran.Ran.YES or runs == 1, told
-        if isinstance(told, answers.Answer | replay.Replay):
+        if isinstance(told, responses.Response | replay.Replay):
             assert runs == 1, told
         self.check_runs()
 
@@ -238,7 +246,7 @@
         return told.kind.value
     if isinstance(told, replay.Replay):
         return "replay"
-    if isinstance(told, answers.Answer):
+    if isinstance(told, responses.Response):
         return "answer"
     assert told is None or missing.is_missing(told), told
     return "nothing"
