--- a/src/citronvalve/once/__init__.py
+++ b/src/citronvalve/once/__init__.py
@@ -1,1 +1,1 @@
-"""The record that lets a non-idempotent request run at most once."""
+"""At-most-once execution of non-idempotent requests."""
--- a/src/citronvalve/once/attempt.py
+++ b/src/citronvalve/once/attempt.py
@@ -1,4 +1,4 @@
-"""The right to dispatch a request once."""
+"""The attempt that may dispatch a request."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class Attempt(NamedTuple):
-    """One dispatch, whose row is in the table.
+    """One dispatch of a request, recorded in the table.
 
-    ``version`` is the row's, and ``until`` the wall time in ms after which
-    others take it as left behind.
+    ``version`` is the version of the row.  ``expires_at`` is the wall time
+    in ms after which other daemons regard the attempt as abandoned.
     """
 
     attempt_id: str
@@ -20,6 +20,9 @@
 
 
 class Permit(NamedTuple):
-    """Dispatch it now, once, and tell the recorder how it ended."""
+    """Permission to dispatch the request once.
+
+    The holder must report the outcome to the recorder.
+    """
 
     attempt: Attempt
--- a/src/citronvalve/once/batch.py
+++ b/src/citronvalve/once/batch.py
@@ -1,4 +1,4 @@
-"""Turns many changes into one transaction, and its result into their ends."""
+"""Builds a transaction from many changes and maps its result to them."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -11,22 +11,23 @@
 from citronvalve.once import record as records
 from citronvalve.storage import rows
 
-#: Changes in one transaction.  At 3,000 keyed requests a second over 8
-#: daemons and 37 transactions a second each, some 20 are enough; the rest
-#: is for the burst after an outage.  The limit keeps a transaction near a
-#: tenth of a megabyte.
+#: Most changes in one transaction.  About 20 suffice for 3,000 keyed
+#: requests a second over 8 daemons with 37 transactions a second each; the
+#: rest absorbs the burst after an outage.  The limit keeps a transaction
+#: near 0.1 MB.
 MAX_CHANGES = 256
 
-#: Bytes of answers in one transaction; the rest waits for the next one.
+#: Most bytes of response bodies in one transaction; further changes wait
+#: for the next one.
 MAX_BODY_BYTES = 512 * 1024
 
 _MINUTE_TABLE = "once-minute-"
 
 
 class Batch(NamedTuple):
-    """Changes that happen together, no two of one key.
+    """Changes of distinct keys that are committed together.
 
-    ``name`` is unique to this try; ``wall`` is when it was put together.
+    ``name`` is unique to this commit; ``created_at`` is wall time in ms.
     """
 
     name: str
@@ -35,17 +36,17 @@
 
 
 class BatchResult(NamedTuple):
-    """What became of the changes; ``again`` holds those still to do."""
+    """The finished changes of a batch, and those to submit again."""
 
     finished: tuple[changeresult.ChangeResult, ...]
     to_retry: tuple[changes.Change, ...] = ()
 
 
 def minute_table(wall: clock.Ms) -> str:
-    """Return the table that lists the rows written in a minute.
+    """Return the name of the index table of a minute.
 
-    The sweep reads one such table at a time: the rows of a whole day can't
-    be scanned at once.
+    It lists the rows written in that minute.  The sweep reads one such
+    table at a time because a whole day is too much for one scan.
 
     :param wall: wall time in ms.
     """
@@ -55,10 +56,10 @@
 def pick(queue: Iterable[changes.Change]) -> tuple[changes.Change, ...]:
     """Choose the changes of the next batch, oldest first.
 
-    A key comes once: two claims of one key in one transaction would both
-    find it free, and both be carried out.
+    Each key occurs once: two claims of one key in one transaction would
+    both succeed, and the request would run twice.
 
-    :param waiting: every change not yet done.
+    :param queue: all queued changes.
     """
     change_by_row_key: dict[str, changes.Change] = {}
     size = 0
@@ -73,29 +74,31 @@
 
 
 def transaction(batch: Batch) -> rows.Transaction:
-    """Return the transaction of a batch.
+    """Return the transaction that commits a batch.
 
-    :param batch: changes of different keys.
+    :param batch: changes of distinct keys.
     """
     conditions = tuple(
-        rows.Condition(records.TABLE, job.row_key, job.version)
-        for job in batch.changes
+        rows.Condition(records.TABLE, change.row_key, change.version)
+        for change in batch.changes
     )
-    writes = [_write(job) for job in batch.changes if _has_write(job)]
+    writes = [_write(change) for change in batch.changes if _has_write(change)]
     if writes:
         writes.append(_index_write(batch))
     return rows.Transaction(batch.name, conditions, tuple(writes))
 
 
 def settle(batch: Batch, result: Any) -> BatchResult:
-    """Tell what the platform's answer means for each change.
+    """Map the result of a commit to each change of the batch.
 
-    :param batch: as it was sent.
+    :param batch: the committed batch.
     :param result: what :meth:`TableService.commit` returned.
     """
     if isinstance(result, rows.Committed):
         return BatchResult(
-            tuple(_applied(job, result.revision) for job in batch.changes)
+            tuple(
+                _applied(change, result.revision) for change in batch.changes
+            )
         )
     if isinstance(result, rows.Conflict):
         return _resolve_conflict(batch, result)
@@ -115,7 +118,7 @@
 
 
 def _has_write(change: changes.Change) -> bool:
-    # A release of a row that is not there only looks whether it is.
+    # Releasing a row of unknown version only checks whether it exists.
     return change.record is not None or change.version != rows.NO_ROW
 
 
@@ -128,7 +131,7 @@
     recorded = [j for j in batch.changes if j.record is not None]
     objects = [j.record.kept.name for j in recorded if j.record.kept]
     value = {
-        "places": [job.row_key for job in recorded],
+        "places": [change.row_key for change in recorded],
         "objects": [name for name in objects if name],
     }
     return rows.Write(minute_table(batch.created_at), batch.name, value)
@@ -159,7 +162,7 @@
 def _resolve_change(
     change: changes.Change, row: rows.Row | None
 ) -> changeresult.ChangeResult | changes.Change:
-    """Tell whether a change is settled by the row as it is, or still due."""
+    """Return the result that the row implies, or the change to retry."""
     if row is None:
         return _resolve_missing_row(change)
     if row.version == change.version:
@@ -168,7 +171,7 @@
     if found.attempt != change.attempt_id:
         return _resolve_other_attempt(change, found)
     if change.record == found:
-        # An earlier try took effect and its answer was lost.
+        # An earlier commit took effect and its response was lost.
         return _applied(change, row.version)
     return change._replace(version=row.version)
 
@@ -178,7 +181,7 @@
 ) -> changeresult.ChangeResult | changes.Change:
     if change.version == rows.NO_ROW:
         return change
-    # Deleted by an earlier try of this release, or swept after its time.
+    # Deleted by an earlier commit of this release, or swept on expiry.
     return changeresult.ChangeResult(change, changeresult.Applied())
 
 
--- a/src/citronvalve/once/bodystore.py
+++ b/src/citronvalve/once/bodystore.py
@@ -1,4 +1,4 @@
-"""Keeps the bodies of answers, small ones in the row."""
+"""Storage of response bodies, in the row or in the object store."""
 
 import hashlib
 
@@ -7,22 +7,22 @@
 from citronvalve.once import storedresponse as storedresponses
 from citronvalve.storage import objectstore
 
-#: Largest body in a row, in bytes.  A certificate is a few kilobytes; at
-#: some 20 answers a transaction, larger ones would make the store's writes
-#: a matter of bytes instead of number.
+#: Largest body stored in a row, in bytes.  A certificate is a few kilobytes.
+#: At about 20 responses a transaction, larger bodies would make the size
+#: of the writes the bottleneck of the store instead of their number.
 MAX_INLINE_BYTES = 16 * 1024
 
-#: Largest body that is kept at all, in bytes.  What is larger is relayed,
-#: and a repeat is told that it ran and with which status.
+#: Largest body stored at all, in bytes.  A larger body is relayed but not
+#: stored; a repeat receives only the status of the response.
 MAX_STORED_BYTES = 8 * 1024 * 1024
 
 _PUT_ATTEMPTS = 3
 
 
 class BodyStore:
-    """Puts bodies away and gets them back.
+    """Stores and loads response bodies.
 
-    :param objects: holds what is too large for a row.
+    :param objects: store of the bodies that are too large for a row.
     """
 
     def __init__(self, objects: objectstore.ObjectStore) -> None:
@@ -31,10 +31,10 @@
     def store(
         self, response: responses.Response, name: str
     ) -> storedresponses.StoredResponse:
-        """Put an answer away; a body that can't be kept is left out.
+        """Store a response, without its body if that can't be stored.
 
-        :param answer: as the service gave it.
-        :param name: of the object, unique to the attempt.
+        :param response: response of the service.
+        :param name: name of the object, unique to the attempt.
         """
         status, content_type, body = response
         if len(body) <= MAX_INLINE_BYTES:
@@ -56,13 +56,13 @@
     def load(
         self, stored: storedresponses.StoredResponse
     ) -> responses.Response | missing.Missing:
-        """Get an answer back, whole or not at all.
+        """Return the complete response, or missing.
 
-        :param kept: from the key's row.
+        :param stored: stored response from the row of the key.
         """
         body: bytes | missing.Missing = stored.body
         if stored.place is storedresponses.BodyLocation.NOWHERE:
-            return missing.NotFound("the body was not kept")
+            return missing.NotFound("the body was not stored")
         if stored.place is storedresponses.BodyLocation.OBJECT:
             body = self._get(stored)
         if missing.is_missing(body):
@@ -70,7 +70,7 @@
         return responses.Response(stored.status, stored.content_type, body)
 
     def _put(self, name: str, body: bytes) -> bool:
-        # The name is the attempt's own, so that writing twice is the same.
+        # The name is unique to the attempt, so a repeated put is harmless.
         return any(
             self._objects.put(name, body) is None for _ in range(_PUT_ATTEMPTS)
         )
@@ -82,5 +82,7 @@
         if missing.is_missing(body):
             return body
         if hashlib.sha256(body).hexdigest() != stored.sha256:
-            return missing.NotFound("the object has changed", stored.name)
+            return missing.NotFound(
+                "the object does not match its digest", stored.name
+            )
         return body
--- a/src/citronvalve/once/change.py
+++ b/src/citronvalve/once/change.py
@@ -1,4 +1,4 @@
-"""One change of one key's row, waiting for its batch."""
+"""A change of the row of one key."""
 
 import enum
 from typing import NamedTuple
@@ -8,21 +8,21 @@
 
 
 class ChangeKind(enum.StrEnum):
-    """What a change is for."""
+    """Purpose of a change."""
 
     #: Claim the key before the request is dispatched.
     CLAIM = "claim"
-    #: Record how the dispatch ended.
+    #: Record the outcome of the dispatch.
     FINISH = "finish"
-    #: Give the key back: the request was not run.
+    #: Delete the claim, because the request was not run.
     RELEASE = "release"
 
 
 class Change(NamedTuple):
-    """A change that happens only while the row has ``version``.
+    """A change that is conditional on ``version`` of the row.
 
-    ``record`` is the new row, or None to delete it.  ``unsure`` says that
-    an answer was lost, so that the change may have happened already.
+    ``record`` is the new row, or None to delete it.  ``maybe_applied`` is
+    set when the response to an earlier commit of the change was lost.
     """
 
     kind: ChangeKind
@@ -34,9 +34,9 @@
 
 
 def claim(row_key: str, record: records.Record) -> Change:
-    """Return the claim of a key that has no row.
+    """Return the change that claims a key without a row.
 
-    :param place: key of the row.
+    :param row_key: key of the row.
     :param record: the pending row.
     """
     return Change(ChangeKind.CLAIM, row_key, record.attempt, record)
@@ -45,11 +45,12 @@
 def release(
     row_key: str, attempt_id: str, version: int = rows.NO_ROW
 ) -> Change:
-    """Return the change that gives a key back.
+    """Return the change that deletes the row of an attempt.
 
-    :param place: key of the row.
-    :param attempt: whose row it is; another's is left alone.
-    :param version: of the row; :data:`rows.NO_ROW` when it is not known
-        whether the claim took effect.  The platform then shows the row.
+    :param row_key: key of the row.
+    :param attempt_id: the attempt; rows of other attempts are kept.
+    :param version: version of the row; :data:`rows.NO_ROW` when it is not
+        known whether the claim took effect.  The commit then conflicts if
+        there is a row, and returns it.
     """
     return Change(ChangeKind.RELEASE, row_key, attempt_id, None, version)
--- a/src/citronvalve/once/changeresult.py
+++ b/src/citronvalve/once/changeresult.py
@@ -1,4 +1,4 @@
-"""How a change of a key's row ended."""
+"""Result of a change of the row of a key."""
 
 from typing import NamedTuple
 
@@ -8,29 +8,29 @@
 
 
 class Claimed(NamedTuple):
-    """The key is claimed; its row has this version."""
+    """The claim succeeded; ``version`` is the version of the row."""
 
     version: int
 
 
 class ClaimedByOther(NamedTuple):
-    """The key has a row of another attempt."""
+    """The key already has a row of another attempt."""
 
     record: records.Record
 
 
 class Applied(NamedTuple):
-    """The row says how the dispatch ended, or is gone."""
+    """The outcome is recorded, or the row no longer exists."""
 
 
 class ClaimFailed(NamedTuple):
-    """The claim was given up before anything was dispatched."""
+    """The claim was abandoned; nothing was dispatched."""
 
     reason: missing.Missing
 
 
 class ChangeResult(NamedTuple):
-    """One change and its end."""
+    """A change and its outcome."""
 
     change: changes.Change
     outcome: Claimed | ClaimedByOther | Applied | ClaimFailed
--- a/src/citronvalve/once/commitloop.py
+++ b/src/citronvalve/once/commitloop.py
@@ -1,19 +1,19 @@
-"""Commits batches for as long as the daemon runs."""
+"""The loop that commits batches while the daemon runs."""
 
 from citronvalve.model import clock
 from citronvalve.once import recorder as recorders
 from citronvalve.once import scheduler as schedulers
 
-#: The loop looks by itself this often, should a wake-up be missed.
+#: Longest wait of an idle loop, in case a wake-up is missed.
 _IDLE_WAIT: clock.Ms = 1_000
 
 
 class CommitLoop:
-    """The one task that talks to the platform for the record.
+    """The only task that commits the changes of a recorder.
 
-    :param recorder: whose batches are committed.
-    :param waiting: how to wait; the recorder's own.
-    :param now: the clock.
+    :param recorder: supplies the batches.
+    :param scheduler: the scheduler that the recorder uses.
+    :param time_source: the clock.
     """
 
     def __init__(
@@ -33,15 +33,16 @@
             self._step()
 
     def stop(self) -> None:
-        """End the loop after the batch at hand."""
+        """End the loop after the current batch."""
         self._stopped = True
         self._scheduler.wake()
 
     def drain(self, timeout: clock.Ms) -> int:
-        """Wait until nothing is left to write, before the daemon ends.
+        """Wait until all changes are written, before the daemon ends.
 
-        :param span: ms to wait at most.
-        :return: changes that are left; their keys stay "unknown".
+        :param timeout: longest wait in ms.
+        :return: number of changes left; the outcome of their keys stays
+            unknown.
         """
         deadline = self._clock.now() + timeout
         while len(self._recorder.writer) and self._clock.now() < deadline:
@@ -55,5 +56,5 @@
         if not len(writer):
             self._scheduler.wait_for_wake(_IDLE_WAIT)
             return
-        # Not woken by each new claim: it shares the batch that is due.
+        # New claims do not interrupt this wait; they join the next batch.
         self._scheduler.sleep(max(1, writer.wait(self._clock.now())))
--- a/src/citronvalve/once/decision.py
+++ b/src/citronvalve/once/decision.py
@@ -1,4 +1,4 @@
-"""Decides what a row already there means for a request with its key."""
+"""Decides how to answer a request whose key already has a row."""
 
 from citronvalve.model import clock
 from citronvalve.model import ran
@@ -7,15 +7,16 @@
 from citronvalve.once import state
 from citronvalve.once import storedresponse
 
-#: A repeat asks again no sooner and no later than this: sooner finds the
-#: same row, later keeps a caller at a counter waiting for a short call.
+#: Bounds of the retry delay of a request in progress.  A shorter delay
+#: finds the same row; a longer one delays callers of short requests.
 MIN_RETRY_AFTER: clock.Ms = 500
 MAX_RETRY_AFTER: clock.Ms = 5_000
 
 _Kind = refusal.RefusalKind
 
 _REMEDY_UNKNOWN = (
-    "look the work up at the service before you send it under a new key"
+    "check at the service whether the work was done before you send the"
+    " request with a new key"
 )
 
 
@@ -24,20 +25,20 @@
 ) -> storedresponse.StoredResponse | refusal.Refusal:
     """Decide about a request whose key has a row of another attempt.
 
-    Made for callers that give up and send again to another daemon.  It
-    prevents a second run: whatever is found, nothing is dispatched.
+    This happens when a caller gives up and repeats the request at another
+    daemon.  The request is never dispatched again, whatever the row says.
 
     :param found: the row.
-    :param digest: of the request at hand.
-    :param wall: wall time in ms.  A wrong clock turns "in progress" into
-        "unknown" too early or too late, both of which are true.
-    :return: the answer to replay, or why there is none.
+    :param digest: digest of the repeated request.
+    :param wall: wall time in ms.  A wrong clock changes "in progress" into
+        "unknown" too early or too late; neither reply is false.
+    :return: the response to replay, or a refusal.
     """
     if found.digest != digest:
         return refusal.Refusal(
             _Kind.KEY_REUSED,
-            "this key was used before with another request",
-            "use a new key for a new request",
+            "this key was already used with a different request",
+            "use a new key for each request",
         )
     if found.state is state.State.DONE and found.kept:
         return found.kept
@@ -45,23 +46,23 @@
 
 
 def body_lost(status: int) -> refusal.Refusal:
-    """Refuse to replay an answer whose body was not kept.
+    """Refuse to replay a response whose body was lost or not stored.
 
-    :param status: that the service gave.
+    :param status: HTTP status of the response.
     """
     return refusal.Refusal(
         _Kind.OUTCOME_UNKNOWN,
-        f"the request was run and answered with status {status}, but the"
-        " body of that answer can't be read",
-        "look the work up at the service",
+        f"the request ran and the service responded with status {status},"
+        " but the body of the response is not available",
+        "check the result at the service",
         ran.Ran.YES,
     )
 
 
 def outcome_unknown(detail: str) -> refusal.Refusal:
-    """Say that a request was sent and how it ended is not known.
+    """Return the refusal for a request that may or may not have run.
 
-    :param detail: what was seen.
+    :param detail: why the outcome is unknown.
     """
     return refusal.Refusal(
         _Kind.OUTCOME_UNKNOWN, detail, _REMEDY_UNKNOWN, ran.Ran.UNKNOWN
@@ -80,22 +81,26 @@
 
 
 def _abandoned(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
-    return outcome_unknown("the daemon that ran this key's request went away")
+    return outcome_unknown(
+        "the daemon that sent the request with this key failed"
+    )
 
 
 def _no_response(_found: records.Record, _wall: clock.Ms) -> refusal.Refusal:
-    return outcome_unknown("the request was sent and its answer was lost")
+    return outcome_unknown(
+        "the request was sent, but no response was received"
+    )
 
 
 def _response_not_stored(
     _found: records.Record, _wall: clock.Ms
 ) -> refusal.Refusal:
     return outcome_unknown(
-        "the request was answered, but no answer is recorded"
+        "the service responded, but the response was not recorded"
     )
 
 
-#: By the row's state and whether its time has passed.
+#: Keyed by the state of the row and whether it has expired.
 _REFUSAL_BY_STATE = {
     (state.State.PENDING, False): _in_progress,
     (state.State.PENDING, True): _abandoned,
--- a/src/citronvalve/once/fingerprint.py
+++ b/src/citronvalve/once/fingerprint.py
@@ -1,4 +1,4 @@
-"""What binds a key to one request."""
+"""The digest that binds a key to one request."""
 
 import hashlib
 
@@ -8,12 +8,12 @@
 def digest(method: str, path: str, body: bytes) -> str:
     """Return the hex digest of a request.
 
-    Each part goes in with its length, so that no two requests join to the
-    same bytes.
+    Each part is prefixed with its length, so that different requests never
+    hash the same bytes.
 
     :param method: HTTP method.
-    :param path: path with its query.
-    :param body: the whole body.
+    :param path: path with query string.
+    :param body: complete body.
     """
     hashed = hashlib.sha256()
     for part in (method.encode(), path.encode(), body):
--- a/src/citronvalve/once/greenscheduler.py
+++ b/src/citronvalve/once/greenscheduler.py
@@ -1,4 +1,4 @@
-"""Waiting by green threads; the only module here that knows of eventlet."""
+"""Scheduler on green threads; the only module here that uses eventlet."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class GreenFuture(scheduler.Future):
-    """A ticket whose holder sleeps until its end is told."""
+    """A future that blocks the waiting green thread."""
 
     def __init__(self) -> None:
         self._event = event.Event()
@@ -27,15 +27,15 @@
     ) -> changeresult.ChangeResult | missing.Unavailable:
         if self._result is None:
             self._event.wait(timeout=timeout / clock.SECOND)
-        # An end told in the moment of the timeout counts: a claim that took
-        # effect and that nobody uses would bar its key.
+        # A result set just as the timeout fires still counts.  Otherwise a
+        # claim that took effect would block its key unused.
         if self._result is None:
-            return missing.Unavailable(f"no answer within {timeout} ms")
+            return missing.Unavailable(f"no result within {timeout} ms")
         return self._result
 
 
 class GreenScheduler(scheduler.Scheduler):
-    """Tickets and a loop within one hub."""
+    """Runs the commit loop and its futures in one eventlet hub."""
 
     def __init__(self) -> None:
         self._wake_event = event.Event()
--- a/src/citronvalve/once/keyedrequest.py
+++ b/src/citronvalve/once/keyedrequest.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated, as the record needs to know it."""
+"""A non-idempotent request, as the recorder sees it."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class KeyedRequest(NamedTuple):
-    """A keyed request.
+    """A request with an idempotency key.
 
-    ``digest`` is of method, path and body; ``left`` is ms until its
-    deadline.
+    ``digest`` covers method, path and body.  ``time_left`` is in ms until
+    the deadline.
     """
 
     team: str
--- a/src/citronvalve/once/outcome.py
+++ b/src/citronvalve/once/outcome.py
@@ -1,4 +1,4 @@
-"""How the one dispatch of a request ended, as a table of states."""
+"""Outcome of the only dispatch of a request."""
 
 import enum
 from typing import NamedTuple
@@ -9,31 +9,32 @@
 
 
 class Event(enum.StrEnum):
-    """What the daemon saw of the service."""
+    """How a dispatch ended, as observed by the daemon."""
 
-    #: No byte of the request left this daemon.
+    #: No byte of the request was sent.
     NEVER_SENT = "never-sent"
-    #: The service itself says that it did not run it.
+    #: The service reports that it did not run the request.
     REFUSED = "refused"
     ANSWERED = "answered"
-    #: Something in between answered in the service's place.
+    #: A gateway responded in place of the service.
     GATEWAY = "gateway"
-    #: The connection ended before the answer was whole.
+    #: The connection closed before the response was complete.
     CUT = "cut"
-    #: The deadline passed in silence.
+    #: No response arrived before the deadline.
     SILENT = "silent"
 
 
 class OutcomeKind(enum.StrEnum):
-    """What may be said of the run from then on."""
+    """What is known about the execution of a request."""
 
     NOT_RUN = "not-run"
     DONE = "done"
     UNKNOWN = "unknown"
 
 
-#: "Not run" takes proof: a cut or silent connection may have carried the
-#: request, and a gateway answers for a service that has already run it.
+#: NOT_RUN requires proof.  The request may have reached the service before
+#: a connection closed or timed out, and a gateway may respond with an error
+#: after the service has run the request.
 KIND_BY_EVENT: dict[Event, OutcomeKind] = {
     Event.NEVER_SENT: OutcomeKind.NOT_RUN,
     Event.REFUSED: OutcomeKind.NOT_RUN,
@@ -43,20 +44,20 @@
     Event.SILENT: OutcomeKind.UNKNOWN,
 }
 
-#: Answers that balancers give when they lost the service behind them.
+#: Statuses of load balancers that lost the connection to the service.
 _GATEWAY_STATUSES = frozenset({502, 503, 504})
 _FIRST_ERROR = 400
 
 
 class Outcome(NamedTuple):
-    """How it ended; ``answer`` only when the service answered."""
+    """Outcome of a dispatch; ``response`` is set if the service responded."""
 
     event: Event
     response: responses.Response | None = None
 
     @property
     def kind(self) -> OutcomeKind:
-        """Return what may be said of the run."""
+        """Return what is known about the execution."""
         return KIND_BY_EVENT[self.event]
 
 
@@ -65,10 +66,10 @@
 
 
 def from_response(response: responses.Response) -> Outcome:
-    """Tell what a whole answer proves.
+    """Return the outcome that a complete response implies.
 
-    :param answer: as it came back.  ``"ran": "no"`` in the JSON body of an
-        error is the service's own word that it did not run the request.
+    :param response: the response.  ``"ran": "no"`` in the JSON body of an
+        error is the service's statement that it did not run the request.
     """
     if response.status >= _FIRST_ERROR and _reports_not_run(response.body):
         return Outcome(Event.REFUSED, response)
--- a/src/citronvalve/once/pacer.py
+++ b/src/citronvalve/once/pacer.py
@@ -1,37 +1,37 @@
-"""Spreads one daemon's transactions over its share of the store's writes."""
+"""Limits the rate of the transactions of one daemon."""
 
 from citronvalve.model import clock
 
-#: Transactions that may follow each other at once after a quiet time, so
-#: that a lone request never waits.  Eight daemons together then exceed the
-#: store's second by 32 writes at most, a tenth of what it takes.
+#: Transactions allowed at once after an idle period, so that a single
+#: request never waits.  Eight daemons together then exceed the rate of the
+#: store by at most 32 writes in a second, a tenth of its capacity.
 BURST = 4
 
-#: Transactions a second that all daemons together may make for keys.  The
-#: platform takes several hundred; this is the least that the words allow,
-#: and edits and orders to groups are a few a second beside it.
+#: Transactions a second for keys, over all daemons.  The platform supports
+#: several hundred; this is the lowest figure that this can mean.  Edits and
+#: group orders add a few a second.
 MAX_STORE_WRITES_PER_SECOND = 300
 
-#: No daemon makes more than this, however few there are: one in flight at
-#: a time and a round trip of 10 ms allow no more.
+#: Highest rate of one daemon: one transaction in flight with a round trip
+#: of 10 ms allows no more.
 _MAX_RATE = 100.0
 
 
 def rate_for(daemons: int) -> float:
-    """Return the transactions a second of one daemon.
+    """Return the share of one daemon in transactions a second.
 
-    Daemons that are cut off from others count too few.  The store then
-    answers late, which makes the batches larger instead of more.
+    Partitioned daemons count too few daemons.  The store then responds
+    late, which makes the batches larger instead of more frequent.
 
-    :param daemons: how many share the store, this one included.
+    :param daemons: number of daemons that share the store, with this one.
     """
     return min(_MAX_RATE, MAX_STORE_WRITES_PER_SECOND / max(1, daemons))
 
 
 class Pacer:
-    """A token bucket over whole milliseconds.
+    """A token bucket with a resolution of 1 ms.
 
-    :param rate: transactions a second that this daemon may make.
+    :param rate: transactions a second.
     :param now: monotonic time in ms.
     """
 
@@ -41,10 +41,10 @@
         self._filled_at = now
 
     def wait(self, now: clock.Ms, reserve: int = 0) -> clock.Ms:
-        """Return ms until the next transaction may go; 0 is at once.
+        """Return ms until the next transaction is allowed.
 
         :param now: monotonic time in ms.
-        :param spare: how many more it must leave to others.
+        :param reserve: tokens that must remain afterwards.
         """
         self._refill(now)
         shortfall = 1.0 + reserve - self._tokens
@@ -53,7 +53,7 @@
         return max(1, round(shortfall * clock.SECOND / self.rate))
 
     def consume(self, now: clock.Ms) -> None:
-        """Count a transaction.
+        """Take the token of one transaction.
 
         :param now: monotonic time in ms.
         """
--- a/src/citronvalve/once/record.py
+++ b/src/citronvalve/once/record.py
@@ -1,4 +1,4 @@
-"""The row that lets a key run at most once."""
+"""The row that ensures that a key runs at most once."""
 
 from typing import Any
 from typing import NamedTuple
@@ -9,16 +9,16 @@
 from citronvalve.once import state
 from citronvalve.once import storedresponse as storedresponses
 
-#: The table of the platform that holds the rows.
+#: Name of the platform table that holds the rows.
 TABLE = "once"
 
 
 class Record(NamedTuple):
-    """What is known of a key.
+    """The row of a key.
 
-    ``digest`` binds the key to one request and ``attempt`` to the one
-    dispatch of it.  ``until`` is the wall time in ms after which a pending
-    row is taken as left behind by a daemon that died.
+    ``digest`` binds the key to one request, and ``attempt`` is the ID of
+    its only dispatch.  ``until`` is the wall time in ms after which a
+    pending row counts as abandoned by a daemon that died.
     """
 
     digest: str
@@ -29,27 +29,27 @@
 
 
 def row_key(team: str, key: str) -> str:
-    """Return the key of the row; two teams never share one.
+    """Return the row key of an idempotency key; it is unique to the team.
 
-    :param team: name of the team, which holds no slash.
-    :param key: the caller's own key.
+    :param team: name of the team, which contains no slash.
+    :param key: idempotency key of the caller.
     """
     return f"{team}/{key}"
 
 
 def encode(record: Record) -> dict[str, Any]:
-    """Return the value of a row, as names that operators can read.
+    """Return the value of a row, with field names readable by operators.
 
-    :param record: what to write.
+    :param record: the record to encode.
     """
     return dict(zip(Record._fields, msgspec.to_builtins(record), strict=True))
 
 
 def decode(value: dict[str, Any]) -> Record:
-    """Read the value of a row.
+    """Return the record of the value of a row.
 
-    :param value: as the table service gave it.
-    :raises msgspec.ValidationError: when it is no record.
+    :param value: value read from the table service.
+    :raises msgspec.ValidationError: if the value is not a valid record.
     """
     fields = [value.get(name) for name in Record._fields]
     return msgspec.convert(fields, Record)
--- a/src/citronvalve/once/recorder.py
+++ b/src/citronvalve/once/recorder.py
@@ -1,4 +1,4 @@
-"""The record of non-idempotent requests, as the entry uses it."""
+"""Records non-idempotent requests so that each runs at most once."""
 
 import itertools
 import random
@@ -27,21 +27,21 @@
 from citronvalve.storage import objectstore
 from citronvalve.storage import tableservice
 
-#: Longest key, in characters; common clients send a UUID of 36.
+#: In characters; common clients send a UUID of 36.
 MAX_KEY_LENGTH = 255
 
-#: How long a caller waits for its claim at most: one call of the platform
-#: that times out after 2 s and one more that settles it.  After that the
-#: store is not merely slow, and the caller can still try elsewhere.
+#: Longest wait of a caller for its claim: one platform call that times out
+#: after 2 s and a second one that resolves it.  A store that takes longer
+#: is not just slow, and the caller still has time to try elsewhere.
 CLAIM_TIMEOUT: clock.Ms = 4_000
 
-#: Time after a call's deadline until its row counts as left behind.  The
-#: outcome of a call that ended at its deadline takes a few batches to be
-#: written.
+#: Time after the deadline of a request until its pending row counts as
+#: abandoned.  Writing the outcome of a request that ended at its deadline
+#: takes a few batches.
 PENDING_GRACE: clock.Ms = 10_000
 
-#: Changes that wait at once.  An outage leaves one for each call then in
-#: progress; beyond this the daemon refuses new calls.
+#: Most changes queued at once.  An outage leaves one for each request in
+#: progress; beyond this limit the daemon rejects new requests.
 MAX_QUEUED_CHANGES = 20_000
 
 _ONE_END = "an attempt is dispatched once and ends once"
@@ -51,14 +51,14 @@
 
 
 class Stores(NamedTuple):
-    """What the platform gives the record."""
+    """The stores of the platform that the recorder uses."""
 
     table: tableservice.TableService
     objects: objectstore.ObjectStore
 
 
 class PendingClaim(NamedTuple):
-    """A claim that waits for its batch."""
+    """A claim that is queued or in flight."""
 
     request: keyedrequests.KeyedRequest
     record: records.Record
@@ -66,14 +66,14 @@
 
 
 class Recorder:
-    """Lets a keyed request run at most once, over all daemons.
-
-    :param daemon: name of this start of the daemon, unique for ever.
-    :param stores: the platform.
-    :param now: the clock.
-    :param waiting: how to wait.
-    :param chance: spreads the times to come back.
-    :param promises: counts the invariants.
+    """Ensures that a keyed request runs at most once over all daemons.
+
+    :param daemon: name of this start of the daemon, never reused.
+    :param stores: stores of the platform.
+    :param time_source: the clock.
+    :param scheduler: blocks callers and starts tasks.
+    :param rng: adds jitter to retry delays.
+    :param invariants: checks and counts the invariants.
     :param rate: transactions a second that this daemon may make.
     """
 
@@ -106,9 +106,9 @@
     ) -> attempts.Permit | replay.Replay | refusal.Refusal:
         """Claim the key of a request before it is dispatched.
 
-        :param call: the request.
-        :return: leave to dispatch it once, the stored answer, or a
-            refusal, which says truly whether the request was run.
+        :param request: the request.
+        :return: permission to dispatch it once, the stored response, or a
+            refusal that states whether the request was run.
         """
         pending = self.submit_claim(request)
         if isinstance(pending, refusal.Refusal):
@@ -119,9 +119,9 @@
     def submit_claim(
         self, request: keyedrequests.KeyedRequest
     ) -> PendingClaim | refusal.Refusal:
-        """Let a claim wait for its batch; the first half of `begin`.
+        """Queue the claim of a request; the first half of `begin`.
 
-        :param call: the request.
+        :param request: the request.
         """
         rejection = self._rejection(request)
         if rejection:
@@ -145,10 +145,10 @@
         pending: PendingClaim,
         result: changeresult.ChangeResult | missing.Missing,
     ) -> attempts.Permit | replay.Replay | refusal.Refusal:
-        """Decide by the end of a claim; the second half of `begin`.
+        """Decide by the result of a claim; the second half of `begin`.
 
         :param pending: the claim.
-        :param end: what its ticket gave, or why it gave nothing.
+        :param result: result of its future, or why there is none.
         """
         attempt_id = pending.record.attempt
         self._future_by_attempt.pop(attempt_id, None)
@@ -165,14 +165,14 @@
     def record_outcome(
         self, attempt: attempts.Attempt, outcome: outcomes.Outcome
     ) -> responses.Response | refusal.Refusal:
-        """Record how a dispatch ended, without waiting for the platform.
+        """Record the outcome of a dispatch, without waiting for the write.
 
-        The row follows as soon as the platform takes it; until then others
-        say "in progress" or "unknown", which is true.
+        Until the row is written, other daemons reply "in progress" or
+        "unknown", which is correct.
 
-        :param attempt: from `begin`.
-        :param outcome: what was seen of the service.
-        :return: what the caller gets.
+        :param attempt: attempt returned by `begin`.
+        :param outcome: outcome of the dispatch.
+        :return: the reply for the caller.
         """
         self._invariants.check(
             _ONE_END,
@@ -196,7 +196,7 @@
         return reply.for_outcome(outcome)
 
     def commit_batch(self) -> bool:
-        """Commit one batch, if it is time; tell whether one went."""
+        """Commit one batch if one is due; return whether it did."""
         batch = self.writer.next_batch(self._clock.now(), self._clock.wall())
         if batch is None:
             return False
@@ -205,10 +205,10 @@
         return True
 
     def settle(self, batch: batches.Batch, result: object) -> None:
-        """Tell the ends that the platform's answer gives.
+        """Apply the result of a commit and wake the waiting callers.
 
-        :param batch: as it was sent.
-        :param result: the answer.
+        :param batch: the committed batch.
+        :param result: what :meth:`TableService.commit` returned.
         """
         change_results = self.writer.settle(batch, result, self._clock.now())
         for change_result in change_results:
@@ -227,7 +227,7 @@
         backoff = self.writer.backoff_left(now)
         if backoff or len(self.writer) >= MAX_QUEUED_CHANGES:
             return reply.claim_failed(
-                "the platform's table does not answer",
+                "the table service of the platform is not available",
                 self._retry_after(backoff),
             )
         return None
@@ -242,8 +242,8 @@
         return reply.claim_failed(why.reason, self._retry_after(backoff))
 
     def _retry_after(self, backoff: clock.Ms) -> clock.Ms:
-        # Spread over as long again: callers refused in one moment would
-        # otherwise come back in one moment.
+        # The jitter keeps callers that were rejected at the same time from
+        # retrying at the same time.
         soonest = max(backoff, clock.SECOND)
         return soonest + self._rng.randrange(soonest)
 
--- a/src/citronvalve/once/replay.py
+++ b/src/citronvalve/once/replay.py
@@ -1,4 +1,4 @@
-"""The stored answer of a request that has run already."""
+"""The stored response of a request that has already run."""
 
 from typing import NamedTuple
 
@@ -6,6 +6,6 @@
 
 
 class Replay(NamedTuple):
-    """Give the caller this and dispatch nothing."""
+    """The response to send to the caller instead of dispatching."""
 
     response: responses.Response
--- a/src/citronvalve/once/reply.py
+++ b/src/citronvalve/once/reply.py
@@ -1,4 +1,4 @@
-"""What a caller of a request that may not be repeated is told."""
+"""Replies to callers of non-idempotent requests."""
 
 from citronvalve.model import clock
 from citronvalve.model import ran
@@ -9,23 +9,25 @@
 
 _Kind = refusal.RefusalKind
 
-#: Ms until a caller whose request was not run may come back: long enough
-#: for a crashed service to be taken out of routing.
+#: Retry delay of a caller whose request was not run; long enough for a
+#: crashed service to be taken out of routing.
 _RETRY_AFTER_NOT_RUN: clock.Ms = 1_000
 
 _DETAIL_BY_EVENT = {
-    outcomes.Event.GATEWAY: "something before the service answered for it",
-    outcomes.Event.CUT: "the connection ended before the answer was whole",
-    outcomes.Event.SILENT: "no answer came before the deadline",
+    outcomes.Event.GATEWAY: "a gateway responded in place of the service",
+    outcomes.Event.CUT: "the connection closed before the response ended",
+    outcomes.Event.SILENT: "no response was received before the deadline",
 }
 
 
 def for_outcome(
     outcome: outcomes.Outcome,
 ) -> responses.Response | refusal.Refusal:
-    """Tell how a dispatch ended; the same with a key and without.
+    """Return the reply for the outcome of a dispatch.
 
-    :param outcome: what was seen of the service.
+    It is the same for requests with and without a key.
+
+    :param outcome: outcome of the dispatch.
     """
     if outcome.kind is outcomes.OutcomeKind.DONE and outcome.response:
         return outcome.response
@@ -34,32 +36,33 @@
     return decision.outcome_unknown(_DETAIL_BY_EVENT[outcome.event])
 
 
-def invalid_key(longest: int) -> refusal.Refusal:
-    """Refuse a key that can't be recorded.
+def invalid_key(max_length: int) -> refusal.Refusal:
+    """Return the refusal of an empty or overlong key.
 
-    :param longest: how many characters it may have.
+    :param max_length: largest number of characters.
     """
     return refusal.Refusal(
         _Kind.MALFORMED,
-        f"an idempotency key has 1 to {longest} characters",
-        "send a UUID as the key",
+        f"the idempotency key must have 1 to {max_length} characters",
+        "use a UUID as the key",
     )
 
 
 def claim_failed(why: str, retry_after: clock.Ms) -> refusal.Refusal:
-    """Refuse a request whose key could not be claimed.
+    """Return the refusal of a request whose key could not be claimed.
 
-    This try was not run.  An earlier one with the same key may have been:
-    a client that lost its answer and repeats it during an outage would take
-    "no" for "no certificate was issued", and have a second one made.
+    This attempt did not run, but an earlier one with the same key may have.
+    A client that lost the first response and repeats the request during an
+    outage would take "no" for "no certificate was issued" and request a
+    second one, so ``ran`` is unknown.
 
-    :param why: what the platform said.
-    :param back: ms until the caller may come back.
+    :param why: reason given by the platform.
+    :param retry_after: retry delay in ms.
     """
     return refusal.Refusal(
         _Kind.RECORD_UNAVAILABLE,
-        f"this try was not run, since its key can't be recorded now ({why});"
-        " whether an earlier try with this key was run is not known",
+        f"this attempt did not run because its key can't be recorded ({why});"
+        " whether an earlier attempt with this key ran is unknown",
         "send the same request with the same key again",
         ran.Ran.UNKNOWN,
         retry_after,
@@ -67,13 +70,13 @@
 
 
 def body_unavailable(retry_after: clock.Ms) -> refusal.Refusal:
-    """Say that a request ran and that its answer can't be read now.
+    """Return the refusal for a temporarily unavailable response body.
 
-    :param back: ms until the caller may come back.
+    :param retry_after: retry delay in ms.
     """
     return refusal.Refusal(
         _Kind.RECORD_UNAVAILABLE,
-        "the request was run; its stored answer can't be read now",
+        "the request ran, but its stored response is temporarily unavailable",
         "send the same request with the same key again",
         ran.Ran.YES,
         retry_after,
--- a/src/citronvalve/once/response.py
+++ b/src/citronvalve/once/response.py
@@ -1,10 +1,10 @@
-"""The answer of a plain service, as its caller got it."""
+"""The HTTP response of a plain service."""
 
 from typing import NamedTuple
 
 
 class Response(NamedTuple):
-    """What is replayed byte for byte when the request comes again."""
+    """A response, replayed byte for byte when the request is repeated."""
 
     status: int
     content_type: str
--- a/src/citronvalve/once/scheduler.py
+++ b/src/citronvalve/once/scheduler.py
@@ -1,4 +1,4 @@
-"""How the record waits, so that its decisions need no green threads."""
+"""Interface for waiting, which keeps the recorder free of green threads."""
 
 import abc
 from collections.abc import Callable
@@ -9,55 +9,55 @@
 
 
 class Future(abc.ABC):
-    """One claim's place in the queue for its end."""
+    """Result of a claim that may not be available yet."""
 
     @abc.abstractmethod
     def set_result(self, result: changeresult.ChangeResult) -> None:
-        """Tell the end; called once.
+        """Set the result and wake the waiting caller; called once.
 
-        :param end: of the claim.
+        :param result: result of the claim.
         """
 
     @abc.abstractmethod
     def wait(
         self, timeout: clock.Ms
     ) -> changeresult.ChangeResult | missing.Unavailable:
-        """Wait for the end.
+        """Wait for the result.
 
-        :param span: ms to wait at most.
-        :return: the end even when it came as the time ran out; missing
-            only when none was given.
+        :param timeout: longest wait in ms.
+        :return: the result, even if it was set just as the timeout fired;
+            missing only if none was set.
         """
 
 
 class Scheduler(abc.ABC):
-    """Makes tickets, and runs the loop that redeems them."""
+    """Creates futures, and blocks or starts tasks."""
 
     @abc.abstractmethod
     def future(self) -> Future:
-        """Return a new ticket."""
+        """Return a new future."""
 
     @abc.abstractmethod
     def wake(self) -> None:
-        """Tell the loop that there is something to do."""
+        """Wake the commit loop."""
 
     @abc.abstractmethod
     def wait_for_wake(self, timeout: clock.Ms) -> None:
-        """Let the loop wait until it is woken.
+        """Block the commit loop until it is woken.
 
-        :param span: ms to wait at most.
+        :param timeout: longest wait in ms.
         """
 
     @abc.abstractmethod
     def sleep(self, duration: clock.Ms) -> None:
-        """Let the loop wait, woken or not.
+        """Sleep without reacting to :meth:`wake`.
 
-        :param span: ms.
+        :param duration: ms to sleep.
         """
 
     @abc.abstractmethod
     def spawn(self, function: Callable[[], None]) -> None:
-        """Do something beside the caller.
+        """Run a function in a new task.
 
-        :param work: what to do.
+        :param function: function to run.
         """
--- a/src/citronvalve/once/state.py
+++ b/src/citronvalve/once/state.py
@@ -1,14 +1,14 @@
-"""How far the one run of a key has come."""
+"""State of the only execution of a key."""
 
 import enum
 
 
 class State(enum.StrEnum):
-    """The state of a key's row; a key that was not run has no row."""
+    """State of the row of a key; a key that was not run has no row."""
 
-    #: The request may be with the service, now or since its daemon died.
+    #: The request may be running, or its daemon died before it ended.
     PENDING = "pending"
-    #: The service answered.
+    #: The service responded.
     DONE = "done"
-    #: The request was sent and no answer came.
+    #: The request was sent and no response was received.
     UNKNOWN = "unknown"
--- a/src/citronvalve/once/storedresponse.py
+++ b/src/citronvalve/once/storedresponse.py
@@ -1,23 +1,23 @@
-"""An answer as it is kept in a key's row."""
+"""A response as it is stored in the row of a key."""
 
 import enum
 from typing import NamedTuple
 
 
 class BodyLocation(enum.StrEnum):
-    """Where the body of a kept answer is."""
+    """Where the body of a stored response is."""
 
     ROW = "row"
     OBJECT = "object"
-    #: Too large, or the object store failed; only the status is known.
+    #: Not stored: too large, or the object store failed.
     NOWHERE = "nowhere"
 
 
 class StoredResponse(NamedTuple):
-    """An answer, with its body or where that is.
+    """A response with its body, or with the location of its body.
 
-    ``name`` names the object and ``sha256`` is the hex digest of its
-    content, so that an object cut short is never replayed as the answer.
+    ``name`` is the name of the object.  ``sha256`` is the hex digest of its
+    content, so that a truncated object is never replayed.
     """
 
     status: int
--- a/src/citronvalve/once/sweeper.py
+++ b/src/citronvalve/once/sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes the rows of keys whose time is over, a minute's at a time."""
+"""Deletes the rows of expired keys, one minute at a time."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -16,15 +16,15 @@
 _TABLE = "once-sweep"
 _KEY = "minute"
 
-#: Kept longer than stated by so much: rows are listed by the wall clock of
-#: the daemon that wrote them, which may be behind.
+#: Time that rows are kept beyond the retention.  They are indexed by the
+#: wall clock of the daemon that wrote them, which may be behind.
 CLOCK_MARGIN: clock.Ms = 10 * clock.MINUTE
 
-#: How far back a row of another daemon vouches for this one's clock.
+#: Minutes in which a row of another daemon confirms the own clock.
 _CLOCK_CHECK_MINUTES = 3
 
-#: Keys in one transaction; a day of 100 requests a second is swept at two
-#: transactions a second of the platform's several hundred.
+#: Keys in one transaction.  A day of 100 requests a second is swept at two
+#: transactions a second; the platform supports several hundred.
 _MAX_KEYS = 256
 _MAX_ATTEMPTS = 3
 
@@ -32,7 +32,7 @@
 
 
 class _IndexRow(NamedTuple):
-    """A row that lists keys, written together with them."""
+    """A row that lists the keys written in the same transaction."""
 
     table: str
     key: str
@@ -42,12 +42,12 @@
 
 
 class Sweeper:
-    """One daemon's share of the sweep; any number may sweep at once.
+    """Sweeps expired rows; any number of daemons may sweep at once.
 
     :param daemon: name of this start of the daemon.
-    :param table: holds the rows.
-    :param objects: holds large answers.
-    :param promises: counts the invariants.
+    :param table: store of the rows.
+    :param objects: store of large response bodies.
+    :param invariants: checks and counts the invariants.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         self._invariants = invariants
 
     def sweep(self, wall: clock.Ms, retention: clock.Ms) -> swept.Swept | None:
-        """Delete the rows of the oldest minute that is over.
+        """Delete the rows of the oldest expired minute.
 
-        A daemon killed at any step leaves the minute to be swept again.
+        If the daemon is killed at any step, the minute is swept again.
 
         :param wall: wall time in ms.
-        :param keep: ms that the answer to a key is kept.
-        :return: None when nothing is due or the platform fails.
+        :param retention: ms that the response to a key is kept.
+        :return: None if nothing is due or the platform fails.
         """
         pointer = self._pointer(wall)
         if missing.is_missing(pointer):
@@ -92,7 +92,7 @@
     def _pointer(self, wall: clock.Ms) -> rows.Row | missing.Missing:
         row = self._table.read(_TABLE, _KEY)
         if isinstance(row, missing.NotFound):
-            # The first daemon ever: no row is older than this minute.
+            # First sweep of this table: no row is older than this minute.
             self._commit_pointer(rows.NO_ROW, wall // clock.MINUTE - 1)
         return row
 
@@ -110,11 +110,11 @@
         )
 
     def _clock_confirmed(self, wall: clock.Ms) -> bool:
-        """Tell whether another daemon's clock agrees with this one's.
+        """Return whether another daemon's clock agrees with the own clock.
 
-        A clock a day ahead would have rows deleted that were just written,
-        and their keys would run again.  No other daemon writes into the
-        minutes that such a clock takes for the present.
+        With a clock a day ahead, the sweep would delete rows that were just
+        written, and their keys would run again.  No other daemon writes rows
+        for the minutes that such a clock regards as the present.
         """
         return any(
             not row.key.startswith(self._daemon)
@@ -148,7 +148,7 @@
         }
         for index_row in chunk:
             for name in index_row.objects:
-                # The store can't delete; an empty object is what is left.
+                # The store can't delete objects, only overwrite them.
                 self._objects.put(name, b"")
         for _ in range(_MAX_ATTEMPTS):
             result = self._table.commit(
@@ -158,8 +158,8 @@
                 return len(version_by_row_key)
             if not isinstance(result, rows.Conflict):
                 return None
-            # A key whose row has another version was written again later,
-            # and is listed there; one without a row was given back.
+            # A row with another version was rewritten and is indexed under
+            # a later minute.  A key without a row was released.
             current_version_by_row_key = {
                 row.key: row.version for row in result.rows
             }
--- a/src/citronvalve/once/swept.py
+++ b/src/citronvalve/once/swept.py
@@ -1,10 +1,10 @@
-"""What one step of the sweep did."""
+"""Result of one step of the sweep."""
 
 from typing import NamedTuple
 
 
 class Swept(NamedTuple):
-    """A minute whose rows are gone; ``rows`` counts those deleted."""
+    """A swept minute and the number of ``rows`` deleted."""
 
     minute: int
     rows: int
--- a/src/citronvalve/once/writer.py
+++ b/src/citronvalve/once/writer.py
@@ -1,4 +1,4 @@
-"""Batches the changes of many keys; state in, decision out."""
+"""Batches the changes of many keys; performs no I/O."""
 
 import collections
 import itertools
@@ -11,19 +11,19 @@
 from citronvalve.once import changeresult
 from citronvalve.once import pacer as pacers
 
-#: How long the platform is left alone after it failed.  Doubled each time:
-#: 1,600 daemons that ask an ailing store at once would keep it down, and
-#: a caller is refused for at most the last wait after it came back.
+#: Bounds of the exponential backoff after the platform failed.  Without it,
+#: 1,600 daemons that retry at once would keep an overloaded store down.
+#: Callers are rejected for at most MAX_BACKOFF after the store recovers.
 MIN_BACKOFF: clock.Ms = 100
 MAX_BACKOFF: clock.Ms = 2_000
 
-#: Lost answers in a row after which the platform counts as failing.  One
-#: is settled at once by trying again, which is why it is no failure yet.
+#: Consecutive lost responses after which the platform counts as failing.  A
+#: single one is resolved by an immediate retry.
 _MAX_LOST_RESPONSES = 2
 
-#: Transactions that outcomes leave to claims.  A caller waits for a claim
-#: and nobody for an outcome, which rides in the next claim's batch when
-#: transactions are scarce, and goes by itself within 100 ms otherwise.
+#: Transactions reserved for claims.  Callers wait for claims but not for
+#: outcomes.  If transactions are scarce, outcomes join the next batch with
+#: a claim; otherwise they are committed within 100 ms.
 _RESERVED_FOR_CLAIMS = 2
 
 _ONE_BATCH = "one batch is in flight at a time"
@@ -31,15 +31,15 @@
 
 
 class Writer:
-    """The changes of one daemon that wait for the platform.
+    """Queue of the changes of one daemon.
 
-    One batch is in flight at a time: what comes meanwhile shares the next
-    one, so that a slow store gets larger batches and not more of them.
+    One batch is in flight at a time and further changes join the next one,
+    so a slow store gets larger batches instead of more of them.
 
-    :param daemon: name of this start of the daemon, unique for ever.
+    :param daemon: name of this start of the daemon, never reused.
     :param rate: transactions a second that this daemon may make.
     :param now: monotonic time in ms.
-    :param promises: counts the invariants.
+    :param invariants: checks and counts the invariants.
     """
 
     def __init__(
@@ -61,47 +61,48 @@
         self._lost_responses = 0
 
     def __len__(self) -> int:
-        """Return how many changes are not settled."""
+        """Return the number of changes queued and in flight."""
         in_flight = self._in_flight.changes if self._in_flight else ()
         return len(self._queue) + len(in_flight)
 
     def backoff_left(self, now: clock.Ms) -> clock.Ms:
-        """Return ms that the platform is still left alone; 0 is open.
+        """Return the rest of the backoff in ms; 0 if there is none.
 
         :param now: monotonic time in ms.
         """
         return max(0, self._retry_at - now)
 
     def submit(self, change: changes.Change) -> None:
-        """Let a change wait for its batch.
+        """Queue a change for the next batch.
 
-        :param job: the change.
+        :param change: the change.
         """
         self._queue.append(change)
 
     def withdraw(self, attempt_id: str) -> None:
-        """Give up a claim whose caller went away or is out of time.
+        """Withdraw a claim whose caller disconnected or timed out.
 
-        The caller is told that nothing was run, so the key must come free
-        again, whether or not the claim took or will take effect.
+        The caller is told that nothing was run, so the key must be released
+        even if the claim has taken effect or takes effect later.
 
-        :param attempt: the claim's.
+        :param attempt_id: attempt of the claim.
         """
         if self._in_flight and any(
-            job.attempt_id == attempt_id for job in self._in_flight.changes
+            change.attempt_id == attempt_id
+            for change in self._in_flight.changes
         ):
             self._withdrawn.add(attempt_id)
             return
         self._queue = collections.deque(
-            changes.release(job.row_key, attempt_id)
-            if _is_claim(job, attempt_id)
-            else job
-            for job in self._queue
-            if job.maybe_applied or not _is_claim(job, attempt_id)
+            changes.release(change.row_key, attempt_id)
+            if _is_claim(change, attempt_id)
+            else change
+            for change in self._queue
+            if change.maybe_applied or not _is_claim(change, attempt_id)
         )
 
     def wait(self, now: clock.Ms) -> clock.Ms:
-        """Return ms until a batch may go, should there be one.
+        """Return ms until a batch may be committed, if there is one.
 
         :param now: monotonic time in ms.
         """
@@ -114,7 +115,7 @@
     def next_batch(
         self, now: clock.Ms, wall: clock.Ms
     ) -> batches.Batch | None:
-        """Take the next batch to commit; None when it is not time.
+        """Return the next batch to commit; None if none is due.
 
         :param now: monotonic time in ms.
         :param wall: wall time in ms.
@@ -122,11 +123,11 @@
         if self._in_flight or not self._queue or self.wait(now):
             return None
         picked = batches.pick(self._queue)
-        chosen = {id(job) for job in picked}
+        chosen = {id(change) for change in picked}
         self._queue = collections.deque(
-            job for job in self._queue if id(job) not in chosen
+            change for change in self._queue if id(change) not in chosen
         )
-        row_keys = {job.row_key for job in picked}
+        row_keys = {change.row_key for change in picked}
         self._invariants.check(_ONE_CLAIM, len(row_keys) == len(picked))
         self.pacer.consume(now)
         name = f"{self._daemon}-{next(self._numbers)}"
@@ -136,12 +137,12 @@
     def settle(
         self, batch: batches.Batch, result: object, now: clock.Ms
     ) -> tuple[changeresult.ChangeResult, ...]:
-        """Take the platform's answer to a batch.
+        """Apply the result of a commit.
 
-        :param batch: as it was taken.
+        :param batch: the batch from :meth:`next_batch`.
         :param result: what :meth:`TableService.commit` returned.
         :param now: monotonic time in ms.
-        :return: the ends to tell; what is not among them is tried again.
+        :return: the final results; all other changes are retried.
         """
         self._invariants.check(
             _ONE_BATCH, batch is self._in_flight, batch.name
@@ -204,8 +205,8 @@
             if not is_claim or not (withdrawn or self._failing(result)):
                 requeued.append(change)
                 continue
-            # The claim ends here.  Unless it is certain that it never took
-            # effect, its row would bar the key until someone gives it back.
+            # The claim is abandoned.  If it may have taken effect, its row
+            # would block the key until it is released.
             if change.maybe_applied:
                 requeued.append(
                     changes.release(change.row_key, change.attempt_id)
