--- a/tests/certificates/deployed.py
+++ b/tests/certificates/deployed.py
@@ -1,4 +1,4 @@
-"""What the drills about certificates run on."""
+"""Deployment for the scenarios about certificates."""
 
 import signal
 
@@ -12,6 +12,6 @@
     context.service = made.records("records-1", "sapporo", "--work-time=300")
     made.daemons(2)
     made.start()
-    # One that was made to fall silent would not end in order.
+    # A service with a silent fault would not shut down cleanly.
     service = made.fleet.process_by_name["records-1"]
     context.add_cleanup(service.send, signal.SIGKILL)
--- a/tests/certificates/environment.py
+++ b/tests/certificates/environment.py
@@ -1,4 +1,4 @@
-"""One deployment serves the scenarios that end none of its processes."""
+"""One deployment shared by the scenarios that stop no process."""
 
 from tests.certificates import deployed
 
--- a/tests/certificates/steps/certificates_steps.py
+++ b/tests/certificates/steps/certificates_steps.py
@@ -1,4 +1,4 @@
-"""Steps that call a record service through real daemons."""
+"""Steps that call the record service through real daemons."""
 
 import concurrent.futures
 import itertools
@@ -52,8 +52,8 @@
     _order(context.made.fleet.platform, body)
 
 
-@behave.when("the platform is well")
-def step_well(context):
+@behave.when("the platform recovers")
+def step_recover(context):
     step_platform(context, "down", 0)
 
 
@@ -63,25 +63,25 @@
     return caller.call("POST", _PATH, _BODY, own, _DEADLINE)
 
 
-def _name(seen):
-    kind = seen.problem.get("type", f"status:{seen.status}")
+def _name(reply):
+    kind = reply.problem.get("type", f"status:{reply.status}")
     return kind.rpartition(":")[2]
 
 
 @behave.when("a caller asks for a certificate at daemon {daemon:d} with {key}")
 def step_ask(context, daemon, key):
-    context.first = getattr(context, "seen", None)
+    context.first = getattr(context, "reply", None)
     name = key.partition("key ")[2]
-    context.seen = _ask(context, daemon, name)
+    context.reply = _ask(context, daemon, name)
     if context.first is None:
         return
 
-    # The caller's answer does not wait for its record: until that is
-    # written, a repeat is truly told that the first is in progress.
+    # The response does not wait for the outcome to be written.  Until then,
+    # a repeat correctly gets "in progress".
     def settled():
-        if _name(context.seen) != "in-progress":
+        if _name(context.reply) != "in-progress":
             return True
-        context.seen = _ask(context, daemon, name)
+        context.reply = _ask(context, daemon, name)
         return False
 
     drill.eventually(settled, "the outcome of the first is recorded")
@@ -91,26 +91,26 @@
     "a caller asks at daemon {daemon:d} with {key} until none is in progress"
 )
 def step_until(context, daemon, key):
-    # The outcome is written after the first caller has its answer.
-    context.first = context.seen
+    # The outcome is written after the response to the first caller.
+    context.first = context.reply
 
     def ended():
-        context.seen = _ask(context, daemon, key.partition("key ")[2])
-        return _name(context.seen) != "in-progress"
+        context.reply = _ask(context, daemon, key.partition("key ")[2])
+        return _name(context.reply) != "in-progress"
 
-    drill.eventually(ended, "a final answer")
+    drill.eventually(ended, "a final reply")
 
 
-def _meanwhile(context, act):
-    # Calls that were made to fall silent run on in the service.
+def _during_call(context, action):
+    # Calls with a silent fault keep running in the service.
     def working():
         return _running(context) > context.running_before
 
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(_ask, context, 0)
-        drill.eventually(working, "the service works")
-        act()
-        return asked
+        future = pool.submit(_ask, context, 0)
+        drill.eventually(working, "the service runs the call")
+        action()
+        return future
 
 
 @behave.when(
@@ -118,17 +118,17 @@
 )
 def step_killed(context):
     daemon = context.made.fleet.process_by_name["daemon-0"]
-    asked = _meanwhile(context, lambda: daemon.send(signal.SIGKILL))
-    assert isinstance(asked.exception(), urllib3.exceptions.HTTPError)
+    future = _during_call(context, lambda: daemon.send(signal.SIGKILL))
+    assert isinstance(future.exception(), urllib3.exceptions.HTTPError)
     drill.eventually(lambda: _new(context) == 1, "the service is done")
 
 
-@behave.when("daemon 0 leaves, and the platform is well after its notice")
-def step_leaves(context):
+@behave.when("daemon 0 stops, and the platform recovers after its stop notice")
+def step_stop(context):
     daemon = context.made.fleet.process_by_name["daemon-0"]
     daemon.send(signal.SIGTERM)
     drill.eventually(lambda: _closed(daemon.address), "a closed listener")
-    step_well(context)
+    step_recover(context)
     assert daemon.wait() == 0
 
 
@@ -142,52 +142,52 @@
     "a caller asks for a certificate and the platform goes down meanwhile"
 )
 def step_down(context):
-    asked = _meanwhile(context, lambda: step_platform(context, "down", -1))
-    context.seen = asked.result()
+    future = _during_call(context, lambda: step_platform(context, "down", -1))
+    context.reply = future.result()
 
 
 @behave.when("{count:d} callers send key k1 to both daemons at once")
 def step_many(context, count):
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
-        asked = [pool.submit(_ask, context, n % 2) for n in range(count)]
-        context.told = [one.result() for one in asked]
+        futures = [pool.submit(_ask, context, n % 2) for n in range(count)]
+        context.replies = [future.result() for future in futures]
 
 
-@behave.then("each is told 201 or in-progress, and one at least 201")
+@behave.then("each reply is 201 or in-progress, and at least one is 201")
 def step_each(context):
-    names = {_name(seen) for seen in context.told}
+    names = {_name(reply) for reply in context.replies}
     assert "201" in names and names <= {"201", "in-progress"}, names
-    texts = {seen.text for seen in context.told if seen.whole}
+    texts = {reply.text for reply in context.replies if reply.whole}
     assert len(texts) == 1, texts
 
 
-@behave.then("it is told {told:S}")
-def step_told(context, told):
-    assert _name(context.seen) == told, context.seen
+@behave.then("the reply is {expected:S}")
+def step_reply(context, expected):
+    assert _name(context.reply) == expected, context.reply
 
 
-@behave.then("it is told the same answer")
+@behave.then("the reply is the first response again")
 def step_same(context):
-    assert context.seen.status == 201, context.seen
-    assert context.seen.text == context.first.text, context.seen
+    assert context.reply.status == 201, context.reply
+    assert context.reply.text == context.first.text, context.reply
 
 
-@behave.then("it is told {told:S}, ran {said:S}")
-def step_ran(context, told, said):
-    step_told(context, told)
-    assert said == "-" or context.seen.problem["ran"] == said, context.seen
+@behave.then("the reply is {expected:S}, ran {value:S}")
+def step_ran(context, expected, value):
+    step_reply(context, expected)
+    assert value == "-" or context.reply.problem["ran"] == value, context.reply
 
 
-@behave.then("a caller at daemon 1 is told {told} within seconds")
-def step_soon(context, told):
-    context.first = context.seen
+@behave.then("the reply at daemon 1 is {expected} within seconds")
+def step_soon(context, expected):
+    context.first = context.reply
 
     def answered():
-        context.seen = _ask(context, 1)
-        return context.seen.status == 201
+        context.reply = _ask(context, 1)
+        return context.reply.status == 201
 
-    drill.eventually(answered, "an answer at daemon 1")
-    if told == "the same answer":
+    drill.eventually(answered, "a response at daemon 1")
+    if expected == "the first response again":
         step_same(context)
 
 
--- a/tests/once/machines.py
+++ b/tests/once/machines.py
@@ -1,4 +1,4 @@
-"""State machines about requests that run at most once."""
+"""State machines for requests that run at most once."""
 
 from hypothesis import stateful
 from hypothesis import strategies
@@ -44,7 +44,7 @@
         if request.pending and far:
             request.daemon.work()
             request.claimed()
-        if not request.reply:
+        if not request.told:
             self.requests.append(request)
 
     @stateful.rule(who=_WHO)
@@ -95,7 +95,7 @@
             request.end()
         elif request.pending:
             request.claimed()
-            if request.reply:
+            if request.told:
                 self.requests.remove(request)
 
     @stateful.rule(index=strategies.integers(0, 5), key=_KEYS)
--- a/tests/once/manualscheduler.py
+++ b/tests/once/manualscheduler.py
@@ -1,25 +1,25 @@
-"""Waiting for tests: nothing blocks, the test redeems the tickets."""
+"""Scheduler for tests that never blocks."""
 
 from citronvalve.model import missing
 from citronvalve.once import scheduler
 
 
 class ManualFuture(scheduler.Future):
-    """A ticket that holds its end, if it has one by now."""
+    """A future that returns its result, or missing if there is none yet."""
 
     def __init__(self):
         self.result = None
 
     def set_result(self, result):
-        assert self.result is None, "an end was told twice"
+        assert self.result is None, "the result was set twice"
         self.result = result
 
     def wait(self, timeout):
-        return self.result or missing.Unavailable("out of time")
+        return self.result or missing.Unavailable("timed out")
 
 
 class ManualScheduler(scheduler.Scheduler):
-    """Tickets without a loop."""
+    """Scheduler without a commit loop."""
 
     def future(self):
         return ManualFuture()
--- a/tests/once/once.feature
+++ b/tests/once/once.feature
@@ -1,20 +1,21 @@
 Feature: A keyed request runs at most once
-  A doubled certificate gives two owners papers for one bag, and "not run"
-  that is untrue has a second one made.  The service's own log judges.
+  A request that runs twice issues two certificates for one bag, and a false
+  "not run" makes the caller request a second one.  The replies are checked
+  against the service's own log.
 
   Scenario Outline: the daemon is killed before step <step> (<next>)
-    A daemon dies while it carries a request, and the caller, who has no
-    answer, sends it again to another daemon: at once, and once more after
-    the time of the first.  The second may run it only if the first never
+    A daemon dies during a request.  The caller, which has no response,
+    repeats it at another daemon: at once, and again after the first attempt
+    has expired.  The second daemon may run it only if the first never
     claimed the key.
     Given two daemons
-    When the first takes <step> steps of a request and is killed
-    And the caller repeats it at the second
-    Then it is told <soon>
-    When the time of the first request passes
-    And the caller repeats it at the second
-    Then it is told <later>
-    And the request was run <runs> times
+    When the first daemon performs <step> steps of a request and is killed
+    And the caller repeats it at the second daemon
+    Then the reply is <soon>
+    When the first request expires
+    And the caller repeats it at the second daemon
+    Then the reply is <later>
+    And the request ran <runs> times
 
     Examples:
       | step | next    | soon        | later           | runs |
@@ -31,17 +32,17 @@
       | 10   | none    | replay      | replay          | 1    |
 
   Scenario Outline: the service <fault>
-    The first daemon claims the key and the service misbehaves.  The caller
-    is told what is known, and repeats the request at the second daemon
-    once the service is well.  It runs again only if it provably had not.
+    The first daemon claims the key and the service fails.  The caller
+    repeats the request at the second daemon after the service has
+    recovered.  It may run only if it provably did not run before.
     Given two daemons
     And a service that <fault>
-    When the caller sends a request to the first
-    Then it is told <first>, ran <ran>
-    When the service is well again
-    And the caller repeats it at the second
-    Then it is told <again>
-    And the request was run <runs> times
+    When the caller sends a request to the first daemon
+    Then the reply is <first>, ran <ran>
+    When the service recovers
+    And the caller repeats it at the second daemon
+    Then the reply is <again>
+    And the request ran <runs> times
 
     Examples:
       | fault              | first           | ran     | again           | runs |
@@ -57,15 +58,15 @@
 
   Scenario Outline: the platform is <fault> for <calls> calls at the <when>
     The platform fails while a key is claimed or its outcome is written.
-    The caller gets its true answer or a true refusal, and a repeat after
-    the platform is back is answered truthfully too.
+    Both the first reply and the reply to a repeat after the platform has
+    recovered must be correct.
     Given two daemons
     When a request is sent with the platform <fault> for <calls> calls at the <when>
-    Then it is told <first>
-    When the platform is back and the first daemon goes on
-    And the caller repeats it at the second
-    Then it is told <again>
-    And the request was run 1 times
+    Then the reply is <first>
+    When the platform recovers and the first daemon continues
+    And the caller repeats it at the second daemon
+    Then the reply is <again>
+    And the request ran 1 times
 
     Examples:
       | fault       | calls | when    | first              | again  |
@@ -79,80 +80,80 @@
       | lose-answer | 1     | outcome | answer             | replay |
       | lose-answer | 5     | outcome | answer             | replay |
 
-  Scenario Outline: a claim whose caller runs out of time, <when>
-    The platform is slow.  The caller's time passes and it is told that
-    this try was not run; the claim may take effect all the same, and must
-    not bar the key.
+  Scenario Outline: a claim whose caller times out, <when>
+    The platform is slow.  The caller times out and its attempt is not run.
+    The claim may still take effect later, and must not block the key.
     Given two daemons
-    When a caller runs out of time <when>
-    Then it is told record-unavailable
-    When the platform is back and the first daemon goes on
-    And the caller repeats it at the second
-    Then it is told answer
-    And the request was run 1 times
+    When a caller times out <when>
+    Then the reply is record-unavailable
+    When the platform recovers and the first daemon continues
+    And the caller repeats it at the second daemon
+    Then the reply is answer
+    And the request ran 1 times
 
     Examples:
       | when                             |
       | before the batch                 |
       | while the batch is in flight     |
-      | after the answer was lost        |
-      | in flight with the answer lost   |
-
-  Scenario: every order of two daemons given one key at once
-    A caller gives up too early and sends again, to another daemon, while
-    the first is at work.  Each order of the steps of both is tried.
-    When each order of 4 steps of two daemons is tried on one key
-    Then in each order one ran it and the other was told truly
-
-  Scenario: one daemon given one key twice in one batch
-    Two tries of one request arrive at one daemon within a batch.  Both
-    claims in one transaction would find the key free.
+      | after the response was lost      |
+      | in flight with the response lost |
+
+  Scenario: two daemons claim one key in every possible order
+    A caller gives up early and repeats the request at another daemon while
+    the first is still working.  Every interleaving of their steps is run.
+    When two daemons run 4 steps on one key in each possible order
+    Then in each order one ran it and the other got in-progress
+
+  Scenario: one daemon gets one key twice in one batch
+    Two attempts of one request arrive at one daemon within one batch.  Both
+    claims would succeed if they were in the same transaction.
     Given two daemons
-    When the first is given one request twice at once
-    Then one ran it and the other was told in-progress
+    When the first daemon gets one request twice at once
+    Then one ran it and the other got in-progress
 
-  Scenario: taken keys in a batch of many
-    Sixty callers share a batch with repeats of requests that have run.
-    The batch conflicts; the others must not wait for one try a conflict.
+  Scenario: used keys in a large batch
+    Sixty callers share a batch with repeats of requests that have run.  The
+    batch conflicts, and must not need one more commit for each conflict.
     Given two daemons
-    When 60 new keys share a batch with 5 that have run
-    Then the new were answered after 2 tries of the batch
-    And the repeats were told replay
-
-  Scenario: a repeat during an outage of a request that has run
-    The first answer was lost on its way, and the repeat meets an outage.
-    "Not run" would be taken for "no certificate", and a second one made.
+    When 60 new keys share a batch with 5 keys that have run
+    Then the new keys were answered after 2 commits
+    And the repeats got replay
+
+  Scenario: a request that has run is repeated during an outage
+    The caller lost the first response and repeats the request during an
+    outage.  It would take "not run" for "no certificate was issued" and
+    request a second one.
     Given two daemons
-    When the caller sends a request to the first
+    When the caller sends a request to the first daemon
     And the platform goes down
-    And the caller repeats it at the second
-    Then it is told record-unavailable, ran unknown
+    And the caller repeats it at the second daemon
+    Then the reply is record-unavailable, ran unknown
 
-  Scenario Outline: a key comes again with <what>
-    A key is bound to its team and to one request.  A client that uses a
-    key for two bags must hear of it instead of getting the first one's
-    certificate.
+  Scenario Outline: a key is used again with <what>
+    A key is bound to its team and to one request.  A client that uses one
+    key for two bags must get an error instead of the certificate of the
+    first bag.
     Given two daemons
-    When the caller sends a request to the first
-    And the second gets the key with <what>
-    Then it is told <told>
+    When the caller sends a request to the first daemon
+    And the second daemon gets the key with <what>
+    Then the reply is <reply>
 
     Examples:
-      | what          | told       |
+      | what          | reply      |
       | the same body | replay     |
       | another body  | key-reused |
       | another team  | answer     |
 
   Scenario Outline: an answer of <size> bytes with the object store <store>
-    A repeat gets the first answer byte for byte, or hears that it ran.  A
-    body cut short or lost must not be replayed as the answer.
+    A repeat gets the first response byte for byte, or a refusal that says
+    that it ran.  A truncated or lost body must not be replayed.
     Given two daemons
     When a request is answered with <size> bytes, the object store <store>
-    And the caller repeats it at the second
-    Then it is told <told>
+    And the caller repeats it at the second daemon
+    Then the reply is <reply>
 
     Examples:
-      | size     | store   | told               |
+      | size     | store   | reply              |
       | 0        | well    | replay             |
       | 16384    | well    | replay             |
       | 16385    | well    | replay             |
@@ -164,21 +165,21 @@
   Scenario Outline: a key of <size> characters
     Given two daemons
     When a key of <size> characters is sent
-    Then it is told <told>
+    Then the reply is <reply>
 
     Examples:
-      | size | told      |
+      | size | reply     |
       | 0    | malformed |
       | 1    | answer    |
       | 255  | answer    |
       | 256  | malformed |
 
   Scenario Outline: <daemons> daemons share the store's writes
-    Each daemon may make its share of transactions, so that all of them
-    together do not exceed what the platform takes.
+    Each daemon is limited to its share of transactions, so that all daemons
+    together do not exceed the capacity of the platform.
     Given a pacer for <daemons> daemons
-    When it is asked for transactions for 10 seconds
-    Then it lets <count> of them go, give or take 5
+    When it limits transactions for 10 seconds
+    Then it allows <count> of them, with a tolerance of 5
 
     Examples:
       | daemons | count |
@@ -186,12 +187,12 @@
       | 8       | 375   |
       | 60      | 50    |
 
-  Scenario: anything at any moment
-    Callers repeat requests at any daemon while daemons die, while time
-    passes, while the platform and the service fail, all in any order.
+  Scenario: faults of all kinds in any order
+    Callers repeat requests at any daemon, daemons die, time passes, and the
+    platform and the service fail, in any order.
     When the machine "RecordMachine" runs
-    Then these promises were looked at
-      | promise                                                     |
+    Then these invariants were checked
+      | invariant                                                   |
       | one batch is in flight at a time                            |
       | a transaction changes a key once                            |
       | an attempt is dispatched once and ends once                 |
--- a/tests/once/steps/once_steps.py
+++ b/tests/once/steps/once_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that run at most once."""
+"""Steps for requests that run at most once."""
 
 import itertools
 
@@ -13,18 +13,18 @@
 from tests import machinery
 from tests.once import world as worlds
 
-_LONG = worlds.DEADLINE + recorder.PENDING_GRACE
+_PENDING_TIME = worlds.DEADLINE + recorder.PENDING_GRACE
 
-#: The steps by which a caller runs out of time.
-_OUT_OF_TIME = {
+#: Steps up to the timeout of a caller.
+_STEPS_BY_TIMEOUT = {
     "before the batch": ("claim", "claimed"),
     "while the batch is in flight": (
         *("claim", "take", "claimed", "commit", "settle"),
     ),
-    "after the answer was lost": (
+    "after the response was lost": (
         *("claim", "take", "lose", "commit", "settle", "claimed"),
     ),
-    "in flight with the answer lost": (
+    "in flight with the response lost": (
         *("claim", "take", "lose", "commit", "claimed", "settle"),
     ),
 }
@@ -42,31 +42,33 @@
     context.world.service.fault = fault
 
 
-@behave.when("the service is well again")
-def step_well(context):
+@behave.when("the service recovers")
+def step_recover(context):
     context.world.service.fault = ""
 
 
-@behave.when("the first takes {count:d} steps of a request and is killed")
+@behave.when(
+    "the first daemon performs {count:d} steps of a request and is killed"
+)
 def step_killed(context, count):
     request = worlds.Request(context.world, context.first)
     for name in worlds.Request.STEPS[:count]:
         request.step(name)
 
 
-@behave.when("the caller sends a request to the first")
+@behave.when("the caller sends a request to the first daemon")
 def step_send(context):
-    context.told = context.world.ask(context.first)
+    context.reply = context.world.ask(context.first)
 
 
-@behave.when("the caller repeats it at the second")
+@behave.when("the caller repeats it at the second daemon")
 def step_repeat(context):
-    context.told = context.world.ask(context.second)
+    context.reply = context.world.ask(context.second)
 
 
-@behave.when("the time of the first request passes")
-def step_passes(context):
-    context.world.clock.advance(_LONG)
+@behave.when("the first request expires")
+def step_expire(context):
+    context.world.clock.advance(_PENDING_TIME)
 
 
 @behave.when(
@@ -81,17 +83,17 @@
     if when == "claim":
         order(faults.Fault(fault), calls)
     first.work()
-    assert request.pending.future.result, "the caller was left waiting"
+    assert request.pending.future.result, "the claim has no result"
     request.claimed()
     request.serve()
     if when == "outcome":
         order(faults.Fault(fault), calls)
     request.end()
     first.work()
-    context.told = request.reply
+    context.reply = request.told
 
 
-@behave.when("the platform is back and the first daemon goes on")
+@behave.when("the platform recovers and the first daemon continues")
 def step_back(context):
     context.world.table.faults.order(faults.Fault.DOWN, 0)
     context.world.table.faults.order(faults.Fault.LOSE_ANSWER, 0)
@@ -100,16 +102,16 @@
         context.first.work()
 
 
-@behave.when("a caller runs out of time {when}")
-def step_out_of_time(context, when):
+@behave.when("a caller times out {when}")
+def step_timeout(context, when):
     request = worlds.Request(context.world, context.first)
-    for name in _OUT_OF_TIME[when]:
+    for name in _STEPS_BY_TIMEOUT[when]:
         if name == "lose":
             fault = faults.Fault.LOSE_ANSWER
             context.world.table.faults.order(fault, 1)
         else:
             request.step(name)
-    context.told = request.reply
+    context.reply = request.told
 
 
 def _race(order):
@@ -124,26 +126,26 @@
     for request in pair:
         request.serve()
         request.end()
-    told = sorted(worlds.name(request.reply) for request in pair)
-    return told, world.service.runs.total()
+    replies = sorted(worlds.name(request.told) for request in pair)
+    return replies, world.service.runs.total()
 
 
-@behave.when("each order of 4 steps of two daemons is tried on one key")
+@behave.when("two daemons run 4 steps on one key in each possible order")
 def step_orders(context):
-    context.ends = [
+    context.replies = [
         _race([0 if i in own else 1 for i in range(8)])
         for own in itertools.combinations(range(8), 4)
     ]
 
 
-@behave.then("in each order one ran it and the other was told truly")
+@behave.then("in each order one ran it and the other got in-progress")
 def step_each(context):
-    assert len(context.ends) == 70
-    for end in context.ends:
-        assert end == (["answer", "in-progress"], 1), end
+    assert len(context.replies) == 70
+    for result in context.replies:
+        assert result == (["answer", "in-progress"], 1), result
 
 
-@behave.when("the first is given one request twice at once")
+@behave.when("the first daemon gets one request twice at once")
 def step_twice(context):
     pair = [worlds.Request(context.world, context.first) for _ in range(2)]
     for request in pair:
@@ -152,50 +154,52 @@
     for name in ("claimed", "serve", "end"):
         for request in pair:
             request.step(name)
-    context.ends = [worlds.name(request.reply) for request in pair]
+    context.replies = [worlds.name(request.told) for request in pair]
 
 
-@behave.then("one ran it and the other was told {told}")
-def step_one(context, told):
-    assert sorted(context.ends) == sorted(["answer", told]), context.ends
+@behave.then("one ran it and the other got {expected}")
+def step_one(context, expected):
+    assert sorted(context.replies) == sorted(["answer", expected]), (
+        context.replies
+    )
     assert context.world.service.runs.total() == 1
 
 
-@behave.when("{new:d} new keys share a batch with {taken:d} that have run")
-def step_share(context, new, taken):
+@behave.when("{new:d} new keys share a batch with {used:d} keys that have run")
+def step_share(context, new, used):
     world, first = context.world, context.first
-    for number in range(taken):
+    for number in range(used):
         world.ask(context.second, f"k{number * 10}")
-    keys = [f"k{number}" for number in range(new + taken)]
+    keys = [f"k{number}" for number in range(new + used)]
     requests = [worlds.Request(world, first, key) for key in keys]
     for request in requests:
         request.claim()
-    context.tries = 0
-    while len(first.recorder.writer) and context.tries < new:
+    context.commits = 0
+    while len(first.recorder.writer) and context.commits < new:
         world.clock.advance(10)
         first.take()
         first.commit()
         first.settle()
-        context.tries += 1
+        context.commits += 1
     for name, request in itertools.product(
         ("claimed", "serve", "end"), requests
     ):
         request.step(name)
-    context.ends = [worlds.name(request.reply) for request in requests]
-    context.counts = (context.ends.count("answer"), new, taken)
+    context.replies = [worlds.name(request.told) for request in requests]
+    context.counts = (context.replies.count("answer"), new, used)
 
 
-@behave.then("the new were answered after {most:d} tries of the batch")
-def step_all(context, most):
+@behave.then("the new keys were answered after {expected:d} commits")
+def step_all(context, expected):
     answered, new, _ = context.counts
-    assert answered == new, context.ends
-    assert context.tries == most, context.tries
+    assert answered == new, context.replies
+    assert context.commits == expected, context.commits
 
 
-@behave.then("the repeats were told {told}")
-def step_the_repeats(context, told):
-    _, _, taken = context.counts
-    assert context.ends.count(told) == taken, context.ends
+@behave.then("the repeats got {expected}")
+def step_the_repeats(context, expected):
+    _, _, used = context.counts
+    assert context.replies.count(expected) == used, context.replies
 
 
 @behave.when("the platform goes down")
@@ -203,13 +207,13 @@
     context.world.table.faults.order(faults.Fault.DOWN)
 
 
-@behave.when("the second gets the key with {what}")
+@behave.when("the second daemon gets the key with {what}")
 def step_gets(context, what):
     if what == "another team":
         context.world.service.runs.clear()
         worlds.TEAM = "another"
     body = b"bag 8" if what == "another body" else b"bag 7"
-    context.told = context.world.ask(context.second, body=body)
+    context.reply = context.world.ask(context.second, body=body)
     worlds.TEAM = "kanta"
 
 
@@ -234,23 +238,23 @@
 
 @behave.when("a key of {size:d} characters is sent")
 def step_key(context, size):
-    context.told = context.world.ask(context.first, "k" * size)
+    context.reply = context.world.ask(context.first, "k" * size)
 
 
-@behave.then("it is told {told:S}")
-def step_told(context, told):
-    assert worlds.name(context.told) == told, context.told
-    if told == "replay" and hasattr(context, "sent"):
-        assert context.told.response == context.sent
+@behave.then("the reply is {expected:S}")
+def step_reply(context, expected):
+    assert worlds.name(context.reply) == expected, context.reply
+    if expected == "replay" and hasattr(context, "sent"):
+        assert context.reply.response == context.sent
 
 
-@behave.then("it is told {told:S}, ran {said:S}")
-def step_told_ran(context, told, said):
-    step_told(context, told)
-    assert said == "-" or context.told.ran is ran.Ran(said), context.told
+@behave.then("the reply is {expected:S}, ran {value:S}")
+def step_reply_ran(context, expected, value):
+    step_reply(context, expected)
+    assert value == "-" or context.reply.ran is ran.Ran(value), context.reply
 
 
-@behave.then("the request was run {count:d} times")
+@behave.then("the request ran {count:d} times")
 def step_runs(context, count):
     assert context.world.service.runs.total() == count
 
@@ -260,26 +264,27 @@
     context.pacer = pacer.Pacer(pacer.rate_for(daemons), 0)
 
 
-@behave.when("it is asked for transactions for {seconds:d} seconds")
+@behave.when("it limits transactions for {seconds:d} seconds")
 def step_paced(context, seconds):
-    context.taken = 0
+    context.allowed = 0
     for now in range(seconds * 1_000):
         if not context.pacer.wait(now):
             context.pacer.consume(now)
-            context.taken += 1
+            context.allowed += 1
 
 
-@behave.then("it lets {count:d} of them go, give or take {some:d}")
-def step_lets(context, count, some):
-    assert abs(context.taken - count) <= some, context.taken
+@behave.then("it allows {count:d} of them, with a tolerance of {tolerance:d}")
+def step_allows(context, count, tolerance):
+    assert abs(context.allowed - count) <= tolerance, context.allowed
 
 
 @behave.when('the machine "{name}" runs')
 def step_machine(context, name):
-    context.count_by_promise = machinery.run(name)
+    context.count_by_invariant = machinery.run(name)
 
 
-@behave.then("these promises were looked at")
-def step_promises(context):
-    promises = {row["promise"] for row in context.table}
-    assert promises <= set(context.count_by_promise), context.count_by_promise
+@behave.then("these invariants were checked")
+def step_invariants(context):
+    invariants = {row["invariant"] for row in context.table}
+    count_by_invariant = context.count_by_invariant
+    assert invariants <= set(count_by_invariant), count_by_invariant
--- a/tests/once/steps/sweep_steps.py
+++ b/tests/once/steps/sweep_steps.py
@@ -1,4 +1,4 @@
-"""Steps about sweeping the rows of keys."""
+"""Steps for sweeping expired rows of keys."""
 
 import behave
 
@@ -7,9 +7,9 @@
 from standins import faults
 from tests.once import world as worlds
 
-_KEEP = 24 * clock.HOUR
-_OLD = "k-old"
-_ROUNDS = 3_000
+_RETENTION = 24 * clock.HOUR
+_OLD_KEY = "k-old"
+_MAX_SWEEPS = 3_000
 
 
 def _sweeper(context):
@@ -21,55 +21,55 @@
 def step_used(context, hours, what):
     world = context.world
     world.clock.advance(40 * clock.HOUR)
-    _sweeper(context).sweep(world.clock.wall(), _KEEP)
+    _sweeper(context).sweep(world.clock.wall(), _RETENTION)
     if what == "with a large answer":
         worlds.BODY = b"x" * 20_000
-    if what == "given back and used again":
+    if what == "released and used again":
         world.service.fault = "refuses"
-    world.ask(context.first, _OLD)
+    world.ask(context.first, _OLD_KEY)
     world.service.fault = ""
     worlds.BODY = b""
-    if what == "given back and used again":
+    if what == "released and used again":
         world.clock.advance(20 * clock.HOUR)
-        world.ask(context.first, _OLD)
+        world.ask(context.first, _OLD_KEY)
         hours -= 20
     world.clock.advance(hours * clock.HOUR)
     world.ask(context.first, "k-new")
 
 
-@behave.when("the second sweeps, {how}")
+@behave.when("the second daemon sweeps, {how}")
 def step_sweeps(context, how):
     if how == "not":
         return
     sweep = _sweeper(context)
     wall = context.world.clock.wall()
     if how == "after one that was killed":
-        # It has deleted the rows, and the minute is not noted as done.
+        # The rows are deleted, but the minute is not recorded as swept.
         sweep._advance_pointer = lambda pointer, minute: False
-        sweep.sweep(wall, _KEEP)
+        sweep.sweep(wall, _RETENTION)
         sweep = _sweeper(context)
     if how == "with the platform failing once":
         context.world.table.faults.order(faults.Fault.LOSE_ANSWER, 1)
-        sweep.sweep(wall, _KEEP)
-    for _ in range(_ROUNDS):
-        sweep.sweep(wall, _KEEP)
+        sweep.sweep(wall, _RETENTION)
+    for _ in range(_MAX_SWEEPS):
+        sweep.sweep(wall, _RETENTION)
     done = context.world.table.read("once-sweep", "minute").value["minute"]
-    due = (wall - _KEEP - sweeper.CLOCK_MARGIN) // clock.MINUTE
-    assert done == due - 1, "the sweep got stuck"
+    due = (wall - _RETENTION - sweeper.CLOCK_MARGIN) // clock.MINUTE
+    assert done == due - 1, "the sweep is not complete"
 
 
-@behave.when("the second sweeps with its clock {hours:d} hours ahead")
+@behave.when("the second daemon sweeps with its clock {hours:d} hours ahead")
 def step_ahead(context, hours):
     context.world.ask(context.second, "k-own")
     wall = context.world.clock.wall() + hours * clock.HOUR
-    for _ in range(_ROUNDS):
-        _sweeper(context).sweep(wall, _KEEP)
+    for _ in range(_MAX_SWEEPS):
+        _sweeper(context).sweep(wall, _RETENTION)
 
 
-@behave.then("the old key is told {told}")
-def step_told(context, told):
-    if told == "answer":
-        # Its time is over, so that it may run once more.
+@behave.then("the reply to the old key is {expected}")
+def step_reply(context, expected):
+    if expected == "answer":
+        # The key has expired, so it may run once more.
         context.world.service.runs.clear()
-    told_now = context.world.ask(context.first, _OLD)
-    assert worlds.name(told_now) == told, told_now
+    reply = context.world.ask(context.first, _OLD_KEY)
+    assert worlds.name(reply) == expected, reply
--- a/tests/once/world.py
+++ b/tests/once/world.py
@@ -1,4 +1,4 @@
-"""A platform, a service that keeps its own log, and daemons to kill."""
+"""A platform, a service with its own log, and daemons that can be killed."""
 
 import collections
 import random
@@ -23,14 +23,14 @@
 TEAM = "kanta"
 DEADLINE = 1_000
 
-#: What the service adds to each certificate.
+#: Bytes that the service appends to each certificate.
 BODY = b""
 
 
 class Request:
-    """A caller's request and how far one daemon has come with it.
+    """A request of a caller and its progress at one daemon.
 
-    Its steps are taken one by one, so that a daemon can be killed between
+    Its steps run one at a time, so that the daemon can be killed between
     any two of them.
     """
 
@@ -53,13 +53,13 @@
         self.key = key
         self.body = body
         self.digest = fingerprint.digest("POST", "/issue", body)
-        self.reply = None
+        self.told = None
         self.pending = None
         self.attempt = None
         self.outcome = None
 
     def claim(self):
-        """Ask for the key."""
+        """Submit the claim of the key."""
         call = keyedrequests.KeyedRequest(
             TEAM, self.key, self.digest, DEADLINE
         )
@@ -70,17 +70,17 @@
             self.pending = pending
 
     def claimed(self):
-        """Take what the ticket gives by now."""
-        end = self.pending.future.wait(0)
-        self._apply(self.daemon.recorder.complete_claim(self.pending, end))
+        """Complete the claim with the current result."""
+        result = self.pending.future.wait(0)
+        self._apply(self.daemon.recorder.complete_claim(self.pending, result))
 
     def serve(self):
-        """Dispatch the request, if it may be."""
+        """Dispatch the request if it is permitted."""
         if self.attempt:
             self.outcome = self.world.service.run(self.key, self.digest)
 
     def end(self):
-        """Record the outcome and tell the caller."""
+        """Record the outcome and reply to the caller."""
         if self.attempt:
             self._receive(
                 self.daemon.recorder.record_outcome(self.attempt, self.outcome)
@@ -92,12 +92,12 @@
         else:
             self._receive(result)
 
-    def _receive(self, told):
-        self.reply = told
+    def _receive(self, reply):
+        self.told = reply
         self.world.check(self)
 
     def step(self, name):
-        """Take a step by its name.
+        """Run a step by its name.
 
         :param name: one of `STEPS`.
         """
@@ -106,7 +106,7 @@
 
 
 class Daemon:
-    """One start of a daemon; killing it drops the object."""
+    """One start of a daemon; it is killed by dropping the object."""
 
     def __init__(self, world, name):
         self.world = world
@@ -123,26 +123,26 @@
         self.result = None
 
     def take(self):
-        """Take a batch, if there is one."""
+        """Take the next batch if one is due."""
         now = self.world.clock.now()
         if self.batch is None:
             self.batch = self.recorder.writer.next_batch(now, now)
 
     def commit(self):
-        """Send the batch."""
+        """Commit the batch."""
         if self.batch and self.result is None:
             sent = batch.transaction(self.batch)
             self.result = self.world.table.commit(sent)
 
     def settle(self):
-        """Take the platform's answer."""
+        """Apply the result of the commit."""
         if self.batch and self.result is not None:
             taken, result = self.batch, self.result
             self.batch = self.result = None
             self.recorder.settle(taken, result)
 
     def work(self):
-        """Settle all that can be settled."""
+        """Commit and settle all queued changes."""
         for _ in range(20):
             self.take()
             self.commit()
@@ -151,9 +151,9 @@
 
 
 class Service:
-    """Issues certificates; its log outlives its crashes.
+    """Issues certificates; its log survives its crashes.
 
-    :ivar runs: how often each key and digest were run.
+    :ivar runs: number of runs by key and digest.
     """
 
     def __init__(self):
@@ -161,7 +161,7 @@
         self.fault = ""
 
     def run(self, key, digest):
-        """Run a request and tell what the daemon sees of it."""
+        """Run a request and return the outcome that the daemon observes."""
         if self.fault == "unreachable":
             return outcome.Outcome(outcome.Event.NEVER_SENT)
         if self.fault == "refuses":
@@ -194,7 +194,7 @@
 
 
 class World:
-    """Everything around the daemons, and the checks on what they say."""
+    """The environment of the daemons, with checks of their replies."""
 
     def __init__(self, invariants=None):
         self.clock = manualclock.ManualClock()
@@ -210,7 +210,7 @@
         return Daemon(self, f"d{self._starts}")
 
     def ask(self, daemon, key="k1", body=b"bag 7"):
-        """Take a request through all its steps; return what is told."""
+        """Run all steps of a request and return the reply."""
         request = Request(self, daemon, key, body)
         request.claim()
         if request.pending:
@@ -219,34 +219,34 @@
             request.serve()
             request.end()
             daemon.work()
-        return request.reply
+        return request.told
 
     def check(self, request):
-        """Hold what a caller is told against the service's log."""
-        told = request.reply
+        """Check a reply against the log of the service."""
+        reply = request.told
         runs = self.service.runs[request.key, request.digest]
-        said = getattr(told, "ran", None)
-        assert said is not ran.Ran.NO or runs == 0, told
-        assert said is not ran.Ran.YES or runs == 1, told
-        if isinstance(told, responses.Response | replay.Replay):
-            assert runs == 1, told
+        reported = getattr(reply, "ran", None)
+        assert reported is not ran.Ran.NO or runs == 0, reply
+        assert reported is not ran.Ran.YES or runs == 1, reply
+        if isinstance(reply, responses.Response | replay.Replay):
+            assert runs == 1, reply
         self.check_runs()
 
     def check_runs(self):
-        """No key was run twice, with whichever body."""
+        """Check that no key ran twice, with the same or another body."""
         runs_by_key = collections.Counter()
         for (key, _), runs in self.service.runs.items():
             runs_by_key[key] += runs
         assert all(n <= 1 for n in runs_by_key.values()), runs_by_key
 
 
-def name(told):
-    """Return what a caller is told in one word."""
-    if isinstance(told, refusal.Refusal):
-        return told.kind.value
-    if isinstance(told, replay.Replay):
+def name(reply):
+    """Return the kind of a reply as one word."""
+    if isinstance(reply, refusal.Refusal):
+        return reply.kind.value
+    if isinstance(reply, replay.Replay):
         return "replay"
-    if isinstance(told, responses.Response):
+    if isinstance(reply, responses.Response):
         return "answer"
-    assert told is None or missing.is_missing(told), told
+    assert reply is None or missing.is_missing(reply), reply
     return "nothing"
