--- a/tests/once/steps/once_steps.py
+++ b/tests/once/steps/once_steps.py
@@ -286,5 +286,6 @@
 @behave.then("these invariants were checked")
 def step_invariants(context):
     invariants = {row["invariant"] for row in context.table}
-    count_by_invariant = context.count_by_invariant
-    assert invariants <= set(count_by_invariant), count_by_invariant
+    assert invariants <= set(context.count_by_invariant), (
+        context.count_by_invariant
+    )
