--- a/benchmarks/inforce.py
+++ b/benchmarks/inforce.py
@@ -54,7 +54,7 @@
         """Return ms from the commit of an edit until all have it."""
         self._weight = self._weight % 900 + 1
         key = f"teams/{deployments.TEAM}"
-        wanted = rowedits.setting(key, {"weight": self._weight})
+        wanted = rowedits.set_columns(key, {"weight": self._weight})
         done = self._editor.apply(wanted, edit.Author("bench", "bench"))
         if not isinstance(done, edit.Accepted):
             raise RuntimeError(f"the edit failed: {done}")
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -12,6 +12,7 @@
 from benchmarks import timing
 from citronvalve.model import clock
 from citronvalve.model import invariant
+from citronvalve.table import builder
 from citronvalve.table import delta as deltas
 from citronvalve.table import document
 from citronvalve.table import edit
@@ -19,9 +20,8 @@
 from citronvalve.table import follower
 from citronvalve.table import layout
 from citronvalve.table import planning
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
-from citronvalve.table import typed
 from standins import memorytable
 
 _SIZES = (100, 1_000, 12_000)
@@ -55,8 +55,8 @@
     made = values(count)
     operator = _editor(store)
     keys = list(made)
-    for first in range(0, len(keys), planning.MOST_CHANGES):
-        until = first + planning.MOST_CHANGES
+    for first in range(0, len(keys), planning.MAX_CHANGES):
+        until = first + planning.MAX_CHANGES
         some = {key: made[key] for key in keys[:until]}
         done = operator.apply(lambda stored, some=some: some, _AUTHOR)
         if not isinstance(done, edit.Accepted):
@@ -76,7 +76,7 @@
 
     def run() -> None:
         ramp = 1_000 + store.writes % 50_000
-        wanted = rowedits.setting("upstreams/u1", {"ramp": ramp})
+        wanted = rowedits.set_columns("upstreams/u1", {"ramp": ramp})
         done = operator.apply(wanted, _AUTHOR)
         if not isinstance(done, edit.Accepted):
             raise RuntimeError(f"the edit failed: {done}")
@@ -87,9 +87,9 @@
 def _follow(store: memorytable.MemoryTable) -> float:
     """Return ms that a daemon spends on one edit of one row."""
     following = follower.Follower(invariant.Invariants())
-    seen = reading.read_state(store)
+    seen = reader.read_state(store)
     full = deltas.Delta(0, seen.revision, tuple(seen.row_by_key.values()))
-    following.take(full)
+    following.apply_delta(full)
     row = seen.row_by_key["upstreams/u1"]
     head = seen.row_by_key[layout.HEAD]
     at = iter(range(1, 1 << 30))
@@ -102,7 +102,7 @@
             row._replace(version=to),
             head._replace(value=version, version=to),
         )
-        if not following.take(deltas.Delta(to - 1, to, told)):
+        if not following.apply_delta(deltas.Delta(to - 1, to, told)):
             raise RuntimeError("the delta was not taken")
 
     return timing.least_ms(run)
@@ -110,21 +110,21 @@
 
 def _bulk(store: memorytable.MemoryTable) -> float:
     """Return ms that a daemon stands still for the largest edit."""
-    seen = reading.read_state(store)
+    seen = reader.read_state(store)
     told = tuple(seen.row_by_key.values())
     first = deltas.Delta(0, seen.revision, told)
     head = seen.row_by_key[layout.HEAD]
     to = seen.revision + 1
-    some = [r for r in told if r.value][1 : planning.MOST_CHANGES + 1]
+    some = [r for r in told if r.value][1 : planning.MAX_CHANGES + 1]
     version = {**head.value, "version": seen.version + 1}
     more = [row._replace(version=to) for row in some if row is not head]
     more.append(head._replace(value=version, version=to))
     best = float("inf")
     for _ in range(_BULKS):
         following = follower.Follower(invariant.Invariants())
-        following.take(first)
+        following.apply_delta(first)
         began = time.perf_counter()
-        following.take(deltas.Delta(to - 1, to, tuple(more)))
+        following.apply_delta(deltas.Delta(to - 1, to, tuple(more)))
         best = min(best, time.perf_counter() - began)
     return best * timing.MS
 
@@ -137,8 +137,8 @@
     made = values(count)
     store = _stored(count)
     text = msgspec.json.encode(_sections(made)).decode()
-    check = timing.least_ms(lambda: typed.full(made, 1))
-    read = timing.least_ms(lambda: reading.read(store))
+    check = timing.least_ms(lambda: builder.build_full(made, 1))
+    read = timing.least_ms(lambda: reader.read(store))
     edits = timing.least_ms(_edit(store))
     _edit(store)()
     last = store.read(layout.TABLE, layout.HEAD)
@@ -185,7 +185,7 @@
             yield measured
             name = measured.name.partition(" at ")[0]
             ends.setdefault(name, []).append(measured.value)
-    name = f"follow an edit of {planning.MOST_CHANGES} rows at {_SIZES[-1]}"
+    name = f"follow an edit of {planning.MAX_CHANGES} rows at {_SIZES[-1]}"
     yield figure.Figure(name, _bulk(_stored(_SIZES[-1])), "ms")
     for name, found in ends.items():
         if name.startswith(("edits", "bytes of a delta")):
--- a/benchmarks/watcherkilled.py
+++ b/benchmarks/watcherkilled.py
@@ -60,7 +60,7 @@
         time.sleep(_SETTLE)
         name = _kill(fleet, chance)
         left = [n for n in fleet.addresses_by_daemon if n != name]
-        wanted = rowedits.setting(
+        wanted = rowedits.set_columns(
             f"teams/{deployments.TEAM}", {"weight": 100 + number}
         )
         done = operator.apply(wanted, edit.Author("bench", "bench"))
--- a/src/citronvalve/cli/editing.py
+++ b/src/citronvalve/cli/editing.py
@@ -30,7 +30,7 @@
     declaration = _read(file)
     if declaration.mistakes:
         return outcomes.mistakes(declaration.mistakes)
-    wanted = planning.declaring(declaration, allow_removals)
+    wanted = planning.apply_declaration(declaration, allow_removals)
     planned = session.edits(platform).plan(wanted)
     if missing.is_missing(planned):
         return outcomes.unavailable(planned)
@@ -72,7 +72,7 @@
     declaration = _read(file)
     if declaration.mistakes:
         return outcomes.mistakes(declaration.mistakes)
-    wanted = planning.declaring(declaration, allow_removals)
+    wanted = planning.apply_declaration(declaration, allow_removals)
     author = edit.Author(who, why)
     return outcomes.of(session.edits(platform).apply(wanted, author, expect))
 
@@ -105,7 +105,7 @@
             )
             return outcomes.mistakes((wrong,))
         value_by_column[column] = _value(value)
-    wanted = rowedits.setting(key, value_by_column, new)
+    wanted = rowedits.set_columns(key, value_by_column, new)
     author = edit.Author(who, why)
     return outcomes.of(session.edits(platform).apply(wanted, author, expect))
 
@@ -126,7 +126,7 @@
     :param expect: version that was looked at; another is a conflict.
     :param platform: URL of the platform.
     """
-    wanted = rowedits.removing(key)
+    wanted = rowedits.remove_row(key)
     author = edit.Author(who, why)
     return outcomes.of(session.edits(platform).apply(wanted, author, expect))
 
--- a/src/citronvalve/cli/grouping.py
+++ b/src/citronvalve/cli/grouping.py
@@ -17,7 +17,7 @@
 from citronvalve.model import missing
 from citronvalve.storage import tableservice
 from citronvalve.table import mistake
-from citronvalve.table import reading
+from citronvalve.table import reader
 
 _HEADS = ("group", "datacentre", "state", "since", "reason", "domain", "vms")
 _SHORT = "fewer VMs of one domain are free than the group needs"
@@ -46,7 +46,7 @@
     """
     service = session.table(platform)
     try:
-        table = reading.read(service)
+        table = reader.read(service)
     except mistake.MistakesError as error:
         return outcomes.mistakes(error.mistakes)
     if missing.is_missing(table):
--- a/src/citronvalve/cli/looking.py
+++ b/src/citronvalve/cli/looking.py
@@ -13,7 +13,7 @@
 from citronvalve.table import audit
 from citronvalve.table import edit
 from citronvalve.table import layout
-from citronvalve.table import reading
+from citronvalve.table import reader
 
 
 def show(*sections: str, platform: str = "") -> report.Report:
@@ -22,7 +22,7 @@
     :param sections: which sections; none shows all.
     :param platform: URL of the platform.
     """
-    stored = reading.read_state(session.table(platform))
+    stored = reader.read_state(session.table(platform))
     if missing.is_missing(stored):
         return outcomes.unavailable(stored)
     by_section: dict[str, dict] = collections.defaultdict(dict)
@@ -98,7 +98,7 @@
     if missing.is_missing(head):
         return head
     version = head.value["version"]
-    return audit.since(service, max(0, version - last), version)
+    return audit.read_range(service, max(0, version - last), version)
 
 
 def _entry(entry: edit.Entry) -> str:
--- a/src/citronvalve/cli/outcomes.py
+++ b/src/citronvalve/cli/outcomes.py
@@ -90,7 +90,7 @@
     return mistakes(outcome.mistakes)
 
 
-def _outrun(outcome: edit.Outrun) -> report.Report:
+def _outrun(outcome: edit.Conflict) -> report.Report:
     lines = [
         f"conflict: the edit was made for version {outcome.expected}, the "
         f"table is at {outcome.version}; nothing was changed"
@@ -101,8 +101,10 @@
             f"{moments.text(entry.at)}: {entry.why}"
         )
         lines.append(changes.grid(entry.changes))
-    if outcome.lost:
-        lines.append(f"who changed it could not be read: {outcome.lost}")
+    if outcome.unread_reason:
+        lines.append(
+            f"who changed it could not be read: {outcome.unread_reason}"
+        )
     return report.Report(
         _Code.CONFLICT,
         "\n".join(lines),
@@ -138,7 +140,7 @@
     edit.Accepted: _accepted,
     edit.Unchanged: _unchanged,
     edit.Refused: _refused,
-    edit.Outrun: _outrun,
+    edit.Conflict: _outrun,
     edit.Unknown: _unknown,
     missing.Missing: unavailable,
 }
--- a/src/citronvalve/cli/reference.py
+++ b/src/citronvalve/cli/reference.py
@@ -56,7 +56,7 @@
             column.name,
             _takes(column.type),
             "required" if column.required else _plain(column.default),
-            bound.span if bound else "",
+            bound.range_text if bound else "",
             bound.reason if bound else "",
         )
 
--- a/src/citronvalve/daemon/peertask.py
+++ b/src/citronvalve/daemon/peertask.py
@@ -79,11 +79,11 @@
 
     def trouble(self) -> str:
         """Return why rows that arrived are not in force, if they are not."""
-        return "; ".join(map(str, self._follower.refused))
+        return "; ".join(map(str, self._follower.mistakes))
 
     def on_table(self, delta: tabledelta.TableDelta) -> None:
-        self._follower.take(_opened_delta(delta))
-        if self._follower.refused or not self._follower.table:
+        self._follower.apply_delta(_opened_delta(delta))
+        if self._follower.mistakes or not self._follower.table:
             return
         if self._view.update_table(self._follower.table):
             self._env.log.info(
@@ -103,7 +103,7 @@
                 "rows": [key for _, key in wrong[:_NAMED]],
             },
         )
-        table = self._follower.replace(_opened_delta(full))
+        table = self._follower.replace_all(_opened_delta(full))
         if table is None:
             return
         if self._view.replace_table(table):
--- a/src/citronvalve/daemon/tabletask.py
+++ b/src/citronvalve/daemon/tabletask.py
@@ -8,8 +8,8 @@
 from citronvalve.model import clock
 from citronvalve.model import missing
 from citronvalve.storage import tableservice
-from citronvalve.table import comparing
 from citronvalve.table import poller as pollers
+from citronvalve.table import reconcileschedule
 from citronvalve.table import watcher as watchers
 
 
@@ -43,10 +43,10 @@
         self._view = view
         self._peering = peering
         self._watcher = watchers.Watcher(
-            watchers.Timing(), env.rng, env.invariants
+            watchers.PollTiming(), env.rng, env.invariants
         )
         self._poller = pollers.Poller(table, self._watcher, env.clock)
-        self._comparing = comparing.Comparing(env.rng)
+        self._comparing = reconcileschedule.ReconcileSchedule(env.rng)
         self._looked_at: clock.Ms | None = None
         self._trouble = ""
 
@@ -54,7 +54,7 @@
         """Read for ever."""
         while True:
             self.step()
-            eventlet.sleep(self._watcher.wait() / clock.SECOND)
+            eventlet.sleep(self._watcher.poll_delay() / clock.SECOND)
 
     def step(self) -> None:
         """Read once, if it is this daemon's turn."""
@@ -89,8 +89,8 @@
         self._note(self._peering.trouble())
 
     def _compare(self, now: clock.Ms) -> None:
-        self._comparing.compared(now)
-        whole = self._poller.read_whole()
+        self._comparing.record_full_read(now)
+        whole = self._poller.read_full()
         if missing.is_missing(whole):
             self._note(whole.reason)
             return
--- a/src/citronvalve/table/audit.py
+++ b/src/citronvalve/table/audit.py
@@ -13,15 +13,15 @@
 
 #: Bytes of changes in one stored row; what exceeds it goes into parts.
 #: Transactional stores commonly refuse rows above some hundred KB.
-LARGEST_PART = 64 * 1024
+MAX_PART_BYTES = 64 * 1024
 
 
-def writes(entry: edit.Entry) -> Iterator[rows.Write]:
+def entry_writes(entry: edit.Entry) -> Iterator[rows.Write]:
     """Return the rows that hold an entry.
 
     :param entry: the whole entry.
     """
-    parts = list(_parts(entry.changes))
+    parts = list(_split_changes(entry.changes))
     value = entry._asdict() | {
         "changes": parts[0] if parts else [],
         "parts": max(len(parts), 1),
@@ -32,16 +32,16 @@
         yield rows.Write(layout.AUDIT, key, {"changes": part})
 
 
-def _parts(changes: tuple[edit.Change, ...]) -> Iterator[list[Any]]:
+def _split_changes(changes: tuple[edit.Change, ...]) -> Iterator[list[Any]]:
     part: list[Any] = []
     size = 0
     for change in changes:
-        more = len(msgspec.json.encode(change))
-        if part and size + more > LARGEST_PART:
+        change_size = len(msgspec.json.encode(change))
+        if part and size + change_size > MAX_PART_BYTES:
             yield part
             part, size = [], 0
         part.append(list(change))
-        size += more
+        size += change_size
     if part:
         yield part
 
@@ -70,7 +70,7 @@
     )
 
 
-def since(
+def read_range(
     service: tableservice.TableService, after: int, until: int
 ) -> tuple[edit.Entry, ...] | missing.NotFound | missing.Unavailable:
     """Read the entries of some versions, oldest first.
--- a/src/citronvalve/table/bounds.py
+++ b/src/citronvalve/table/bounds.py
@@ -14,12 +14,12 @@
     reason: str
 
     @property
-    def span(self) -> str:
+    def range_text(self) -> str:
         """Return the bounds and the unit, for people."""
-        return f"{_number(self.low)} to {_number(self.high)} {self.unit}"
+        return f"{_format_number(self.low)} to {_format_number(self.high)} {self.unit}"
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{int(value):,}" if value == int(value) else f"{value:g}"
 
 
@@ -29,7 +29,7 @@
 _SLOTS = Bound(
     1, 4_096, "requests", "no engine batches more, and 0 is state out"
 )
-_COLD = Bound(
+_COLD_SLOTS = Bound(
     1, 4_096, "requests", "a start that may take nothing never warms"
 )
 _RAMP = Bound(0, clock.HOUR, "ms", "a longer ramp strands the accelerators")
@@ -41,7 +41,7 @@
     ),
     ("datacentres", "weight"): _WEIGHT,
     ("upstreams", "slots"): _SLOTS,
-    ("upstreams", "cold_slots"): _COLD,
+    ("upstreams", "cold_slots"): _COLD_SLOTS,
     ("upstreams", "ramp"): _RAMP,
     ("upstreams", "weight"): _WEIGHT,
     ("groups", "size"): Bound(
@@ -51,7 +51,7 @@
         0, 1_024, "groups", "a data centre holds fewer at the target's size"
     ),
     ("groups", "slots"): _SLOTS,
-    ("groups", "cold_slots"): _COLD,
+    ("groups", "cold_slots"): _COLD_SLOTS,
     ("groups", "ramp"): _RAMP,
     ("groups", "most_closed"): Bound(
         1, 1_024, "groups", "with 0 a new model version could never load"
--- a/src/citronvalve/table/typed.py
+++ b/src/citronvalve/table/builder.py
@@ -16,14 +16,16 @@
 EMPTY = declared.Declared(0, {}, {}, {}, {}, {}, {}, {}, declared.Switches())
 
 
-class Typed(NamedTuple):
+class BuildResult(NamedTuple):
     """The table, and what is wrong with it; use it only when nothing is."""
 
     table: declared.Declared
     mistakes: tuple[mistake.Mistake, ...]
 
 
-def full(value_by_key: dict[str, dict[str, Any]], version: int) -> Typed:
+def build_full(
+    value_by_key: dict[str, dict[str, Any]], version: int
+) -> BuildResult:
     """Check rows as operators write them, as a whole.
 
     Rows that are wrong by themselves are left out of the look at the whole
@@ -32,7 +34,7 @@
     :param value_by_key: every row's columns.
     :param version: what the table's version is to be.
     """
-    changed = changed_from(EMPTY, value_by_key.items(), version)
+    changed = build_changed(EMPTY, value_by_key.items(), version)
     wrong = changed.mistakes
     wrong_rows = {each.row for each in wrong}
     whole = tuple(
@@ -40,14 +42,14 @@
         for each in crosscheck.check(changed.table)
         if each.needs not in wrong_rows
     )
-    return Typed(changed.table, wrong + whole)
+    return BuildResult(changed.table, wrong + whole)
 
 
-def changed_from(
+def build_changed(
     before: declared.Declared,
     changes: Iterable[tuple[str, dict[str, Any] | None]],
     version: int,
-) -> Typed:
+) -> BuildResult:
     """Return the table after changes, each row checked by itself.
 
     :param before: the table so far; it is not changed.
@@ -56,8 +58,8 @@
     """
     builder = _Builder(before)
     for key, value in changes:
-        builder.change(key, value)
-    return builder.built(version)
+        builder.apply_change(key, value)
+    return builder.build(version)
 
 
 class _Builder:
@@ -69,29 +71,29 @@
     def __init__(self, before: declared.Declared) -> None:
         self._before = before
         self._new_by_field: dict[str, Any] = {}
-        self._wrong: list[mistake.Mistake] = []
+        self._mistakes: list[mistake.Mistake] = []
 
-    def change(self, key: str, value: dict[str, Any] | None) -> None:
+    def apply_change(self, key: str, value: dict[str, Any] | None) -> None:
         """Put a row, or take it away with None."""
         section, *names = key.split(layout.SEPARATOR)
         kind = kinds.KIND_BY_SECTION.get(section)
         if kind is None:
-            self._wrong.append(_no_section(key, section))
+            self._mistakes.append(_unknown_section(key, section))
         elif not kind.key_columns:
             # The one row of switches has its defaults while it is away.
-            record = self._checked(kind, key, value or {})
+            record = self._check_row(kind, key, value or {})
             if record:
                 self._new_by_field[kind.field] = record
         else:
             name = names[0] if len(names) == 1 else tuple(names)
-            self._put(kind, key, name, value)
+            self._set_row(kind, key, name, value)
 
-    def built(self, version: int) -> Typed:
+    def build(self, version: int) -> BuildResult:
         """Return the table with all that was wrong."""
         table = self._before._replace(version=version, **self._new_by_field)
-        return Typed(table, tuple(self._wrong))
+        return BuildResult(table, tuple(self._mistakes))
 
-    def _put(
+    def _set_row(
         self,
         kind: kinds.Kind,
         key: str,
@@ -105,19 +107,19 @@
         if value is None:
             record_by_name.pop(name, None)
             return
-        record = self._checked(kind, key, value)
+        record = self._check_row(kind, key, value)
         if record:
             record_by_name[name] = record
 
-    def _checked(
+    def _check_row(
         self, kind: kinds.Kind, key: str, value: dict[str, Any]
     ) -> Any:
-        checked = columns.check(kind, key, value)
-        self._wrong += checked.mistakes
+        checked = columns.check_row(kind, key, value)
+        self._mistakes += checked.mistakes
         return checked.record
 
 
-def known(
+def drop_unknown(
     changes: Iterable[tuple[str, dict[str, Any] | None]],
 ) -> Iterator[tuple[str, dict[str, Any] | None]]:
     """Leave out what a newer release stored and this one does not know.
@@ -140,7 +142,7 @@
         yield key, value
 
 
-def _no_section(key: str, section: str) -> mistake.Mistake:
+def _unknown_section(key: str, section: str) -> mistake.Mistake:
     return mistake.Mistake(
         key,
         "",
--- a/src/citronvalve/table/columns.py
+++ b/src/citronvalve/table/columns.py
@@ -13,14 +13,14 @@
 from citronvalve.table import mistake
 
 
-class Checked(NamedTuple):
+class CheckResult(NamedTuple):
     """A record, or None with what is wrong."""
 
     record: Any
     mistakes: tuple[mistake.Mistake, ...]
 
 
-def check(kind: kinds.Kind, key: str, row: dict[str, Any]) -> Checked:
+def check_row(kind: kinds.Kind, key: str, row: dict[str, Any]) -> CheckResult:
     """Check one row by itself.
 
     :param kind: what the row should be.
@@ -30,15 +30,17 @@
     try:
         # Nearly all rows are right, and a daemon that starts checks 12,000
         # of them at once.
-        values = msgspec.structs.astuple(msgspec.convert(row, kind.quick))
-        return Checked(kind.record(*values), ())
+        values = msgspec.structs.astuple(msgspec.convert(row, kind.struct))
+        return CheckResult(kind.record(*values), ())
     except msgspec.ValidationError:
-        return _thorough(kind, key, row)
+        return _check_columns(kind, key, row)
 
 
-def _thorough(kind: kinds.Kind, key: str, row: dict[str, Any]) -> Checked:
+def _check_columns(
+    kind: kinds.Kind, key: str, row: dict[str, Any]
+) -> CheckResult:
     found = [
-        _unknown(kind, key, name, value)
+        _unknown_column(kind, key, name, value)
         for name, value in row.items()
         if name not in kind.column_by_name
     ]
@@ -46,15 +48,15 @@
     for column in kind.column_by_name.values():
         if column.name not in row:
             values.append(column.default)
-            found += _absent(key, column)
+            found += _check_absent(key, column)
             continue
-        value, wrong = _column(kind, key, column, row[column.name])
+        value, wrong = _check_column(kind, key, column, row[column.name])
         values.append(value)
         found += wrong
-    return Checked(None if found else kind.record(*values), tuple(found))
+    return CheckResult(None if found else kind.record(*values), tuple(found))
 
 
-def _unknown(
+def _unknown_column(
     kind: kinds.Kind, key: str, name: str, value: Any
 ) -> mistake.Mistake:
     near = difflib.get_close_matches(name, kind.column_by_name, 1)
@@ -64,7 +66,7 @@
     )
 
 
-def _absent(key: str, column: kinds.Column) -> list[mistake.Mistake]:
+def _check_absent(key: str, column: kinds.Column) -> list[mistake.Mistake]:
     if not column.required:
         return []
     return [
@@ -74,42 +76,50 @@
     ]
 
 
-def _column(
-    kind: kinds.Kind, key: str, column: kinds.Column, seen: Any
+def _check_column(
+    kind: kinds.Kind, key: str, column: kinds.Column, given: Any
 ) -> tuple[Any, list[mistake.Mistake]]:
     try:
-        value = msgspec.convert(seen, column.type)
+        value = msgspec.convert(given, column.type)
     except msgspec.ValidationError:
         wrong = mistake.Mistake(
-            key, column.name, seen, "not of this type", _wanted(column.type)
+            key,
+            column.name,
+            given,
+            "not of this type",
+            _expected_type(column.type),
         )
         return None, [wrong]
-    why, remedy = _outside(kind, column, value)
+    why, remedy = _find_violation(kind, column, value)
     if not why:
         return value, []
-    return None, [mistake.Mistake(key, column.name, seen, why, remedy)]
+    return None, [mistake.Mistake(key, column.name, given, why, remedy)]
 
 
-def _outside(
+def _find_violation(
     kind: kinds.Kind, column: kinds.Column, value: Any
 ) -> tuple[str, str]:
     bound = column.bound
     # Written so that a value that is not a number fails too.
     if bound and not bound.low <= value <= bound.high:
-        return bound.reason, f"give {bound.span}"
-    if column.name in kind.key_columns and not kinds.NAME.fullmatch(value):
-        return "not a name", f"match {kinds.NAME.pattern}"
-    if isinstance(value, str) and len(value) > kinds.LONGEST_TEXT:
-        return "too long", f"at most {kinds.LONGEST_TEXT} characters"
-    if isinstance(value, tuple) and len(value) > kinds.LONGEST_LIST:
-        return "too many entries", f"at most {kinds.LONGEST_LIST}"
+        return bound.reason, f"give {bound.range_text}"
+    if column.name in kind.key_columns and not kinds.NAME_PATTERN.fullmatch(
+        value
+    ):
+        return "not a name", f"match {kinds.NAME_PATTERN.pattern}"
+    if isinstance(value, str) and len(value) > kinds.MAX_TEXT_LENGTH:
+        return "too long", f"at most {kinds.MAX_TEXT_LENGTH} characters"
+    if isinstance(value, tuple) and len(value) > kinds.MAX_LIST_LENGTH:
+        return "too many entries", f"at most {kinds.MAX_LIST_LENGTH}"
     return "", ""
 
 
-def _wanted(kind: Any) -> str:
-    if isinstance(kind, type) and issubclass(kind, enum.Enum):
-        return "give one of " + ", ".join(str(each.value) for each in kind)
-    if typing.get_origin(kind) is tuple:
+def _expected_type(column_type: Any) -> str:
+    if isinstance(column_type, type) and issubclass(column_type, enum.Enum):
+        return "give one of " + ", ".join(
+            str(each.value) for each in column_type
+        )
+    if typing.get_origin(column_type) is tuple:
         return "give a list of texts"
     name_by_type = {
         str: "a text",
@@ -117,5 +127,5 @@
         float: "a number",
         bool: "true or false",
     }
-    plain = kind if isinstance(kind, type) else types.NoneType
-    return f"give {name_by_type.get(plain, str(kind))}"
+    plain = column_type if isinstance(column_type, type) else types.NoneType
+    return f"give {name_by_type.get(plain, str(column_type))}"
--- a/src/citronvalve/table/crosscheck.py
+++ b/src/citronvalve/table/crosscheck.py
@@ -23,7 +23,7 @@
     return tuple(wrong for each in _CHECKS for wrong in each(table))
 
 
-def _reference(
+def _check_reference(
     row: str, column: str, name: str, known: dict, section: str
 ) -> _Mistakes:
     if name not in known:
@@ -38,7 +38,7 @@
         )
 
 
-def _unique(
+def _check_unique(
     section: str, column: str, pairs: Iterator[tuple[str, str]], why: str
 ) -> _Mistakes:
     first_by_value: dict[str, str] = {}
@@ -54,7 +54,7 @@
             )
 
 
-def _teams(table: declared.Declared) -> _Mistakes:
+def _check_teams(table: declared.Declared) -> _Mistakes:
     teams = table.team_by_name.values()
     for team in teams:
         if not _SHA256.fullmatch(team.token_sha256):
@@ -65,7 +65,7 @@
                 "not a SHA-256 digest in lower-case hex",
                 "printf %s TOKEN | sha256sum",
             )
-    yield from _unique(
+    yield from _check_unique(
         "teams",
         "token_sha256",
         ((team.name, team.token_sha256) for team in teams),
@@ -73,18 +73,18 @@
     )
 
 
-def _upstreams(table: declared.Declared) -> _Mistakes:
-    places = table.datacentre_by_name
+def _check_upstreams(table: declared.Declared) -> _Mistakes:
+    datacentres = table.datacentre_by_name
     upstreams = table.upstream_by_name.values()
     for upstream in upstreams:
         row = layout.key("upstreams", upstream.name)
-        yield from _reference(
-            row, "datacentre", upstream.datacentre, places, "datacentres"
+        yield from _check_reference(
+            row, "datacentre", upstream.datacentre, datacentres, "datacentres"
         )
-        yield from _address(row, upstream.address)
-        yield from _cold(row, upstream.slots, upstream.cold_slots)
-        yield from _serves(row, upstream, table)
-    yield from _unique(
+        yield from _check_address(row, upstream.address)
+        yield from _check_cold_slots(row, upstream.slots, upstream.cold_slots)
+        yield from _check_served_names(row, upstream, table)
+    yield from _check_unique(
         "upstreams",
         "address",
         ((upstream.name, upstream.address) for upstream in upstreams),
@@ -92,7 +92,7 @@
     )
 
 
-def _address(row: str, address: str) -> _Mistakes:
+def _check_address(row: str, address: str) -> _Mistakes:
     # The system talks by IP numbers: a name would be looked up while
     # requests wait, by a service that has outages of its own.
     host, _, port = address.rpartition(":")
@@ -101,10 +101,10 @@
     try:
         # Only a parser: ipaddress takes a third of the whole check.
         socket.inet_pton(family, host[1:-1] if bracketed else host)
-        right = port.isascii() and port.isdigit() and 0 < int(port) < 65_536
+        is_valid = port.isascii() and port.isdigit() and 0 < int(port) < 65_536
     except OSError:
-        right = False
-    if not right:
+        is_valid = False
+    if not is_valid:
         yield mistake.Mistake(
             row,
             "address",
@@ -114,7 +114,7 @@
         )
 
 
-def _cold(row: str, slots: int, cold_slots: int) -> _Mistakes:
+def _check_cold_slots(row: str, slots: int, cold_slots: int) -> _Mistakes:
     if cold_slots > slots:
         yield mistake.Mistake(
             row,
@@ -125,7 +125,7 @@
         )
 
 
-def _serves(
+def _check_served_names(
     row: str, upstream: declared.Upstream, table: declared.Declared
 ) -> _Mistakes:
     plain = upstream.kind is declared.UpstreamKind.PLAIN
@@ -140,19 +140,21 @@
     known = table.service_by_name if plain else table.model_by_name
     section = "services" if plain else "models"
     for name in upstream.serves:
-        yield from _reference(row, "serves", name, known, section)
+        yield from _check_reference(row, "serves", name, known, section)
 
 
-def _groups(table: declared.Declared) -> _Mistakes:
+def _check_groups(table: declared.Declared) -> _Mistakes:
     for group in table.group_by_name.values():
         row = layout.key("groups", group.name)
-        places = table.datacentre_by_name
+        datacentres = table.datacentre_by_name
         models = table.model_by_name
-        yield from _reference(
-            row, "datacentre", group.datacentre, places, "datacentres"
+        yield from _check_reference(
+            row, "datacentre", group.datacentre, datacentres, "datacentres"
         )
-        yield from _reference(row, "model", group.model, models, "models")
-        yield from _cold(row, group.slots, group.cold_slots)
+        yield from _check_reference(
+            row, "model", group.model, models, "models"
+        )
+        yield from _check_cold_slots(row, group.slots, group.cold_slots)
         if group.most_closed > max(group.replicas, 1):
             yield mistake.Mistake(
                 row,
@@ -163,7 +165,7 @@
             )
 
 
-def _names(table: declared.Declared) -> _Mistakes:
+def _check_group_names(table: declared.Declared) -> _Mistakes:
     # The upstreams of a group carry its name, and slots are counted by name.
     for name in sorted(table.group_by_name.keys() & table.upstream_by_name):
         yield mistake.Mistake(
@@ -175,7 +177,7 @@
         )
 
 
-def _services(table: declared.Declared) -> _Mistakes:
+def _check_services(table: declared.Declared) -> _Mistakes:
     for service in table.service_by_name.values():
         for method in service.repeatable:
             if method not in _METHODS:
@@ -188,7 +190,7 @@
                 )
 
 
-def _limits(table: declared.Declared) -> _Mistakes:
+def _check_limits(table: declared.Declared) -> _Mistakes:
     # A team's limit may be on a plain service as well.
     served = {**table.service_by_name, **table.model_by_name}
     known_by_column = {
@@ -200,14 +202,14 @@
         row = layout.key("limits", *key)
         for column, (section, known) in known_by_column.items():
             name = getattr(limit, column)
-            yield from _reference(row, column, name, known, section)
+            yield from _check_reference(row, column, name, known, section)
 
 
 _CHECKS: tuple[Callable[[declared.Declared], _Mistakes], ...] = (
-    _teams,
-    _upstreams,
-    _groups,
-    _names,
-    _services,
-    _limits,
+    _check_teams,
+    _check_upstreams,
+    _check_groups,
+    _check_group_names,
+    _check_services,
+    _check_limits,
 )
--- a/src/citronvalve/table/document.py
+++ b/src/citronvalve/table/document.py
@@ -31,30 +31,30 @@
     :param where: the file's name, for mistakes.
     """
     try:
-        content = _decoded(text)
+        content = _decode(text)
     except (ValueError, RecursionError) as error:
         return unreadable(where, str(error))
     if not isinstance(content, dict):
         return unreadable(where, "the file holds no map of sections")
-    reader = _Reader()
+    parser = _Parser()
     for section, rows in content.items():
-        reader.section(section, rows)
+        parser.parse_section(section, rows)
     return Document(
-        frozenset(content), reader.value_by_key, tuple(reader.mistakes)
+        frozenset(content), parser.value_by_key, tuple(parser.mistakes)
     )
 
 
-def _decoded(text: str) -> Any:
+def _decode(text: str) -> Any:
     # The reader of JSON with comments is written in Python and takes
     # minutes for a table of the target's size; files that a program wrote
     # seldom hold comments.
     try:
-        return json.loads(text, object_pairs_hook=_without_duplicates)
+        return json.loads(text, object_pairs_hook=_reject_duplicates)
     except json.JSONDecodeError:
         return json5.loads(text, allow_duplicate_keys=False)
 
 
-def _without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     # The last of two rows of one name would win in silence.
     found: dict[str, Any] = {}
     for name, value in pairs:
@@ -74,66 +74,76 @@
     return Document(frozenset(), {}, (wrong,))
 
 
-class _Reader:
+class _Parser:
     """Collects rows and mistakes of one file."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, dict[str, Any]] = {}
         self.mistakes: list[mistake.Mistake] = []
 
-    def section(self, section: str, content: Any) -> None:
+    def parse_section(self, section: str, content: Any) -> None:
         kind = kinds.KIND_BY_SECTION.get(section)
         if kind is None:
             near = difflib.get_close_matches(section, kinds.KIND_BY_SECTION, 1)
             known = near or sorted(kinds.KIND_BY_SECTION)
             remedy = "use " + " or ".join(known)
-            self._wrong(section, "", "no such section", remedy)
+            self._add_mistake(section, "", "no such section", remedy)
         elif section == "limits":
-            self._list(kind, content)
+            self._parse_limits(kind, content)
         elif not isinstance(content, dict):
-            self._wrong(section, content, "not a map", "write {...}")
+            self._add_mistake(section, content, "not a map", "write {...}")
         elif section == "switches":
-            self._row(layout.key(section, *kinds.ALL), content, {})
+            self._add_row(
+                layout.key(section, *kinds.SWITCHES_NAMES), content, {}
+            )
         else:
             for name, row in content.items():
                 key = layout.key(section, name)
-                self._row(key, row, {"name": name})
+                self._add_row(key, row, {"name": name})
 
-    def _list(self, kind: kinds.Kind, content: Any) -> None:
+    def _parse_limits(self, kind: kinds.Kind, content: Any) -> None:
         if not isinstance(content, list):
-            self._wrong(kind.section, content, "not a list", "write [...]")
+            self._add_mistake(
+                kind.section, content, "not a list", "write [...]"
+            )
             return
         for index, row in enumerate(content):
             place = f"{kind.section}[{index}]"
             if not isinstance(row, dict):
-                self._wrong(place, row, "not a row", "write {...}")
+                self._add_mistake(place, row, "not a row", "write {...}")
                 continue
             unnamed = [
                 name
                 for name in kind.key_columns
-                if not kinds.NAME.fullmatch(str(row.get(name, "")))
+                if not kinds.NAME_PATTERN.fullmatch(str(row.get(name, "")))
             ]
             for name in unnamed:
-                self._wrong(
+                self._add_mistake(
                     f"{place}.{name}",
                     row.get(name),
                     "not a name",
-                    f"match {kinds.NAME.pattern}",
+                    f"match {kinds.NAME_PATTERN.pattern}",
                 )
             if not unnamed:
-                self._row(kind.key_of(row), row, {})
+                self._add_row(kind.key_of(row), row, {})
 
-    def _row(self, key: str, row: Any, named: dict[str, str]) -> None:
+    def _add_row(self, key: str, row: Any, key_values: dict[str, str]) -> None:
         if not isinstance(row, dict):
-            self._wrong(key, row, "not a row", "write {...}")
-        elif any(row.get(k, v) != v for k, v in named.items()):
-            self._wrong(key, row["name"], "named otherwise", "leave it out")
+            self._add_mistake(key, row, "not a row", "write {...}")
+        elif any(row.get(k, v) != v for k, v in key_values.items()):
+            self._add_mistake(
+                key, row["name"], "named otherwise", "leave it out"
+            )
         elif key in self.value_by_key:
-            self._wrong(key, row, "declared twice", "remove one of the two")
-        elif key.count(layout.SEPARATOR) > (2 if not named else 0) + 1:
-            self._wrong(key, key, "not a name", "leave out the slashes")
+            self._add_mistake(
+                key, row, "declared twice", "remove one of the two"
+            )
+        elif key.count(layout.SEPARATOR) > (2 if not key_values else 0) + 1:
+            self._add_mistake(key, key, "not a name", "leave out the slashes")
         else:
-            self.value_by_key[key] = row | named
+            self.value_by_key[key] = row | key_values
 
-    def _wrong(self, row: str, value: Any, why: str, remedy: str) -> None:
+    def _add_mistake(
+        self, row: str, value: Any, why: str, remedy: str
+    ) -> None:
         self.mistakes.append(mistake.Mistake(row, "", value, why, remedy))
--- a/src/citronvalve/table/edit.py
+++ b/src/citronvalve/table/edit.py
@@ -66,7 +66,7 @@
     mistakes: tuple[mistake.Mistake, ...]
 
 
-class Outrun(NamedTuple):
+class Conflict(NamedTuple):
     """The table is no longer at the expected version; nothing was written.
 
     ``winners`` are the edits since, oldest first; ``lost`` says why they
@@ -76,7 +76,7 @@
     expected: int
     version: int
     winners: tuple[Entry, ...]
-    lost: str = ""
+    unread_reason: str = ""
 
 
 class Unknown(NamedTuple):
@@ -88,5 +88,5 @@
 
 
 Outcome = (
-    Accepted | Unchanged | Refused | Outrun | Unknown | missing.Unavailable
+    Accepted | Unchanged | Refused | Conflict | Unknown | missing.Unavailable
 )
--- a/src/citronvalve/table/editor.py
+++ b/src/citronvalve/table/editor.py
@@ -13,22 +13,22 @@
 from citronvalve.table import layout
 from citronvalve.table import mistake
 from citronvalve.table import planning
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from citronvalve.table import state
 
 #: Tries of one edit whose answer was lost, the first among them.
-SETTLING_TRIES = 4
+MAX_COMMIT_ATTEMPTS = 4
 
 #: Edits shown to an operator who was outrun; the rest is in the history.
-MOST_WINNERS = 20
+MAX_WINNERS = 20
 
 
 #: Edits that a revert may undo; each costs a read of its audit entry.
-MOST_UNDONE = 500
+MAX_REVERTED_EDITS = 500
 
 
-class _Try(NamedTuple):
+class _PreparedEdit(NamedTuple):
     """One edit on its way: what is sent, and how to know it again."""
 
     id: str
@@ -50,28 +50,30 @@
     def __init__(
         self,
         service: tableservice.TableService,
-        now: clock.Clock,
-        chance: random.Random,
+        time_source: clock.Clock,
+        rng: random.Random,
         pause: Callable[[int], None] = lambda tried: None,
     ) -> None:
         self._service = service
-        self._clock = now
-        self._chance = chance
+        self._clock = time_source
+        self._rng = rng
         self._pause = pause
 
-    def plan(self, wanted: planning.Wanted) -> edit.Plan | missing.Unavailable:
+    def plan(
+        self, operation: planning.Operation
+    ) -> edit.Plan | missing.Unavailable:
         """Tell what an edit would change; nothing is written.
 
         :param wanted: the edit.
         """
-        stored = reading.read_state(self._service)
+        stored = reader.read_state(self._service)
         if missing.is_missing(stored):
             return stored
-        return planning.plan(stored, wanted)
+        return planning.plan(stored, operation)
 
     def apply(
         self,
-        wanted: planning.Wanted,
+        operation: planning.Operation,
         author: edit.Author,
         expected: int | None = None,
     ) -> edit.Outcome:
@@ -82,12 +84,12 @@
         :param expected: the version that the author looked at; None takes
             the present one.
         """
-        stored = reading.read_state(self._service)
+        stored = reader.read_state(self._service)
         if missing.is_missing(stored):
             return stored
         if expected not in {None, stored.version}:
-            return self._outrun(expected, stored.version)
-        return self._edit(stored, wanted, author)
+            return self._conflict(expected, stored.version)
+        return self._apply_to(stored, operation, author)
 
     def revert(
         self, version: int, author: edit.Author, expected: int | None = None
@@ -100,12 +102,12 @@
         :param author: who edits, and why.
         :param expected: as in :meth:`apply`.
         """
-        stored = reading.read_state(self._service)
+        stored = reader.read_state(self._service)
         if missing.is_missing(stored):
             return stored
         if expected not in {None, stored.version}:
-            return self._outrun(expected, stored.version)
-        first = max(0, stored.version - MOST_UNDONE)
+            return self._conflict(expected, stored.version)
+        first = max(0, stored.version - MAX_REVERTED_EDITS)
         if not first <= version <= stored.version:
             return _refused(
                 "version",
@@ -113,13 +115,16 @@
                 f"the table can go back to {first} to {stored.version}",
                 "name one of these, or apply a declaration",
             )
-        entries = audit.since(self._service, version, stored.version)
+        entries = audit.read_range(self._service, version, stored.version)
         if missing.is_missing(entries):
             return missing.Unavailable(entries.reason, entries.where)
-        return self._edit(stored, rowedits.undoing(entries), author)
+        return self._apply_to(stored, rowedits.undo_edits(entries), author)
 
-    def _edit(
-        self, stored: state.State, wanted: planning.Wanted, author: edit.Author
+    def _apply_to(
+        self,
+        stored: state.State,
+        operation: planning.Operation,
+        author: edit.Author,
     ) -> edit.Outcome:
         if not author.who.strip() or not author.why.strip():
             return _refused(
@@ -128,17 +133,17 @@
                 "the audit trail needs who and why",
                 "give --who and --why",
             )
-        planned = planning.plan(stored, wanted)
+        planned = planning.plan(stored, operation)
         if planned.mistakes:
             return edit.Refused(planned.mistakes)
         if not planned.changes:
             return edit.Unchanged(stored.version)
-        return self._commit(self._try(stored, planned, author))
+        return self._commit(self._prepare(stored, planned, author))
 
-    def _try(
+    def _prepare(
         self, stored: state.State, planned: edit.Plan, author: edit.Author
-    ) -> _Try:
-        edit_id = f"{self._chance.getrandbits(128):032x}"
+    ) -> _PreparedEdit:
+        edit_id = f"{self._rng.getrandbits(128):032x}"
         entry = edit.Entry(
             stored.version + 1,
             edit_id,
@@ -147,52 +152,60 @@
             self._clock.wall(),
             planned.changes,
         )
-        return _Try(
+        return _PreparedEdit(
             edit_id,
             stored.version,
             planned.changes,
             _transaction(stored.revision, entry),
         )
 
-    def _commit(self, sent: _Try) -> edit.Outcome:
+    def _commit(self, prepared: _PreparedEdit) -> edit.Outcome:
         # An answer can be lost after the write took effect, and the write
         # may even take effect after a look that did not find it.  Sending
         # the same transaction again is safe and final: its condition holds
         # for one of the two at most, and the audit entry tells whose it is.
-        lost = ""
-        for tried in range(SETTLING_TRIES):
-            if tried:
-                self._pause(tried)
-            outcome = self._service.commit(sent.transaction)
+        lost_reason = ""
+        for attempt in range(MAX_COMMIT_ATTEMPTS):
+            if attempt:
+                self._pause(attempt)
+            outcome = self._service.commit(prepared.transaction)
             if isinstance(outcome, rows.Committed):
-                return edit.Accepted(sent.base + 1, sent.id, sent.changes)
+                return edit.Accepted(
+                    prepared.base + 1, prepared.id, prepared.changes
+                )
             if isinstance(outcome, rows.Conflict):
-                version = _head_version(outcome, sent.base)
-                if not lost:
-                    return self._outrun(sent.base, version)
-                settled = self._settled(sent, version)
-                if not missing.is_missing(settled):
-                    return settled
-            elif not lost and not isinstance(outcome, missing.AnswerLost):
+                version = _head_version(outcome, prepared.base)
+                if not lost_reason:
+                    return self._conflict(prepared.base, version)
+                resolved = self._resolve_conflict(prepared, version)
+                if not missing.is_missing(resolved):
+                    return resolved
+            elif not lost_reason and not isinstance(
+                outcome, missing.AnswerLost
+            ):
                 return outcome
-            lost = lost or outcome.reason
-        return edit.Unknown(sent.id, sent.base, lost)
+            lost_reason = lost_reason or outcome.reason
+        return edit.Unknown(prepared.id, prepared.base, lost_reason)
 
-    def _settled(self, sent: _Try, version: int) -> edit.Outcome:
+    def _resolve_conflict(
+        self, prepared: _PreparedEdit, version: int
+    ) -> edit.Outcome:
         """Tell whose edit made the version that this one wanted to make."""
-        entry = audit.read(self._service, sent.base + 1)
+        entry = audit.read(self._service, prepared.base + 1)
         if missing.is_missing(entry):
             return missing.Unavailable(entry.reason, entry.where)
-        if entry.edit == sent.id:
-            return edit.Accepted(sent.base + 1, sent.id, sent.changes)
-        return self._outrun(sent.base, version)
+        if entry.edit == prepared.id:
+            return edit.Accepted(
+                prepared.base + 1, prepared.id, prepared.changes
+            )
+        return self._conflict(prepared.base, version)
 
-    def _outrun(self, expected: int, version: int) -> edit.Outrun:
-        first = max(expected, version - MOST_WINNERS)
-        winners = audit.since(self._service, first, version)
+    def _conflict(self, expected: int, version: int) -> edit.Conflict:
+        first = max(expected, version - MAX_WINNERS)
+        winners = audit.read_range(self._service, first, version)
         if missing.is_missing(winners):
-            return edit.Outrun(expected, version, (), winners.reason)
-        return edit.Outrun(expected, version, winners)
+            return edit.Conflict(expected, version, (), winners.reason)
+        return edit.Conflict(expected, version, winners)
 
 
 def _transaction(revision: int, entry: edit.Entry) -> rows.Transaction:
@@ -215,7 +228,7 @@
         (
             rows.Write(layout.TABLE, layout.HEAD, head),
             *changed,
-            *audit.writes(entry),
+            *audit.entry_writes(entry),
         ),
     )
 
--- a/src/citronvalve/table/follower.py
+++ b/src/citronvalve/table/follower.py
@@ -8,10 +8,10 @@
 from citronvalve.model import invariant
 from citronvalve.model import missing
 from citronvalve.storage import rows
+from citronvalve.table import builder
 from citronvalve.table import delta as deltas
 from citronvalve.table import layout
 from citronvalve.table import mistake
-from citronvalve.table import typed
 
 
 class Follower:
@@ -32,12 +32,12 @@
             "no table yet, from the platform or a peer", layout.TABLE
         )
         self.revision = rows.NO_ROW
-        self.refused: tuple[mistake.Mistake, ...] = ()
+        self.mistakes: tuple[mistake.Mistake, ...] = ()
         self._pending: dict[str, rows.Row] = {}
         # Set while the pending rows are the whole table, not changes to it.
-        self._whole = False
+        self._pending_is_full = False
 
-    def take(
+    def apply_delta(
         self, delta: deltas.Delta
     ) -> declared.Declared | missing.Stale | None:
         """Take in a delta; return the table when its version rose.
@@ -64,25 +64,25 @@
         self.revision = delta.revision
         return self._build()
 
-    def replace(self, whole: deltas.Delta) -> declared.Declared | None:
+    def replace_all(self, full: deltas.Delta) -> declared.Declared | None:
         """Build the table from all rows; return it if it can be used.
 
         :param whole: of this revision or a later one, with every row.
         """
-        self._pending = {row.key: row for row in whole.rows}
-        self._whole = True
-        self.revision = whole.revision
+        self._pending = {row.key: row for row in full.rows}
+        self._pending_is_full = True
+        self.revision = full.revision
         return self._build()
 
     def _build(self) -> declared.Declared | None:
         head = self._pending[layout.HEAD]
         version = head.value["version"]
-        before = typed.EMPTY
-        if self.table and not self._whole:
+        before = builder.EMPTY
+        if self.table and not self._pending_is_full:
             before = self.table
-        changes = typed.known(_pairs(self._pending.values()))
-        built = typed.changed_from(before, changes, version)
-        self.refused = built.mistakes
+        changes = builder.drop_unknown(_row_changes(self._pending.values()))
+        built = builder.build_changed(before, changes, version)
+        self.mistakes = built.mistakes
         if built.mistakes:
             return None
         self._invariants.check(
@@ -91,12 +91,12 @@
             f"{before.version} to {version}",
         )
         self._pending = {}
-        self._whole = False
+        self._pending_is_full = False
         self.table = built.table
         return built.table
 
 
-def _pairs(
+def _row_changes(
     newer: Iterable[rows.Row],
 ) -> Iterator[tuple[str, dict[str, Any] | None]]:
     for row in newer:
--- a/src/citronvalve/table/kinds.py
+++ b/src/citronvalve/table/kinds.py
@@ -13,13 +13,13 @@
 
 #: A name goes into keys, URLs, metric labels and logs; the separator of
 #: keys and blanks would make two rows look like one.
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,62}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,62}")
 
 #: A text column above this would fill the store with one row.
-LONGEST_TEXT = 512
+MAX_TEXT_LENGTH = 512
 
 #: Entries of a column that holds a list.
-LONGEST_LIST = 64
+MAX_LIST_LENGTH = 64
 
 
 class Column(NamedTuple):
@@ -44,7 +44,7 @@
     record: type
     key_columns: tuple[str, ...]
     column_by_name: dict[str, Column]
-    quick: type[msgspec.Struct]
+    struct: type[msgspec.Struct]
 
     def key_of(self, row: dict[str, Any]) -> str:
         """Return the key of a row's value.
@@ -52,14 +52,16 @@
         :param row: the columns with their values.
         """
         names = (str(row[name]) for name in self.key_columns)
-        return layout.key(self.section, *(names if self.key_columns else ALL))
+        return layout.key(
+            self.section, *(names if self.key_columns else SWITCHES_NAMES)
+        )
 
 
 #: The name of the one row of switches.
-ALL = ("all",)
+SWITCHES_NAMES = ("all",)
 
 
-def _kind(
+def _make_kind(
     section: str, field: str, record: Any, key_columns: tuple[str, ...]
 ) -> Kind:
     hints = typing.get_type_hints(record)
@@ -74,15 +76,15 @@
         )
         for name in record._fields
     }
-    quick = msgspec.defstruct(
+    struct = msgspec.defstruct(
         section,
-        [_quick(column, key_columns) for column in columns.values()],
+        [_struct_field(column, key_columns) for column in columns.values()],
         forbid_unknown_fields=True,
     )
-    return Kind(section, field, record, key_columns, columns, quick)
+    return Kind(section, field, record, key_columns, columns, struct)
 
 
-def _quick(column: Column, key_columns: tuple[str, ...]) -> tuple:
+def _struct_field(column: Column, key_columns: tuple[str, ...]) -> tuple:
     """Return a field that takes only what a check of the column takes.
 
     It rejects without telling all; whoever fails is checked column by
@@ -92,32 +94,41 @@
     if column.bound:
         meta = msgspec.Meta(ge=column.bound.low, le=column.bound.high)
     elif column.name in key_columns:
-        meta = msgspec.Meta(pattern=f"^{NAME.pattern}$")
+        meta = msgspec.Meta(pattern=f"^{NAME_PATTERN.pattern}$")
     elif column.type is str:
-        meta = msgspec.Meta(max_length=LONGEST_TEXT)
+        meta = msgspec.Meta(max_length=MAX_TEXT_LENGTH)
     elif typing.get_origin(column.type) is tuple:
-        meta = msgspec.Meta(max_length=LONGEST_LIST)
+        meta = msgspec.Meta(max_length=MAX_LIST_LENGTH)
     field = (column.name, Annotated[column.type, meta])
     return field if column.required else (*field, column.default)
 
 
-_NAME = ("name",)
+_NAME_COLUMN = ("name",)
 
 KIND_BY_SECTION: dict[str, Kind] = {
     kind.section: kind
     for kind in (
-        _kind("teams", "team_by_name", declared.Team, _NAME),
-        _kind("models", "model_by_name", declared.Model, _NAME),
-        _kind("datacentres", "datacentre_by_name", declared.Datacentre, _NAME),
-        _kind("upstreams", "upstream_by_name", declared.Upstream, _NAME),
-        _kind("groups", "group_by_name", declared.Group, _NAME),
-        _kind("services", "service_by_name", declared.PlainService, _NAME),
-        _kind(
+        _make_kind("teams", "team_by_name", declared.Team, _NAME_COLUMN),
+        _make_kind("models", "model_by_name", declared.Model, _NAME_COLUMN),
+        _make_kind(
+            "datacentres",
+            "datacentre_by_name",
+            declared.Datacentre,
+            _NAME_COLUMN,
+        ),
+        _make_kind(
+            "upstreams", "upstream_by_name", declared.Upstream, _NAME_COLUMN
+        ),
+        _make_kind("groups", "group_by_name", declared.Group, _NAME_COLUMN),
+        _make_kind(
+            "services", "service_by_name", declared.PlainService, _NAME_COLUMN
+        ),
+        _make_kind(
             "limits",
             "limit_by_key",
             declared.Limit,
             ("team", "model", "datacentre"),
         ),
-        _kind("switches", "switches", declared.Switches, ()),
+        _make_kind("switches", "switches", declared.Switches, ()),
     )
 }
--- a/src/citronvalve/table/poller.py
+++ b/src/citronvalve/table/poller.py
@@ -20,25 +20,25 @@
         self,
         service: tableservice.TableService,
         watcher: watchers.Watcher,
-        now: clock.Clock,
+        time_source: clock.Clock,
     ) -> None:
         self._service = service
-        self._clock = now
+        self._clock = time_source
         self.watcher = watcher
 
     def poll(self) -> deltas.Delta | missing.Missing | None:
         """Look once; None when nothing changed."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         scan = self._service.scan(layout.TABLE, self.watcher.revision)
         if missing.is_missing(scan):
-            self.watcher.failed()
+            self.watcher.record_failure()
             return scan
-        return self.watcher.take(scan, asked_at)
+        return self.watcher.apply_scan(scan, requested_at)
 
-    def read_whole(self) -> deltas.Delta | missing.Missing:
+    def read_full(self) -> deltas.Delta | missing.Missing:
         """Read the whole table, to compare what is held with it."""
         scan = self._service.scan(layout.TABLE)
         if missing.is_missing(scan):
-            self.watcher.failed()
+            self.watcher.record_failure()
             return scan
-        return self.watcher.take_whole(scan)
+        return self.watcher.apply_full_scan(scan)
--- a/src/citronvalve/table/reading.py
+++ b/src/citronvalve/table/reader.py
@@ -3,24 +3,24 @@
 from citronvalve.model import declared
 from citronvalve.model import missing
 from citronvalve.storage import tableservice
+from citronvalve.table import builder
 from citronvalve.table import layout
 from citronvalve.table import mistake
 from citronvalve.table import state
-from citronvalve.table import typed
 
 
 def read_state(
-    service: tableservice.TableService, seen: state.State = state.EMPTY
+    service: tableservice.TableService, previous: state.State = state.EMPTY
 ) -> state.State | missing.Unavailable:
     """Read the stored rows.
 
     :param service: the platform's table service.
     :param seen: an earlier state; only what changed since is read.
     """
-    scan = service.scan(layout.TABLE, seen.revision)
+    scan = service.scan(layout.TABLE, previous.revision)
     if missing.is_missing(scan):
         return scan
-    return state.fold(seen, scan)
+    return state.fold(previous, scan)
 
 
 def read(
@@ -34,17 +34,17 @@
     stored = read_state(service)
     if missing.is_missing(stored):
         return stored
-    return declared_of(stored)
+    return build_declared(stored)
 
 
-def declared_of(stored: state.State) -> declared.Declared:
+def build_declared(stored: state.State) -> declared.Declared:
     """Return the typed table of stored rows.
 
     :param stored: all rows.
     :raises mistake.MistakesError: when the stored rows can't be used.
     """
-    values = dict(typed.known(stored.value_by_key.items()))
-    found = typed.full(values, stored.version)
+    values = dict(builder.drop_unknown(stored.value_by_key.items()))
+    found = builder.build_full(values, stored.version)
     if found.mistakes:
         raise mistake.MistakesError(found.mistakes)
     return found.table
--- a/src/citronvalve/table/rowedits.py
+++ b/src/citronvalve/table/rowedits.py
@@ -10,9 +10,9 @@
 from citronvalve.table import planning
 
 
-def setting(
+def set_columns(
     key: str, columns: dict[str, Any], new: bool = False
-) -> planning.Wanted:
+) -> planning.Operation:
     """Return the edit that sets columns of one row.
 
     :param key: section and name, as in ``datacentres/sapporo``.
@@ -20,8 +20,8 @@
     :param new: whether the row must not be there yet.
     """
 
-    def wanted(stored: planning.Values) -> planning.Values:
-        kind = _kind(key)
+    def operation(stored: planning.Values) -> planning.Values:
+        kind = _kind_of_key(key)
         names = key.split(layout.SEPARATOR)[1:]
         named = dict(zip(kind.key_columns, names, strict=False))
         # The row of switches is there from the start, with its defaults.
@@ -33,41 +33,43 @@
             )
         return stored | {key: stored.get(key, {}) | columns | named}
 
-    return wanted
+    return operation
 
 
-def removing(key: str) -> planning.Wanted:
+def remove_row(key: str) -> planning.Operation:
     """Return the edit that removes one row.
 
     :param key: section and name.
     """
 
-    def wanted(stored: planning.Values) -> planning.Values:
+    def operation(stored: planning.Values) -> planning.Values:
         if key not in stored:
             _refuse(key, "no such row", "see `citronvalve table show`")
         return {k: value for k, value in stored.items() if k != key}
 
-    return wanted
+    return operation
 
 
-def undoing(entries: Iterable[edit.Entry]) -> planning.Wanted:
+def undo_edits(entries: Iterable[edit.Entry]) -> planning.Operation:
     """Return the edit that undoes other edits.
 
     :param entries: the latest edits of the table, oldest first.
     """
     latest_first = sorted(entries, reverse=True)
 
-    def wanted(stored: planning.Values) -> planning.Values:
+    def operation(stored: planning.Values) -> planning.Values:
         values = dict(stored)
         for entry in latest_first:
             for change in entry.changes:
-                _undo(values, change, entry.version)
+                _undo_change(values, change, entry.version)
         return values
 
-    return wanted
+    return operation
 
 
-def _undo(values: planning.Values, change: edit.Change, version: int) -> None:
+def _undo_change(
+    values: planning.Values, change: edit.Change, version: int
+) -> None:
     # Rows written around the tool would be lost without a trace.
     if values.get(change.key) != change.after:
         _refuse(
@@ -81,13 +83,13 @@
         values[change.key] = change.before
 
 
-def _kind(key: str) -> kinds.Kind:
+def _kind_of_key(key: str) -> kinds.Kind:
     section, *names = key.split(layout.SEPARATOR)
     kind = kinds.KIND_BY_SECTION.get(section)
     if kind is None:
         _refuse(key, "no such section", "use " + ", ".join(_SECTIONS))
-    if len(names) != len(kind.key_columns or kinds.ALL):
-        form = layout.key(section, *(kind.key_columns or kinds.ALL))
+    if len(names) != len(kind.key_columns or kinds.SWITCHES_NAMES):
+        form = layout.key(section, *(kind.key_columns or kinds.SWITCHES_NAMES))
         _refuse(key, "not the key of a row", f"write {form}")
     return kind
 
--- a/src/citronvalve/table/watcher.py
+++ b/src/citronvalve/table/watcher.py
@@ -11,7 +11,7 @@
 from citronvalve.table import layout
 
 
-class Timing(NamedTuple):
+class PollTiming(NamedTuple):
     """How often to look.
 
     ``period``: ms between looks.  Two watchers in each of 31 data centres
@@ -26,7 +26,7 @@
 
     period: clock.Ms = 350
     jitter: float = 0.2
-    longest: clock.Ms = 4_000
+    max_period: clock.Ms = 4_000
 
 
 class Watcher:
@@ -44,14 +44,14 @@
 
     def __init__(
         self,
-        timing: Timing,
-        chance: random.Random,
+        timing: PollTiming,
+        rng: random.Random,
         invariants: invariant.Invariants,
     ) -> None:
         self._timing = timing
-        self._chance = chance
+        self._rng = rng
         self._invariants = invariants
-        self._good_at: clock.Ms | None = None
+        self._last_read_at: clock.Ms | None = None
         self.revision = rows.NO_ROW
         self.failures = 0
 
@@ -62,7 +62,7 @@
         """
         self.revision = max(self.revision, revision)
 
-    def wait(self) -> clock.Ms:
+    def poll_delay(self) -> clock.Ms:
         """Return ms until the next look.
 
         Load: a store that comes back after an outage, with every watcher
@@ -71,8 +71,8 @@
         """
         # More doublings than these pass any limit, and would overflow.
         doubled = self._timing.period << min(self.failures, 16)
-        span = min(doubled, self._timing.longest)
-        spread = self._chance.uniform(-1, 1) * self._timing.jitter
+        span = min(doubled, self._timing.max_period)
+        spread = self._rng.uniform(-1, 1) * self._timing.jitter
         return max(1, int(span * (1 + spread)))
 
     def age(self, now: clock.Ms) -> clock.Ms | missing.NotFound:
@@ -80,16 +80,16 @@
 
         :param now: monotonic time in ms.
         """
-        if self._good_at is None:
+        if self._last_read_at is None:
             return missing.NotFound("the table was never read", "platform")
-        return now - self._good_at
+        return now - self._last_read_at
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Take in that a look failed; only the age tells, the table stays."""
         self.failures += 1
 
-    def take(
-        self, scan: rows.Scan, asked_at: clock.Ms
+    def apply_scan(
+        self, scan: rows.Scan, requested_at: clock.Ms
     ) -> deltas.Delta | missing.Stale | None:
         """Take in a scan after :attr:`revision`; None when nothing changed.
 
@@ -98,24 +98,26 @@
             newer than that.
         """
         newer = tuple(r for r in scan.rows if r.version > self.revision)
-        flaw = self._flaw(scan.revision, newer)
+        flaw = self._find_inconsistency(scan.revision, newer)
         if flaw:
-            return self._doubt(flaw)
+            return self._reject(flaw)
         self.failures = 0
-        self._good_at = asked_at
-        return self._rise(newer) if newer else None
+        self._last_read_at = requested_at
+        return self._advance(newer) if newer else None
 
-    def take_whole(self, scan: rows.Scan) -> deltas.Delta | missing.Stale:
+    def apply_full_scan(self, scan: rows.Scan) -> deltas.Delta | missing.Stale:
         """Take in a scan of the whole table; the revision stays.
 
         :param scan: as the platform gave it.
         """
-        flaw = self._flaw(scan.revision, scan.rows)
+        flaw = self._find_inconsistency(scan.revision, scan.rows)
         if flaw:
-            return self._doubt(flaw)
-        return deltas.Delta(rows.NO_ROW, _newest(scan.rows), scan.rows)
+            return self._reject(flaw)
+        return deltas.Delta(rows.NO_ROW, _max_revision(scan.rows), scan.rows)
 
-    def _flaw(self, revision: int, found: tuple[rows.Row, ...]) -> str:
+    def _find_inconsistency(
+        self, revision: int, found: tuple[rows.Row, ...]
+    ) -> str:
         if revision < self.revision:
             return "an older revision than one already seen"
         head = [row for row in found if row.key == layout.HEAD]
@@ -123,12 +125,12 @@
         # half of an edit.
         if found and not head:
             return "rows without the head"
-        if head and head[0].version != _newest(found):
+        if head and head[0].version != _max_revision(found):
             return "rows newer than the head"
         return ""
 
-    def _rise(self, newer: tuple[rows.Row, ...]) -> deltas.Delta:
-        to = _newest(newer)
+    def _advance(self, newer: tuple[rows.Row, ...]) -> deltas.Delta:
+        to = _max_revision(newer)
         self._invariants.check(
             "a watcher's revision rises",
             to > self.revision,
@@ -137,10 +139,10 @@
         base, self.revision = self.revision, to
         return deltas.Delta(base, to, newer)
 
-    def _doubt(self, why: str) -> missing.Stale:
+    def _reject(self, why: str) -> missing.Stale:
         self.failures += 1
         return missing.Stale(f"the platform told {why}", layout.TABLE)
 
 
-def _newest(found: tuple[rows.Row, ...]) -> int:
+def _max_revision(found: tuple[rows.Row, ...]) -> int:
     return max((row.version for row in found), default=rows.NO_ROW)
--- a/tests/cli/steps/tool_steps.py
+++ b/tests/cli/steps/tool_steps.py
@@ -19,7 +19,7 @@
 from citronvalve.storage import client
 from citronvalve.storage import httptable
 from citronvalve.table import kinds
-from citronvalve.table import reading
+from citronvalve.table import reader
 
 _TRIES_SECONDS = 10
 
@@ -151,7 +151,7 @@
 
 def _version(context):
     kept = client.PlatformClient(context.fleet.platform)
-    return reading.read_state(httptable.HttpTable(kept)).version
+    return reader.read_state(httptable.HttpTable(kept)).version
 
 
 @behave.then('it exits {code:d} and says "{says}"')
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -101,7 +101,9 @@
 @behave.given("the example declaration is in the platform's table")
 def step_example(context):
     context.store = _Store()
-    helpers.apply(context, "bob", planning.declaring(helpers.example()))
+    helpers.apply(
+        context, "bob", planning.apply_declaration(helpers.example())
+    )
 
 
 def _stored(store):
@@ -179,7 +181,7 @@
     checks = follower.Follower(invariant.Invariants())
     stored = _stored(context.store)
     version = max(row.version for row in stored)
-    checks.take(delta.Delta(0, version, stored))
+    checks.apply_delta(delta.Delta(0, version, stored))
     return context.daemon.view.table == checks.table
 
 
@@ -221,7 +223,7 @@
 @behave.when("a team is removed, and the daemon reads that")
 def step_removed(context):
     def wanted(stored):
-        left = rowedits.removing("teams/ledger")(stored)
+        left = rowedits.remove_row("teams/ledger")(stored)
         return {k: v for k, v in left.items() if "limits" not in k}
 
     helpers.apply(context, "bob", wanted)
--- a/tests/inforce/steps/view_steps.py
+++ b/tests/inforce/steps/view_steps.py
@@ -5,7 +5,7 @@
 from citronvalve.entry import view
 from citronvalve.model import invariant
 from citronvalve.model import manualclock
-from citronvalve.table import typed
+from citronvalve.table import builder
 
 
 @behave.given("a daemon's view")
@@ -18,7 +18,7 @@
 def step_told(context, told):
     context.seen = []
     for version in map(int, told.split(", ")):
-        context.view.update_table(typed.EMPTY._replace(version=version))
+        context.view.update_table(builder.EMPTY._replace(version=version))
         context.seen.append(context.view.version)
 
 
--- a/tests/table/edits.feature
+++ b/tests/table/edits.feature
@@ -21,14 +21,14 @@
 
     Given bob gets in between with datacentres/sapporo state "out"
     When ann sets teams/kaban weight to 5 because "busy week"
-    Then the edit is Outrun
+    Then the edit is Conflict
     And the winner is bob with datacentres/sapporo state from "in" to "out"
     And the table is at version 2
 
   Scenario: an apply that was planned on an older version
     When bob sets datacentres/sapporo state to "out" because "power work"
     And ann applies the example declaration planned on version 1
-    Then the edit is Outrun
+    Then the edit is Conflict
     And the winner is bob with datacentres/sapporo state from "in" to "out"
 
   Scenario Outline: the answer to an edit is lost
@@ -70,7 +70,7 @@
     Given bob gets in between with datacentres/sapporo state "out"
     And reads go down with the commit of ann
     When ann sets teams/kaban weight to 5 because "busy week"
-    Then the edit is Outrun
+    Then the edit is Conflict
     And who won could not be read
 
   Scenario: a revert is a new edit
--- a/tests/table/helpers.py
+++ b/tests/table/helpers.py
@@ -39,4 +39,4 @@
 
 def set_column(context, who, key, column, value, why="a reason"):
     """Set one column."""
-    apply(context, who, rowedits.setting(key, {column: value}), why)
+    apply(context, who, rowedits.set_columns(key, {column: value}), why)
--- a/tests/table/machines.py
+++ b/tests/table/machines.py
@@ -14,7 +14,7 @@
 from citronvalve.table import editor
 from citronvalve.table import follower
 from citronvalve.table import layout
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from citronvalve.table import watcher
 from standins import hostiletable
@@ -43,7 +43,7 @@
         self.outcome_by_why = {}
         self.scans = []
         self.watcher = watcher.Watcher(
-            watcher.Timing(), random.Random(1), self.CHECKS
+            watcher.PollTiming(), random.Random(1), self.CHECKS
         )
         self.follower = follower.Follower(self.CHECKS)
 
@@ -53,9 +53,11 @@
 
     def _set(self, at, name, weight):
         author = self._author()
-        stored = reading.read_state(self.store).value_by_key
+        stored = reader.read_state(self.store).value_by_key
         key = layout.key("datacentres", name)
-        wanted = rowedits.setting(key, {"weight": weight}, key not in stored)
+        wanted = rowedits.set_columns(
+            key, {"weight": weight}, key not in stored
+        )
         done = self.editors[at].apply(wanted, author)
         self.outcome_by_why[author.why] = done
 
@@ -85,7 +87,7 @@
         """Remove a row."""
         author = self._author()
         self.links[2].fates.extend(fates)
-        wanted = rowedits.removing(layout.key("datacentres", name))
+        wanted = rowedits.remove_row(layout.key("datacentres", name))
         done = self.editors[2].apply(wanted, author)
         self.outcome_by_why[author.why] = done
         self.links[2].fates.clear()
@@ -94,7 +96,7 @@
     def reverts(self, back, fates):
         """Go back to what an earlier version said."""
         author = self._author()
-        version = reading.read_state(self.store).version
+        version = reader.read_state(self.store).version
         self.links[1].fates.extend(fates)
         done = self.editors[1].revert(max(0, version - back), author)
         self.outcome_by_why[author.why] = done
@@ -122,15 +124,15 @@
         self._answer(self.store.scan(layout.TABLE, self.watcher.revision))
 
     def _answer(self, scan):
-        delta = self.watcher.take(scan, 0)
+        delta = self.watcher.apply_scan(scan, 0)
         if not missing.is_missing(delta) and delta is not None:
-            self.follower.take(delta)
+            self.follower.apply_delta(delta)
 
     @stateful.invariant()
     def each_accepted_edit_has_one_entry(self):
         """No edit is lost, doubled, or done after it was said not to be."""
-        version = reading.read_state(self.store).version
-        entries = audit.since(self.store, 0, version)
+        version = reader.read_state(self.store).version
+        entries = audit.read_range(self.store, 0, version)
         assert not missing.is_missing(entries), entries
         whys = [entry.why for entry in entries]
         assert len(whys) == len(set(whys)), "an edit took effect twice"
@@ -149,15 +151,15 @@
             for change in entry.changes:
                 assert values.get(change.key) == change.before
                 values[change.key] = change.after
-        stored = reading.read_state(self.store).value_by_key
+        stored = reader.read_state(self.store).value_by_key
         assert stored == {k: v for k, v in values.items() if v}
 
     @stateful.invariant()
     def a_daemon_in_step_holds_the_table(self):
         """Whoever has seen the last revision has the whole table."""
-        stored = reading.read_state(self.store)
+        stored = reader.read_state(self.store)
         if stored.revision == self.follower.revision != rows.NO_ROW:
-            assert self.follower.table == reading.read(self.store)
+            assert self.follower.table == reader.read(self.store)
 
 
 MACHINES = (RacingOperators,)
--- a/tests/table/steps/edits_steps.py
+++ b/tests/table/steps/edits_steps.py
@@ -10,7 +10,7 @@
 from citronvalve.table import edit
 from citronvalve.table import layout
 from citronvalve.table import planning
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from standins import faults
 from standins import hostiletable
@@ -19,19 +19,19 @@
 
 
 def _version(context):
-    return reading.read_state(context.store).version
+    return reader.read_state(context.store).version
 
 
 @behave.when("{who} applies the example declaration")
 def step_applies(context, who):
-    helpers.apply(context, who, planning.declaring(helpers.example()))
+    helpers.apply(context, who, planning.apply_declaration(helpers.example()))
 
 
 @behave.when(
     "{who} applies the example declaration planned on version {version:d}"
 )
 def step_planned(context, who, version):
-    wanted = planning.declaring(helpers.example())
+    wanted = planning.apply_declaration(helpers.example())
     helpers.apply(context, who, wanted, expected=version)
 
 
@@ -42,7 +42,7 @@
 
 @behave.given('{who} gets in between with {key} {column} "{value}"')
 def step_between(context, who, key, column, value):
-    wanted = rowedits.setting(key, {column: value})
+    wanted = rowedits.set_columns(key, {column: value})
     rival = helpers.new_editor(context.store, who)
     helpers.link(context).before_commit = lambda: rival.apply(
         wanted, edit.Author(who, "in between")
@@ -86,7 +86,7 @@
 
 @behave.when("somebody writes {key} without an audit entry")
 def step_around(context, key):
-    value = reading.read_state(context.store).value_by_key[key]
+    value = reader.read_state(context.store).value_by_key[key]
     write = rows.Write(layout.TABLE, key, value | {"weight": 9.0})
     context.store.commit(rows.Transaction("around", (), (write,)))
 
@@ -100,7 +100,7 @@
         if key == "teams/kaban"
     }
     only = document.Document(frozenset({"teams", "limits"}), teams, ())
-    helpers.apply(context, "ann", planning.declaring(only))
+    helpers.apply(context, "ann", planning.apply_declaration(only))
 
 
 @behave.when("ann applies {count:d} teams")
@@ -111,7 +111,9 @@
     }
     context.keys = set(values)
     many = document.Document(frozenset({"teams", "limits"}), values, ())
-    helpers.apply(context, "ann", planning.declaring(many, removals=True))
+    helpers.apply(
+        context, "ann", planning.apply_declaration(many, allow_removals=True)
+    )
 
 
 @behave.when("ann applies {count:d} of {total:d} teams {option}")
@@ -125,7 +127,9 @@
         # The limit on the example's team has to go with it.
         some = some._replace(sections=some.sections | {"limits"})
         allowed = most == total or option == "and allows removals"
-        helpers.apply(context, "ann", planning.declaring(some, allowed))
+        helpers.apply(
+            context, "ann", planning.apply_declaration(some, allowed)
+        )
 
 
 @behave.then("the edit is {outcome}")
@@ -147,7 +151,7 @@
 
 @behave.then("each version has one audit entry")
 def step_entries(context):
-    entries = audit.since(context.store, 0, _version(context))
+    entries = audit.read_range(context.store, 0, _version(context))
     assert not missing.is_missing(entries), entries
     after = audit.read(context.store, len(entries) + 1)
     assert isinstance(after, missing.NotFound), after
@@ -177,19 +181,19 @@
 @behave.then("who won could not be read")
 def step_unread(context):
     assert not context.done.winners
-    assert context.done.lost == "no reads"
+    assert context.done.unread_reason == "no reads"
 
 
 @behave.then("the table says what it said at version 1")
 def step_as_before(context):
     first = audit.read(context.store, 1)
     values = {change.key: change.after for change in first.changes}
-    assert reading.read_state(context.store).value_by_key == values
+    assert reader.read_state(context.store).value_by_key == values
 
 
 @behave.then("{key} is still there")
 def step_there(context, key):
-    assert key in reading.read_state(context.store).value_by_key
+    assert key in reader.read_state(context.store).value_by_key
 
 
 @behave.then("the entry of version 2 holds every changed row")
--- a/tests/table/steps/rows_steps.py
+++ b/tests/table/steps/rows_steps.py
@@ -11,7 +11,7 @@
 from citronvalve.table import kinds
 from citronvalve.table import layout
 from citronvalve.table import planning
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from citronvalve.table import state
 from standins import memorytable
@@ -28,7 +28,8 @@
     context.store = memorytable.MemoryTable()
     first = helpers.new_editor(context.store, "first")
     done = first.apply(
-        planning.declaring(helpers.example()), edit.Author("first", "start")
+        planning.apply_declaration(helpers.example()),
+        edit.Author("first", "start"),
     )
     assert done.version == 1, done
 
@@ -89,8 +90,8 @@
 
 @behave.when("a newer release adds a column to {row} and a section of its own")
 def step_newer(context, row):
-    context.before = reading.read(context.store)
-    value = reading.read_state(context.store).value_by_key[row]
+    context.before = reader.read(context.store)
+    value = reader.read_state(context.store).value_by_key[row]
     writes = (
         rows.Write(layout.TABLE, row, value | {"colour": "red"}),
         rows.Write(layout.TABLE, "fabrics/f1", {"name": "f1"}),
@@ -100,11 +101,11 @@
 
 @behave.then("a daemon reads the table as before")
 def step_reads(context):
-    assert reading.read(context.store) == context.before
+    assert reader.read(context.store) == context.before
 
 
 @behave.then('an edit of this release is refused with "{why}"')
 def step_refused(context, why):
     operator = helpers.new_editor(context.store, "first")
-    planned = operator.plan(rowedits.setting("teams/kaban", {"weight": 3}))
+    planned = operator.plan(rowedits.set_columns("teams/kaban", {"weight": 3}))
     assert why in {wrong.why for wrong in planned.mistakes}, planned
--- a/tests/table/steps/watching_steps.py
+++ b/tests/table/steps/watching_steps.py
@@ -12,7 +12,7 @@
 from citronvalve.table import follower
 from citronvalve.table import layout
 from citronvalve.table import poller
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from citronvalve.table import watcher
 from standins import faults
@@ -25,7 +25,7 @@
     checks = invariant.Invariants()
     context.clock = manualclock.ManualClock()
     context.watcher = watcher.Watcher(
-        watcher.Timing(), random.Random(1), checks
+        watcher.PollTiming(), random.Random(1), checks
     )
     context.follower = follower.Follower(checks)
     step_looks(context)
@@ -35,7 +35,7 @@
 def _take(context, told):
     context.told = told
     if isinstance(told, delta.Delta):
-        context.outcome = context.follower.take(told)
+        context.outcome = context.follower.apply_delta(told)
 
 
 @behave.when("the daemon looks")
@@ -52,7 +52,7 @@
 @behave.when("{key} and its limit are removed")
 def step_removed(context, key):
     def wanted(stored):
-        left = rowedits.removing(key)(stored)
+        left = rowedits.remove_row(key)(stored)
         return {k: v for k, v in left.items() if "limits" not in k}
 
     helpers.apply(context, "bob", wanted)
@@ -79,7 +79,7 @@
 
 @behave.when("the answer that was held up comes")
 def step_comes(context):
-    _take(context, context.watcher.take(context.held, 0))
+    _take(context, context.watcher.apply_scan(context.held, 0))
 
 
 @behave.when("the store is replaced by an older one")
@@ -93,18 +93,22 @@
     told = [rows.Row(layout.TABLE, "teams/x", {"name": "x"}, at + 1)]
     if "newer" in part:
         told.append(rows.Row(layout.TABLE, layout.HEAD, {"version": 2}, at))
-    _take(context, context.watcher.take(rows.Scan(at + 1, tuple(told)), 0))
+    _take(
+        context, context.watcher.apply_scan(rows.Scan(at + 1, tuple(told)), 0)
+    )
 
 
 @behave.when("a peer gives a delta from {base:d} to {to:d}")
 def step_peer(context, base, to):
     head = rows.Row(layout.TABLE, layout.HEAD, {"version": to}, to)
-    context.outcome = context.follower.take(delta.Delta(base, to, (head,)))
+    context.outcome = context.follower.apply_delta(
+        delta.Delta(base, to, (head,))
+    )
 
 
 @behave.when('a newer release sets {key} {column} to "{value}"')
 def step_newer(context, key, column, value):
-    stored = reading.read_state(context.store)
+    stored = reader.read_state(context.store)
     head = {"version": stored.version + 1, "edit": "x", "who": "x", "at": 0}
     writes = (
         rows.Write(layout.TABLE, layout.HEAD, head),
@@ -137,7 +141,7 @@
 
 @behave.then("it waits between {low:d} and {high:d} ms, spread out")
 def step_waits(context, low, high):
-    waits = {context.watcher.wait() for _ in range(200)}
+    waits = {context.watcher.poll_delay() for _ in range(200)}
     assert low <= min(waits) and max(waits) <= high, waits
     assert max(waits) - min(waits) > (high - low) / 2
 
@@ -156,5 +160,5 @@
 
 @behave.then("it says why it refuses {key}")
 def step_refuses(context, key):
-    (wrong,) = context.follower.refused
+    (wrong,) = context.follower.mistakes
     assert wrong.row == key, wrong
