--- a/src/citronvalve/table/bounds.py
+++ b/src/citronvalve/table/bounds.py
@@ -16,10 +16,10 @@
     @property
     def range_text(self) -> str:
         """Return the bounds and the unit, for people."""
-        return f"{_format_number(self.low)} to {_format_number(self.high)} {self.unit}"
+        return f"{_format(self.low)} to {_format(self.high)} {self.unit}"
 
 
-def _format_number(value: float) -> str:
+def _format(value: float) -> str:
     return f"{int(value):,}" if value == int(value) else f"{value:g}"
 
 
--- a/src/citronvalve/table/builder.py
+++ b/src/citronvalve/table/builder.py
@@ -37,12 +37,12 @@
     changed = build_changed(EMPTY, value_by_key.items(), version)
     wrong = changed.mistakes
     wrong_rows = {each.row for each in wrong}
-    whole = tuple(
+    cross_mistakes = tuple(
         each
         for each in crosscheck.check(changed.table)
         if each.needs not in wrong_rows
     )
-    return BuildResult(changed.table, wrong + whole)
+    return BuildResult(changed.table, wrong + cross_mistakes)
 
 
 def build_changed(
@@ -135,8 +135,8 @@
             continue
         if value is not None:
             value = {
-                name: seen
-                for name, seen in value.items()
+                name: column_value
+                for name, column_value in value.items()
                 if name in kind.column_by_name
             }
         yield key, value
--- a/src/citronvalve/table/editor.py
+++ b/src/citronvalve/table/editor.py
@@ -133,15 +133,15 @@
                 "the audit trail needs who and why",
                 "give --who and --why",
             )
-        planned = planning.plan(stored, operation)
-        if planned.mistakes:
-            return edit.Refused(planned.mistakes)
-        if not planned.changes:
+        edit_plan = planning.plan(stored, operation)
+        if edit_plan.mistakes:
+            return edit.Refused(edit_plan.mistakes)
+        if not edit_plan.changes:
             return edit.Unchanged(stored.version)
-        return self._commit(self._prepare(stored, planned, author))
+        return self._commit(self._prepare(stored, edit_plan, author))
 
     def _prepare(
-        self, stored: state.State, planned: edit.Plan, author: edit.Author
+        self, stored: state.State, edit_plan: edit.Plan, author: edit.Author
     ) -> _PreparedEdit:
         edit_id = f"{self._rng.getrandbits(128):032x}"
         entry = edit.Entry(
@@ -150,12 +150,12 @@
             author.who,
             author.why,
             self._clock.wall(),
-            planned.changes,
+            edit_plan.changes,
         )
         return _PreparedEdit(
             edit_id,
             stored.version,
-            planned.changes,
+            edit_plan.changes,
             _transaction(stored.revision, entry),
         )
 
--- a/src/citronvalve/table/planning.py
+++ b/src/citronvalve/table/planning.py
@@ -61,7 +61,7 @@
     # section as well as a full one, and within seconds no daemon anywhere
     # would know an upstream or a team.
     total = collections.Counter(map(_section_of, stored))
-    wide = [
+    mistakes = [
         mistake.Mistake(
             section,
             "",
@@ -75,8 +75,8 @@
         if count >= MIN_CHECKED_REMOVALS
         and count > total[section] * MAX_REMOVED_SHARE
     ]
-    if wide:
-        raise mistake.MistakesError(tuple(wide))
+    if mistakes:
+        raise mistake.MistakesError(tuple(mistakes))
 
 
 def plan(stored: state.State, operation: Operation) -> edit.Plan:
@@ -115,12 +115,12 @@
     # change behaviour without an edit.
     complete: dict[str, Any] = {}
     for kind in kinds.KIND_BY_SECTION.values():
-        held = getattr(checked.table, kind.field)
+        section_rows = getattr(checked.table, kind.field)
         if kind.key_columns:
-            rows = (record._asdict() for record in held.values())
+            rows = (record._asdict() for record in section_rows.values())
             complete.update((kind.key_of(row), row) for row in rows)
         elif kind.key_of({}) in after:
-            complete[kind.key_of({})] = held._asdict()
+            complete[kind.key_of({})] = section_rows._asdict()
     # As JSON gives it back, so that it compares with what is stored.
     return msgspec.json.decode(msgspec.json.encode(complete))
 
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -40,28 +40,28 @@
     daemons_here=1,
 )
 
-_MATE = envelope.Sender("d-2", "hakodate", 1, "tcp://127.0.0.1:5")
+_PEER = envelope.Sender("d-2", "hakodate", 1, "tcp://127.0.0.1:5")
 
 #: Time of one round of the daemon's tasks in ms.
-_ROUND: clock.Ms = 250
+_STEP_INTERVAL: clock.Ms = 250
 
-_ROW = f"{layout.key('datacentres', 'hakodate')}"
+_ROW_KEY = f"{layout.key('datacentres', 'hakodate')}"
 
 
-class _Store(memorytable.MemoryTable):
+class _CountingStore(memorytable.MemoryTable):
     """Counts the times that it was read whole."""
 
-    read_whole = 0
+    full_reads = 0
 
     def scan(self, table, after=0):
-        self.read_whole += not after
+        self.full_reads += not after
         return super().scan(table, after)
 
 
 class _Daemon:
     """The tasks that bring tables into force, driven by hand."""
 
-    def __init__(self, store, watches):
+    def __init__(self, store, is_watcher):
         self.store = store
         self.clock = manualclock.ManualClock(1_000_000)
         self.view = view.View(self.clock, invariant.Invariants())
@@ -77,9 +77,9 @@
             environment.RequestLimits(),
         )
         self.peering = peertask.PeerTask(env, self.view, _SETTINGS)
-        self.peering.peer.is_watcher = lambda: watches
+        self.peering.peer.is_watcher = lambda: is_watcher
         self._task = tabletask.TableTask(env, self.view, store, self.peering)
-        self.hears: gossip.Gossip | None = None
+        self.repeated_gossip: gossip.Gossip | None = None
 
     def run(self, span):
         """Let time pass.
@@ -87,20 +87,20 @@
         :param span: ms.
         """
         with self.log.applicationbound():
-            for _ in range(0, span, _ROUND):
-                self.clock.advance(_ROUND)
-                if self.hears is not None:
-                    self.hear(self.hears)
+            for _ in range(0, span, _STEP_INTERVAL):
+                self.clock.advance(_STEP_INTERVAL)
+                if self.repeated_gossip is not None:
+                    self.receive(self.repeated_gossip)
                 self._task.step()
 
-    def hear(self, message):
+    def receive(self, message):
         """Take in what a peer tells."""
-        self.peering.peer.core.handle(codec.ReceivedMessage(_MATE, message))
+        self.peering.peer.core.handle(codec.ReceivedMessage(_PEER, message))
 
 
 @behave.given("the example declaration is in the platform's table")
 def step_example(context):
-    context.store = _Store()
+    context.store = _CountingStore()
     helpers.apply(
         context, "bob", planning.apply_declaration(helpers.example())
     )
@@ -120,64 +120,64 @@
     ]
 
 
-def _out(held):
-    at = next(i for i, row in enumerate(held) if row.key == _ROW)
+def _set_out_of_service(held):
+    at = next(i for i, row in enumerate(held) if row.key == _ROW_KEY)
     value = msgspec.msgpack.decode(held[at].value) | {"state": "out"}
     held[at] = held[at]._replace(value=msgspec.msgpack.encode(value))
 
 
-def _one_more(held):
+def _add_row(held):
     value = msgspec.msgpack.encode({"name": "nowhere"})
     key = layout.key("datacentres", "nowhere")
     held.append(change.Change(layout.TABLE, key, 1, value))
 
 
-def _one_less(held):
-    held[:] = [row for row in held if row.key != _ROW]
+def _remove_row(held):
+    held[:] = [row for row in held if row.key != _ROW_KEY]
 
 
-_SPOIL_BY_WHAT = {
+_CORRUPTION_BY_NAME = {
     "": lambda held: None,
-    "a data centre that is out by its copy": _out,
-    "a row that the platform has not": _one_more,
-    "a row missing": _one_less,
+    "a data centre that is out by its copy": _set_out_of_service,
+    "a row that the platform has not": _add_row,
+    "a row missing": _remove_row,
 }
 
 
-def _begin(context, what, watches):
+def _start_daemon(context, corruption, is_watcher):
     held = _packed(_stored(context.store))
     version = max(row.version for row in held)
-    _SPOIL_BY_WHAT[what](held)
-    context.daemon = _Daemon(context.store, watches)
+    _CORRUPTION_BY_NAME[corruption](held)
+    context.daemon = _Daemon(context.store, is_watcher)
     context.daemon.peering.peer.publish_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
     assert context.daemon.view.table
-    context.store.read_whole = 0
-    assert _is_right(context) == (not what)
+    context.store.full_reads = 0
+    assert _matches_platform(context) == (not corruption)
 
 
 @behave.given("a watcher that took the table from a peer, with {what}")
 def step_watcher(context, what):
-    _begin(context, what, watches=True)
+    _start_daemon(context, what, is_watcher=True)
 
 
 @behave.given("a watcher that took the table from a peer")
 def step_right_watcher(context):
-    _begin(context, "", watches=True)
+    _start_daemon(context, "", is_watcher=True)
 
 
 @behave.given("a daemon that took the table from a peer, with {what}")
 def step_daemon_with(context, what):
-    _begin(context, what, watches=False)
+    _start_daemon(context, what, is_watcher=False)
 
 
 @behave.given("a daemon that took the table from a peer")
 def step_daemon(context):
-    _begin(context, "", watches=False)
+    _start_daemon(context, "", is_watcher=False)
 
 
-def _is_right(context):
+def _matches_platform(context):
     checks = follower.Follower(invariant.Invariants())
     stored = _stored(context.store)
     version = max(row.version for row in stored)
@@ -185,17 +185,17 @@
     return context.daemon.view.table == checks.table
 
 
-def _told(context, rows_of):
-    held = rows_of(_packed(_stored(context.store)))
+def _make_gossip(context, select):
+    held = select(_packed(_stored(context.store)))
     version = max(row.version for row in held)
-    mate = tablecopy.TableCopy(invariant.Invariants())
-    mate.apply(tabledelta.TableDelta(version, 0, tuple(held)))
-    return gossip.Gossip(0, mate.version, mate.digest, table_age=100)
+    copy = tablecopy.TableCopy(invariant.Invariants())
+    copy.apply(tabledelta.TableDelta(version, 0, tuple(held)))
+    return gossip.Gossip(0, copy.version, copy.digest, table_age=100)
 
 
 @behave.when("it hears a peer with the platform's table")
 def step_hears(context):
-    context.daemon.hears = _told(context, list)
+    context.daemon.repeated_gossip = _make_gossip(context, list)
 
 
 @behave.when("the platform does not answer for {seconds:d} s")
@@ -207,7 +207,9 @@
 
 @behave.when("it hears a peer with another table for {seconds:d} s")
 def step_hears_another(context, seconds):
-    context.daemon.hears = _told(context, lambda held: held[1:])
+    context.daemon.repeated_gossip = _make_gossip(
+        context, lambda held: held[1:]
+    )
     context.daemon.run(seconds * clock.SECOND)
 
 
@@ -236,8 +238,8 @@
 )
 def step_no_difference(context, seconds):
     context.daemon.run(seconds * clock.SECOND)
-    assert context.store.read_whole, "it never compared"
-    assert _is_right(context)
+    assert context.store.full_reads, "it never compared"
+    assert _matches_platform(context)
     assert not _warned(context), context.daemon.log.formatted_records
 
 
@@ -257,7 +259,7 @@
 @behave.then("within {seconds:d} s its table in force is the platform's")
 def step_right_within(context, seconds):
     for _ in range(0, seconds):
-        if _is_right(context):
+        if _matches_platform(context):
             return
         context.daemon.run(clock.SECOND)
     raise AssertionError(context.daemon.log.formatted_records)
@@ -265,7 +267,7 @@
 
 @behave.then("its table in force is the platform's")
 def step_right(context):
-    assert _is_right(context), context.daemon.log.formatted_records
+    assert _matches_platform(context), context.daemon.log.formatted_records
 
 
 @behave.then("the log names the rows that differed")
@@ -275,4 +277,4 @@
 
 @behave.then("it has read the whole table at most {times:d} times")
 def step_times(context, times):
-    assert 0 < context.store.read_whole <= times, context.store.read_whole
+    assert 0 < context.store.full_reads <= times, context.store.full_reads
--- a/tests/inforce/steps/inforce_steps.py
+++ b/tests/inforce/steps/inforce_steps.py
@@ -16,8 +16,8 @@
 from standins import fleet as fleets
 from tests import drill
 
-_PLACES = ("hakodate", "sapporo")
-_PROMISES = {
+_DATACENTRES = ("hakodate", "sapporo")
+_INVARIANTS = {
     "the table's version never falls",
     "an accepted table version is never replaced by a lower one",
 }
@@ -26,23 +26,23 @@
 
 @behave.given("{count:d} daemons with a table in force")
 def step_daemons(context, count):
-    _start(context, count, _PLACES)
+    _start(context, count, _DATACENTRES)
 
 
 @behave.given("{count:d} daemons of one data centre with a table in force")
 def step_one_place(context, count):
-    _start(context, count, _PLACES[:1])
+    _start(context, count, _DATACENTRES[:1])
 
 
-def _start(context, count, places):
-    context.made = drill.open_in(context, places)
+def _start(context, count, datacentres):
+    context.made = drill.open_in(context, datacentres)
     context.made.daemons(count)
     context.made.start()
     context.gone = set()
     context.started = {}
     drill.eventually(
         lambda: all(
-            told["members"] == count for told in _told(context).values()
+            told["members"] == count for told in _statuses(context).values()
         ),
         "every daemon knows all members",
     )
@@ -51,9 +51,9 @@
 
 @behave.given("the platform does not answer")
 def step_no_answer(context):
-    context.made = drill.open_in(context, _PLACES)
+    context.made = drill.open_in(context, _DATACENTRES)
     context.gone = set()
-    _order(context, "down", -1)
+    _inject_fault(context, "down", -1)
 
 
 def _fleet(context):
@@ -64,12 +64,12 @@
     return fleets.status(_fleet(context).addresses_by_daemon[name])
 
 
-def _told(context):
+def _statuses(context):
     names = _fleet(context).addresses_by_daemon.keys() - context.gone
     return {name: _status(context, name) for name in sorted(names)}
 
 
-def _order(context, fault, calls, delay=0):
+def _inject_fault(context, fault, calls, delay=0):
     order = {"service": "table", "fault": fault, "calls": calls}
     order["delay"] = delay
     url = f"http://{_fleet(context).platform}/faults"
@@ -77,7 +77,7 @@
     assert urllib3.request("POST", url, body=body).status == 200
 
 
-def _tool(context, *words):
+def _run_tool(context, *words):
     return subprocess.run(
         [
             *(sys.executable, "-m", "citronvalve.cli.main", *words),
@@ -91,7 +91,7 @@
 
 def _edit(context, state):
     author = ("--who", "operator", "--why", "drill")
-    return _tool(context, "table", "set", _KEY, f"state={state}", *author)
+    return _run_tool(context, "table", "set", _KEY, f"state={state}", *author)
 
 
 @behave.when("the operator takes hakodate out")
@@ -102,16 +102,19 @@
     context.committed = time.monotonic()
 
 
-def _in_force_within(context, most):
-    until = context.committed + most / 1_000
+def _in_force_within(context, limit):
+    deadline = context.committed + limit / 1_000
     while True:
-        told = {
+        version_by_daemon = {
             name: status["table_version"]
-            for name, status in _told(context).items()
+            for name, status in _statuses(context).items()
         }
-        if all(seen >= context.version for seen in told.values()):
+        if all(seen >= context.version for seen in version_by_daemon.values()):
             return
-        assert time.monotonic() < until, (context.version, told)
+        assert time.monotonic() < deadline, (
+            context.version,
+            version_by_daemon,
+        )
         time.sleep(0.01)
 
 
@@ -133,13 +136,13 @@
     return _fleet(context).platform
 
 
-def _shown(context, *options):
-    return _tool(context, "status", *_operators(context), *options)
+def _run_status(context, *options):
+    return _run_tool(context, "status", *_operators(context), *options)
 
 
 @behave.then("the status exits 0 and names nobody")
 def step_status(context):
-    done = _shown(context, "--wait", "5")
+    done = _run_status(context, "--wait", "5")
     assert done.returncode == 0, done.stdout
     assert "not confirmed" not in done.stdout, done.stdout
 
@@ -162,29 +165,29 @@
         # Nobody is named only once the dead one has counted as dead.
         passed = (time.monotonic() - context.killed_at) * 1_000
         assert passed >= timing.Timing().dead_after, (passed, shown.text)
-        for name, told in _told(context).items():
+        for name, told in _statuses(context).items():
             alive = told["peers"]["alive"]
             assert context.killed not in alive, (name, alive)
     else:
         assert shown.code == exitcode.ExitCode.REFUSED, shown.text
         assert context.killed in shown.text, shown.text
-    done = _shown(context, "--wait", "15")
+    done = _run_status(context, "--wait", "15")
     assert done.returncode == 0, done.stdout
 
 
 @behave.when("each answer of the platform takes {delay:d} ms")
 def step_slow(context, delay):
-    _order(context, "slow", -1, delay)
+    _inject_fault(context, "slow", -1, delay)
 
 
 @behave.when("the platform stops answering")
 def step_stops(context):
-    _order(context, "down", -1)
+    _inject_fault(context, "down", -1)
 
 
 @behave.when("the platform answers again")
 def step_answers(context):
-    _order(context, "down", 0)
+    _inject_fault(context, "down", 0)
 
 
 @behave.then("an edit exits 4 and changes nothing")
@@ -200,7 +203,7 @@
 
 @behave.then("all daemons stay ready with their version")
 def step_stay(context):
-    for name, told in _told(context).items():
+    for name, told in _statuses(context).items():
         assert told["table_version"] == context.version
         assert _ready(context, name)
 
@@ -222,8 +225,8 @@
 
 @behave.then("it stays not ready for {span:d} ms")
 def step_not_ready(context, span):
-    until = time.monotonic() + span / 1_000
-    while time.monotonic() < until:
+    deadline = time.monotonic() + span / 1_000
+    while time.monotonic() < deadline:
         assert not _ready(context, "fresh")
         time.sleep(0.05)
 
@@ -247,7 +250,7 @@
 @behave.then("the status names the paused one")
 def step_names(context):
     drill.eventually(
-        lambda: context.paused in _shown(context).stdout,
+        lambda: context.paused in _run_status(context).stdout,
         "the paused daemon is named",
     )
 
@@ -262,7 +265,7 @@
 
 @behave.then("no daemon's version ever fell")
 def step_never(context):
-    for name, told in _told(context).items():
-        assert told["invariants"].keys() >= _PROMISES, (name, told)
+    for name, told in _statuses(context).items():
+        assert told["invariants"].keys() >= _INVARIANTS, (name, told)
         log = _fleet(context).process_by_name[name].output()
         assert "invariant violated:" not in log, name
--- a/tests/table/helpers.py
+++ b/tests/table/helpers.py
@@ -18,21 +18,21 @@
     return document.parse(_EXAMPLE.read_text(), _EXAMPLE.name)
 
 
-def new_editor(service, who):
+def new_editor(service, name):
     """Return an operator's editor."""
-    return editor.Editor(service, clock.SystemClock(), random.Random(who))
+    return editor.Editor(service, clock.SystemClock(), random.Random(name))
 
 
-def link(context):
+def connection(context):
     """Return the way from ann to the store."""
-    if "link" not in context:
-        context.link = hostiletable.HostileTable(context.store)
-    return context.link
+    if "connection" not in context:
+        context.connection = hostiletable.HostileTable(context.store)
+    return context.connection
 
 
 def apply(context, who, wanted, why="a reason", expected=None):
     """Apply an edit, ann's by her own way to the store."""
-    service = link(context) if who == "ann" else context.store
+    service = connection(context) if who == "ann" else context.store
     author = edit.Author(who, why)
     context.done = new_editor(service, who).apply(wanted, author, expected)
 
--- a/tests/table/steps/edits_steps.py
+++ b/tests/table/steps/edits_steps.py
@@ -44,14 +44,14 @@
 def step_between(context, who, key, column, value):
     wanted = rowedits.set_columns(key, {column: value})
     rival = helpers.new_editor(context.store, who)
-    helpers.link(context).before_commit = lambda: rival.apply(
+    helpers.connection(context).before_commit = lambda: rival.apply(
         wanted, edit.Author(who, "in between")
     )
 
 
 @behave.given("reads go down with the commit of ann")
 def step_reads_down(context):
-    link = helpers.link(context)
+    link = helpers.connection(context)
     rival = link.before_commit
 
     def both():
@@ -63,7 +63,7 @@
 
 @behave.given("the store does {fates} to the commits of ann")
 def step_fates(context, fates):
-    helpers.link(context).fates.extend(
+    helpers.connection(context).fates.extend(
         map(hostiletable.Fate, fates.split(", "))
     )
 
@@ -73,19 +73,19 @@
     if call == 1:
         context.store.faults.order(faults.Fault.DOWN)
     else:
-        helpers.link(context).before_commit = lambda: (
+        helpers.connection(context).before_commit = lambda: (
             context.store.faults.order(faults.Fault.DOWN)
         )
 
 
 @behave.when("ann reverts to version {version:d}")
 def step_reverts(context, version):
-    operator = helpers.new_editor(helpers.link(context), "revert")
+    operator = helpers.new_editor(helpers.connection(context), "revert")
     context.done = operator.revert(version, edit.Author("ann", "back"))
 
 
 @behave.when("somebody writes {key} without an audit entry")
-def step_around(context, key):
+def step_unaudited_write(context, key):
     value = reader.read_state(context.store).value_by_key[key]
     write = rows.Write(layout.TABLE, key, value | {"weight": 9.0})
     context.store.commit(rows.Transaction("around", (), (write,)))
@@ -145,7 +145,7 @@
 
 @behave.then("once late writes have landed the table is at version {v:d}")
 def step_landed(context, v):
-    context.link.land()
+    context.connection.land()
     assert _version(context) == v, _version(context)
 
 
@@ -210,6 +210,6 @@
 
 
 @behave.then("each of its promises was looked at")
-def step_looked(context):
+def step_checked(context):
     assert all(context.count_by_name.values())
     assert len(context.count_by_name) == 2
--- a/tests/table/steps/rows_steps.py
+++ b/tests/table/steps/rows_steps.py
@@ -65,8 +65,8 @@
 
 @behave.then('a mistake says "{why}"')
 def step_says(context, why):
-    told = [wrong.why for wrong in context.document.mistakes]
-    assert any(why in each for each in told), told
+    reasons = [wrong.why for wrong in context.document.mistakes]
+    assert any(why in each for each in reasons), reasons
 
 
 @behave.then("every column that holds a number has a bound")
--- a/tests/table/steps/watching_steps.py
+++ b/tests/table/steps/watching_steps.py
@@ -28,20 +28,20 @@
         watcher.PollTiming(), random.Random(1), checks
     )
     context.follower = follower.Follower(checks)
-    step_looks(context)
+    step_polls(context)
     assert context.follower.table.version == 1
 
 
-def _take(context, told):
-    context.told = told
-    if isinstance(told, delta.Delta):
-        context.outcome = context.follower.apply_delta(told)
+def _apply(context, received):
+    context.received = received
+    if isinstance(received, delta.Delta):
+        context.outcome = context.follower.apply_delta(received)
 
 
 @behave.when("the daemon looks")
-def step_looks(context):
-    looking = poller.Poller(context.store, context.watcher, context.clock)
-    _take(context, looking.poll())
+def step_polls(context):
+    table_poller = poller.Poller(context.store, context.watcher, context.clock)
+    _apply(context, table_poller.poll())
 
 
 @behave.when('{key} {column} becomes "{value}"')
@@ -63,7 +63,7 @@
     context.store.faults.order(faults.Fault.DOWN)
     for _ in range(count):
         context.clock.advance(1_000)
-        step_looks(context)
+        step_polls(context)
 
 
 @behave.when("the platform is back")
@@ -78,8 +78,8 @@
 
 
 @behave.when("the answer that was held up comes")
-def step_comes(context):
-    _take(context, context.watcher.apply_scan(context.held, 0))
+def step_delivered(context):
+    _apply(context, context.watcher.apply_scan(context.held, 0))
 
 
 @behave.when("the store is replaced by an older one")
@@ -90,11 +90,14 @@
 @behave.when("the platform tells of {part}")
 def step_part(context, part):
     at = context.watcher.revision + 1
-    told = [rows.Row(layout.TABLE, "teams/x", {"name": "x"}, at + 1)]
+    changed_rows = [rows.Row(layout.TABLE, "teams/x", {"name": "x"}, at + 1)]
     if "newer" in part:
-        told.append(rows.Row(layout.TABLE, layout.HEAD, {"version": 2}, at))
-    _take(
-        context, context.watcher.apply_scan(rows.Scan(at + 1, tuple(told)), 0)
+        changed_rows.append(
+            rows.Row(layout.TABLE, layout.HEAD, {"version": 2}, at)
+        )
+    _apply(
+        context,
+        context.watcher.apply_scan(rows.Scan(at + 1, tuple(changed_rows)), 0),
     )
 
 
@@ -126,7 +129,7 @@
 
 @behave.then("the look gave {count:d} rows")
 def step_gave(context, count):
-    assert len(context.told.rows) == count, context.told
+    assert len(context.received.rows) == count, context.received
 
 
 @behave.then("the daemon has no teams/{name}")
@@ -147,9 +150,9 @@
 
 
 @behave.then('the look is doubted as "{why}"')
-def step_doubted(context, why):
-    assert isinstance(context.told, missing.Stale), context.told
-    assert why in context.told.reason
+def step_rejected(context, why):
+    assert isinstance(context.received, missing.Stale), context.received
+    assert why in context.received.reason
 
 
 @behave.then("the delta is {outcome}")
