--- a/src/citronvalve/table/__init__.py
+++ b/src/citronvalve/table/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table: rows, checks, versions and the audit trail."""
+"""The operators' table: rows, validation, versions and the audit trail."""
--- a/src/citronvalve/table/audit.py
+++ b/src/citronvalve/table/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: entries as they are stored and read."""
+"""Encodes audit entries as stored rows, and reads them back."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -11,15 +11,15 @@
 from citronvalve.table import edit
 from citronvalve.table import layout
 
-#: Bytes of changes in one stored row; what exceeds it goes into parts.
-#: Transactional stores commonly refuse rows above some hundred KB.
+#: Changes per stored row in bytes; a larger entry is split into parts.
+#: Transactional stores commonly reject rows above a few hundred KB.
 MAX_PART_BYTES = 64 * 1024
 
 
 def entry_writes(entry: edit.Entry) -> Iterator[rows.Write]:
-    """Return the rows that hold an entry.
+    """Yield the writes that store an entry.
 
-    :param entry: the whole entry.
+    :param entry: the complete entry.
     """
     parts = list(_split_changes(entry.changes))
     value = entry._asdict() | {
@@ -49,10 +49,10 @@
 def read(
     service: tableservice.TableService, version: int
 ) -> edit.Entry | missing.NotFound | missing.Unavailable:
-    """Read the entry of one version.
+    """Return the entry of one version.
 
     :param service: the platform's table service.
-    :param version: the version that the edit made.
+    :param version: the version that the edit created.
     """
     row = service.read(layout.AUDIT, layout.audit_key(version))
     if missing.is_missing(row):
@@ -73,11 +73,11 @@
 def read_range(
     service: tableservice.TableService, after: int, until: int
 ) -> tuple[edit.Entry, ...] | missing.NotFound | missing.Unavailable:
-    """Read the entries of some versions, oldest first.
+    """Return the entries of a range of versions, oldest first.
 
     :param service: the platform's table service.
-    :param after: the version before the first.
-    :param until: the last version.
+    :param after: the version before the first one to read.
+    :param until: the last version, inclusive.
     """
     found = []
     for version in range(after + 1, until + 1):
--- a/src/citronvalve/table/bounds.py
+++ b/src/citronvalve/table/bounds.py
@@ -1,4 +1,4 @@
-"""Unit and bounds of each number in the table, with the reason of them."""
+"""Bounds and units of the numeric columns, with the reason for each."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Bound(NamedTuple):
-    """The least and the greatest value, and what harm they prevent."""
+    """Lowest and highest valid value, and what goes wrong outside them."""
 
     low: float
     high: float
@@ -15,7 +15,7 @@
 
     @property
     def range_text(self) -> str:
-        """Return the bounds and the unit, for people."""
+        """Return the bounds and the unit as text."""
         return f"{_format(self.low)} to {_format(self.high)} {self.unit}"
 
 
--- a/src/citronvalve/table/builder.py
+++ b/src/citronvalve/table/builder.py
@@ -1,4 +1,4 @@
-"""Builds the typed table from stored rows, or says all that is wrong."""
+"""Builds the typed table from rows and collects all their mistakes."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 class BuildResult(NamedTuple):
-    """The table, and what is wrong with it; use it only when nothing is."""
+    """The table and its mistakes; valid only without mistakes."""
 
     table: declared.Declared
     mistakes: tuple[mistake.Mistake, ...]
@@ -26,13 +26,13 @@
 def build_full(
     value_by_key: dict[str, dict[str, Any]], version: int
 ) -> BuildResult:
-    """Check rows as operators write them, as a whole.
+    """Build a table from all its rows, with checks across rows.
 
-    Rows that are wrong by themselves are left out of the look at the whole
-    table, so that one mistake is not told twice.
+    References to rows that are invalid by themselves are not reported, so
+    that one mistake is reported once.
 
     :param value_by_key: every row's columns.
-    :param version: what the table's version is to be.
+    :param version: the version of the new table.
     """
     changed = build_changed(EMPTY, value_by_key.items(), version)
     wrong = changed.mistakes
@@ -50,11 +50,11 @@
     changes: Iterable[tuple[str, dict[str, Any] | None]],
     version: int,
 ) -> BuildResult:
-    """Return the table after changes, each row checked by itself.
+    """Build a table from an earlier one, checking each changed row alone.
 
-    :param before: the table so far; it is not changed.
-    :param changes: key and columns, or None for a row that went.
-    :param version: the version that the changes make.
+    :param before: the earlier table; it is not modified.
+    :param changes: key and columns, or None for a removed row.
+    :param version: the version that the changes create.
     """
     builder = _Builder(before)
     for key, value in changes:
@@ -63,9 +63,9 @@
 
 
 class _Builder:
-    """Carries changes out on copies of only the sections that they touch.
+    """Applies changes, copying only the sections that they touch.
 
-    :param before: the table so far.
+    :param before: the earlier table.
     """
 
     def __init__(self, before: declared.Declared) -> None:
@@ -74,13 +74,13 @@
         self._mistakes: list[mistake.Mistake] = []
 
     def apply_change(self, key: str, value: dict[str, Any] | None) -> None:
-        """Put a row, or take it away with None."""
+        """Set a row, or remove it when the value is None."""
         section, *names = key.split(layout.SEPARATOR)
         kind = kinds.KIND_BY_SECTION.get(section)
         if kind is None:
             self._mistakes.append(_unknown_section(key, section))
         elif not kind.key_columns:
-            # The one row of switches has its defaults while it is away.
+            # Without a stored row the switches have their defaults.
             record = self._check_row(kind, key, value or {})
             if record:
                 self._new_by_field[kind.field] = record
@@ -89,7 +89,7 @@
             self._set_row(kind, key, name, value)
 
     def build(self, version: int) -> BuildResult:
-        """Return the table with all that was wrong."""
+        """Return the table with all mistakes found."""
         table = self._before._replace(version=version, **self._new_by_field)
         return BuildResult(table, tuple(self._mistakes))
 
@@ -122,12 +122,12 @@
 def drop_unknown(
     changes: Iterable[tuple[str, dict[str, Any] | None]],
 ) -> Iterator[tuple[str, dict[str, Any] | None]]:
-    """Leave out what a newer release stored and this one does not know.
+    """Yield changes without sections and columns of a newer release.
 
-    Releases are rolled out VM by VM: a daemon that refused a new column
-    would stay on an old table for the whole roll-out.
+    Releases are rolled out VM by VM: a daemon that rejected an unknown
+    column would keep an old table during the whole roll-out.
 
-    :param changes: key and columns, or None for a row that went.
+    :param changes: key and columns, or None for a removed row.
     """
     for key, value in changes:
         kind = kinds.KIND_BY_SECTION.get(key.split(layout.SEPARATOR)[0])
--- a/src/citronvalve/table/columns.py
+++ b/src/citronvalve/table/columns.py
@@ -1,4 +1,4 @@
-"""Checks each column of a row by itself, and builds the row's record."""
+"""Validates the columns of a row and builds the row's record."""
 
 import difflib
 import enum
@@ -14,22 +14,22 @@
 
 
 class CheckResult(NamedTuple):
-    """A record, or None with what is wrong."""
+    """A record, or None with the mistakes of the row."""
 
     record: Any
     mistakes: tuple[mistake.Mistake, ...]
 
 
 def check_row(kind: kinds.Kind, key: str, row: dict[str, Any]) -> CheckResult:
-    """Check one row by itself.
+    """Validate one row without regard to others.
 
-    :param kind: what the row should be.
-    :param key: its key, for mistakes.
-    :param row: its columns as written.
+    :param kind: the kind of row.
+    :param key: the row's key, reported in mistakes.
+    :param row: column values as given.
     """
     try:
-        # Nearly all rows are right, and a daemon that starts checks 12,000
-        # of them at once.
+        # Nearly all rows are valid, and a daemon checks 12,000 of them at
+        # startup.  Only invalid rows are checked column by column.
         values = msgspec.structs.astuple(msgspec.convert(row, kind.struct))
         return CheckResult(kind.record(*values), ())
     except msgspec.ValidationError:
@@ -100,7 +100,7 @@
     kind: kinds.Kind, column: kinds.Column, value: Any
 ) -> tuple[str, str]:
     bound = column.bound
-    # Written so that a value that is not a number fails too.
+    # The comparison is negated so that NaN fails too.
     if bound and not bound.low <= value <= bound.high:
         return bound.reason, f"give {bound.range_text}"
     if column.name in kind.key_columns and not kinds.NAME_PATTERN.fullmatch(
--- a/src/citronvalve/table/crosscheck.py
+++ b/src/citronvalve/table/crosscheck.py
@@ -1,4 +1,4 @@
-"""Checks that look at more than one row or column."""
+"""Validation across rows and columns."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -16,9 +16,9 @@
 
 
 def check(table: declared.Declared) -> tuple[mistake.Mistake, ...]:
-    """Check the table as a whole.
+    """Validate the relations between rows and columns.
 
-    :param table: rows that are right each by itself.
+    :param table: rows that are each valid alone.
     """
     return tuple(wrong for each in _CHECKS for wrong in each(table))
 
@@ -69,7 +69,7 @@
         "teams",
         "token_sha256",
         ((team.name, team.token_sha256) for team in teams),
-        "a caller's team could not be told",
+        "a caller's team would be ambiguous",
     )
 
 
@@ -93,13 +93,14 @@
 
 
 def _check_address(row: str, address: str) -> _Mistakes:
-    # The system talks by IP numbers: a name would be looked up while
-    # requests wait, by a service that has outages of its own.
+    # Host names are not allowed: resolving one would delay requests and
+    # depend on the availability of a DNS server.
     host, _, port = address.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
     family = socket.AF_INET6 if bracketed else socket.AF_INET
     try:
-        # Only a parser: ipaddress takes a third of the whole check.
+        # inet_pton only parses; ipaddress would take a third of the time
+        # of the whole check.
         socket.inet_pton(family, host[1:-1] if bracketed else host)
         is_valid = port.isascii() and port.isdigit() and 0 < int(port) < 65_536
     except OSError:
@@ -120,7 +121,7 @@
             row,
             "cold_slots",
             cold_slots,
-            f"a cold start would bear more than the {slots} when warm",
+            f"a cold start would accept more than the {slots} when warm",
             f"give at most {slots}",
         )
 
@@ -166,7 +167,7 @@
 
 
 def _check_group_names(table: declared.Declared) -> _Mistakes:
-    # The upstreams of a group carry its name, and slots are counted by name.
+    # The upstreams of a group have its name, and slots are counted by name.
     for name in sorted(table.group_by_name.keys() & table.upstream_by_name):
         yield mistake.Mistake(
             layout.key("groups", name),
@@ -191,7 +192,7 @@
 
 
 def _check_limits(table: declared.Declared) -> _Mistakes:
-    # A team's limit may be on a plain service as well.
+    # A limit may apply to a plain service instead of a model.
     served = {**table.service_by_name, **table.model_by_name}
     known_by_column = {
         "team": ("teams", table.team_by_name),
--- a/src/citronvalve/table/delta.py
+++ b/src/citronvalve/table/delta.py
@@ -1,4 +1,4 @@
-"""What leads from one revision of the table to a later one."""
+"""Changes between two revisions of the table."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 
 
 class Delta(NamedTuple):
-    """Rows written after ``base`` up to ``revision``, in their last form.
+    """Latest values of the rows written after ``base`` up to ``revision``.
 
-    The head is among them.  A removed row is there with an empty value and
-    the revision that removed it, so that every watcher tells the same of
-    it.  Both numbers are revisions of the store at which the head was
-    written: they rise with the table's version.
+    The head row is included.  A removed row has an empty value and the
+    revision that removed it, so that all watchers report it alike.  Both
+    numbers are store revisions at which the head was written; they rise
+    with the table's version.
     """
 
     base: int
--- a/src/citronvalve/table/document.py
+++ b/src/citronvalve/table/document.py
@@ -1,4 +1,4 @@
-"""Reads a declaration from JSON with comments."""
+"""Parses declarations written in JSON with comments."""
 
 import difflib
 import json
@@ -13,10 +13,10 @@
 
 
 class Document(NamedTuple):
-    """What a file declares.
+    """Contents of a declaration file.
 
-    Sections that the file does not name are left as they are in the table;
-    a section that it names is declared as a whole.
+    Sections that are not in the file keep their rows in the table; a section
+    that is in the file replaces all its rows.
     """
 
     sections: frozenset[str]
@@ -25,10 +25,10 @@
 
 
 def parse(text: str, where: str) -> Document:
-    """Read a declaration.
+    """Parse a declaration.
 
     :param text: JSON with comments.
-    :param where: the file's name, for mistakes.
+    :param where: the file's name, reported in mistakes.
     """
     try:
         content = _decode(text)
@@ -45,9 +45,8 @@
 
 
 def _decode(text: str) -> Any:
-    # The reader of JSON with comments is written in Python and takes
-    # minutes for a table of the target's size; files that a program wrote
-    # seldom hold comments.
+    # json5 is written in Python and takes minutes for a table of the
+    # target's size; generated files seldom have comments.
     try:
         return json.loads(text, object_pairs_hook=_reject_duplicates)
     except json.JSONDecodeError:
@@ -55,7 +54,7 @@
 
 
 def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # The last of two rows of one name would win in silence.
+    # By default the last of two rows with one name would silently win.
     found: dict[str, Any] = {}
     for name, value in pairs:
         if name in found:
@@ -65,17 +64,17 @@
 
 
 def unreadable(where: str, why: str) -> Document:
-    """Return the document of a file that can't be read.
+    """Return the document for a file that can't be parsed.
 
     :param where: the file's name.
-    :param why: what is wrong with it.
+    :param why: the parse error.
     """
     wrong = mistake.Mistake(where, "", "", why, "mend the file's syntax")
     return Document(frozenset(), {}, (wrong,))
 
 
 class _Parser:
-    """Collects rows and mistakes of one file."""
+    """Collects the rows and mistakes of one file."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, dict[str, Any]] = {}
--- a/src/citronvalve/table/edit.py
+++ b/src/citronvalve/table/edit.py
@@ -1,4 +1,4 @@
-"""Edits of the table, and what may come of them."""
+"""Edits of the table and their possible outcomes."""
 
 from typing import Any
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Change(NamedTuple):
-    """One row before and after; None where there is no row."""
+    """One row before and after an edit; None where there is no row."""
 
     key: str
     before: dict[str, Any] | None
@@ -17,7 +17,7 @@
 
 
 class Author(NamedTuple):
-    """Who edits the table, and why."""
+    """The person who edits the table, and the reason."""
 
     who: str
     why: str
@@ -26,8 +26,8 @@
 class Entry(NamedTuple):
     """One entry of the audit trail.
 
-    ``at`` is the wall clock of the author's machine: the order of edits is
-    that of ``version``.
+    ``at`` is wall time in ms on the author's machine; edits are ordered by
+    ``version``, not by it.
     """
 
     version: int
@@ -39,7 +39,7 @@
 
 
 class Plan(NamedTuple):
-    """What an edit would change, on which version, and what is wrong."""
+    """The changes of an edit, their base version, and its mistakes."""
 
     base: int
     changes: tuple[Change, ...]
@@ -47,7 +47,7 @@
 
 
 class Accepted(NamedTuple):
-    """The edit is committed as this version, with an id of its own."""
+    """The edit is committed as ``version``; ``edit`` is its id."""
 
     version: int
     edit: str
@@ -55,13 +55,13 @@
 
 
 class Unchanged(NamedTuple):
-    """The table already says all this; nothing was written."""
+    """The table already has these values; nothing was written."""
 
     version: int
 
 
 class Refused(NamedTuple):
-    """The edit is wrong; nothing was written."""
+    """The edit is invalid; nothing was written."""
 
     mistakes: tuple[mistake.Mistake, ...]
 
@@ -69,8 +69,8 @@
 class Conflict(NamedTuple):
     """The table is no longer at the expected version; nothing was written.
 
-    ``winners`` are the edits since, oldest first; ``lost`` says why they
-    could not be read, when so.
+    ``winners`` are the edits since, oldest first.  ``unread_reason`` says
+    why they could not be read; it is empty when they were.
     """
 
     expected: int
@@ -80,7 +80,7 @@
 
 
 class Unknown(NamedTuple):
-    """The edit may or may not be committed; its id settles it later."""
+    """It is unknown whether the edit is committed; its id tells later."""
 
     edit: str
     base: int
--- a/src/citronvalve/table/editor.py
+++ b/src/citronvalve/table/editor.py
@@ -1,4 +1,4 @@
-"""Carries out edits on the platform, and settles lost answers."""
+"""Commits edits to the platform, and resolves lost responses."""
 
 from collections.abc import Callable
 import random
@@ -17,19 +17,18 @@
 from citronvalve.table import rowedits
 from citronvalve.table import state
 
-#: Tries of one edit whose answer was lost, the first among them.
+#: Commits of one edit whose response was lost, including the first.
 MAX_COMMIT_ATTEMPTS = 4
 
-#: Edits shown to an operator who was outrun; the rest is in the history.
+#: Edits shown to an operator after a conflict; the audit trail has the rest.
 MAX_WINNERS = 20
 
-
 #: Edits that a revert may undo; each costs a read of its audit entry.
 MAX_REVERTED_EDITS = 500
 
 
 class _PreparedEdit(NamedTuple):
-    """One edit on its way: what is sent, and how to know it again."""
+    """An edit ready to commit; ``id`` identifies it in the audit trail."""
 
     id: str
     base: int
@@ -41,10 +40,10 @@
     """Plans and applies edits for one operator.
 
     :param service: the platform's table service.
-    :param now: clock for the time in audit entries.
-    :param chance: makes the ids of edits.
-    :param pause: called with the number of the try before an edit with a
-        lost answer is settled once more.
+    :param time_source: clock for the time in audit entries.
+    :param rng: source of the ids of edits.
+    :param pause: called before each retry of a commit whose response was
+        lost, with the number of the retry from 1.
     """
 
     def __init__(
@@ -52,7 +51,7 @@
         service: tableservice.TableService,
         time_source: clock.Clock,
         rng: random.Random,
-        pause: Callable[[int], None] = lambda tried: None,
+        pause: Callable[[int], None] = lambda attempt: None,
     ) -> None:
         self._service = service
         self._clock = time_source
@@ -62,9 +61,9 @@
     def plan(
         self, operation: planning.Operation
     ) -> edit.Plan | missing.Unavailable:
-        """Tell what an edit would change; nothing is written.
+        """Return what an edit would change; nothing is written.
 
-        :param wanted: the edit.
+        :param operation: the edit.
         """
         stored = reader.read_state(self._service)
         if missing.is_missing(stored):
@@ -77,12 +76,12 @@
         author: edit.Author,
         expected: int | None = None,
     ) -> edit.Outcome:
-        """Check and commit an edit as one transaction.
+        """Validate an edit and commit it as one transaction.
 
-        :param wanted: the edit.
+        :param operation: the edit.
         :param author: who edits, and why.
-        :param expected: the version that the author looked at; None takes
-            the present one.
+        :param expected: the version that the edit is based on; None for
+            the current one.
         """
         stored = reader.read_state(self._service)
         if missing.is_missing(stored):
@@ -94,9 +93,9 @@
     def revert(
         self, version: int, author: edit.Author, expected: int | None = None
     ) -> edit.Outcome:
-        """Make the table say what it said at an earlier version.
+        """Restore the rows of an earlier version.
 
-        It is a new edit with a new version: versions never fall.
+        The revert is a new edit with a new version: versions never fall.
 
         :param version: the earlier version.
         :param author: who edits, and why.
@@ -160,10 +159,11 @@
         )
 
     def _commit(self, prepared: _PreparedEdit) -> edit.Outcome:
-        # An answer can be lost after the write took effect, and the write
-        # may even take effect after a look that did not find it.  Sending
+        # A response can be lost after the write took effect, and the write
+        # may even take effect after a read that did not find it.  Sending
         # the same transaction again is safe and final: its condition holds
-        # for one of the two at most, and the audit entry tells whose it is.
+        # for at most one of the two, and the audit entry tells which edit
+        # created the version.
         lost_reason = ""
         for attempt in range(MAX_COMMIT_ATTEMPTS):
             if attempt:
@@ -190,7 +190,7 @@
     def _resolve_conflict(
         self, prepared: _PreparedEdit, version: int
     ) -> edit.Outcome:
-        """Tell whose edit made the version that this one wanted to make."""
+        """Determine from the audit entry which edit created the version."""
         entry = audit.read(self._service, prepared.base + 1)
         if missing.is_missing(entry):
             return missing.Unavailable(entry.reason, entry.where)
@@ -215,9 +215,9 @@
         "who": entry.who,
         "at": entry.at,
     }
-    # A removed row stays with an empty value: its revision then is the same
-    # for all who read it, and a copy that lags can tell it from a row that
-    # it has not seen.
+    # A removed row stays with an empty value: all readers then see the same
+    # revision for it, and a lagging copy can tell it from a row that it has
+    # not read yet.
     changed = (
         rows.Write(layout.TABLE, change.key, change.after or {})
         for change in entry.changes
--- a/src/citronvalve/table/follower.py
+++ b/src/citronvalve/table/follower.py
@@ -1,4 +1,4 @@
-"""Keeps the typed table in step with the stored rows that arrive."""
+"""Updates the typed table from deltas of stored rows."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -15,40 +15,40 @@
 
 
 class Follower:
-    """Builds each new version from the last one and the changed rows.
+    """Builds each version from the previous one and the changed rows.
 
-    Load: 40,000 edits a day against a table of 12,000 rows.  Checking all
-    rows for each would cost more than a daemon may spend on control.
+    With 40,000 edits a day of a table of 12,000 rows, checking all rows for
+    each edit would exceed a daemon's CPU budget for control work.
 
-    :param invariants: where promises are asserted.
-    :ivar table: the last good version, or why there is none.
-    :ivar revision: of the rows taken in; rows after it are wanted.
-    :ivar refused: why rows that were taken in are not in force.
+    :param invariants: asserts that the version rises.
+    :ivar table: the last valid version, or why there is none.
+    :ivar revision: of the rows received; the next delta starts from it.
+    :ivar mistakes: why received rows are not in force.
     """
 
     def __init__(self, invariants: invariant.Invariants) -> None:
         self._invariants = invariants
         self.table: declared.Declared | missing.NotFound = missing.NotFound(
-            "no table yet, from the platform or a peer", layout.TABLE
+            "no table received yet from the platform or a peer", layout.TABLE
         )
         self.revision = rows.NO_ROW
         self.mistakes: tuple[mistake.Mistake, ...] = ()
         self._pending: dict[str, rows.Row] = {}
-        # Set while the pending rows are the whole table, not changes to it.
+        # True while the pending rows are the whole table, not changes to it.
         self._pending_is_full = False
 
     def apply_delta(
         self, delta: deltas.Delta
     ) -> declared.Declared | missing.Stale | None:
-        """Take in a delta; return the table when its version rose.
+        """Apply a delta; return the table if its version rose.
 
-        Rows that can't be used leave the last good version in force, since
-        half of an edit is worse than none; they are kept until later ones
-        mend them.
+        An edit comes into force completely or not at all: when a row is
+        invalid, the last valid version stays in force and all rows are kept
+        until later ones correct it.
 
         :param delta: from a watcher or a peer.
-        :return: None when nothing came into force, and a missing value when
-            rows between this and the delta's base were never seen.
+        :return: None when nothing came into force, a missing value when
+            rows up to the delta's base were not received.
         """
         if delta.revision <= self.revision:
             return None
@@ -65,9 +65,9 @@
         return self._build()
 
     def replace_all(self, full: deltas.Delta) -> declared.Declared | None:
-        """Build the table from all rows; return it if it can be used.
+        """Build the table from all rows; return it if it is valid.
 
-        :param whole: of this revision or a later one, with every row.
+        :param full: every row, at the current revision or a later one.
         """
         self._pending = {row.key: row for row in full.rows}
         self._pending_is_full = True
--- a/src/citronvalve/table/kinds.py
+++ b/src/citronvalve/table/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of rows, and the columns of each."""
+"""The kinds of rows and their columns."""
 
 import re
 import typing
@@ -11,11 +11,11 @@
 from citronvalve.table import layout
 
 
-#: A name goes into keys, URLs, metric labels and logs; the separator of
-#: keys and blanks would make two rows look like one.
+#: Names are used in keys, URLs, metric labels and logs.  With the separator
+#: of keys or with blanks, two rows could not be told apart.
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,62}")
 
-#: A text column above this would fill the store with one row.
+#: Characters in a text column; without a limit one row could fill the store.
 MAX_TEXT_LENGTH = 512
 
 #: Entries of a column that holds a list.
@@ -23,7 +23,7 @@
 
 
 class Column(NamedTuple):
-    """One column; ``required`` when it has no default."""
+    """One column; ``required`` if it has no default."""
 
     name: str
     type: Any
@@ -33,10 +33,10 @@
 
 
 class Kind(NamedTuple):
-    """One kind of row: its section in a declaration, and its record.
+    """One kind of row: its section in a declaration and its record type.
 
-    ``field`` is the field of ``Declared`` that holds the rows by name; the
-    one row of switches has a field of its own.
+    ``field`` is the field of ``Declared`` that holds the rows by name, or
+    the single row of switches.  ``struct`` validates a complete row.
     """
 
     section: str
@@ -57,7 +57,7 @@
         )
 
 
-#: The name of the one row of switches.
+#: The names in the key of the single row of switches.
 SWITCHES_NAMES = ("all",)
 
 
@@ -85,10 +85,10 @@
 
 
 def _struct_field(column: Column, key_columns: tuple[str, ...]) -> tuple:
-    """Return a field that takes only what a check of the column takes.
+    """Return a struct field that accepts the same values as the column.
 
-    It rejects without telling all; whoever fails is checked column by
-    column.
+    A struct stops at the first invalid value; a row that it rejects is
+    checked column by column to report all mistakes.
     """
     meta = msgspec.Meta()
     if column.bound:
--- a/src/citronvalve/table/layout.py
+++ b/src/citronvalve/table/layout.py
@@ -1,19 +1,19 @@
-"""Where the operators' table lies in the platform's table service.
+"""Tables and keys of the operators' table in the platform's table service.
 
-The head row lies among the rows, so that one scan gives both at one
-revision: read apart, an edit could land between the two.
+The head row is in the same table as the other rows, so that one scan reads
+both at one revision; between two reads an edit could be committed.
 """
 
-#: Table of the platform's service that holds the head and all rows.
+#: Table that holds the head and all rows.
 TABLE = "table"
 
-#: Table that holds the audit entries, one key a version.
+#: Table that holds the audit entries by version.
 AUDIT = "audit"
 
-#: Key of the row that holds the version and the id of the last edit.
+#: Key of the row with the version and the id of the last edit.
 HEAD = "head"
 
-#: Separates the section, the name and, in limits, the names of a key.
+#: Separates the section and the names in a key; limits have several names.
 SEPARATOR = "/"
 
 
@@ -21,7 +21,7 @@
     """Return the key of a row.
 
     :param section: one of the sections of a declaration.
-    :param names: its name, or the names that identify it.
+    :param names: the name or names that identify the row.
     """
     return SEPARATOR.join((section, *names))
 
@@ -29,7 +29,7 @@
 def audit_key(version: int, part: int = 0) -> str:
     """Return the key of an audit entry; it sorts by version.
 
-    :param version: the version that the edit made.
-    :param part: 0 for the entry; 1 and on for what did not fit into it.
+    :param version: the version that the edit created.
+    :param part: 0 for the entry, from 1 for further parts of its changes.
     """
     return f"{version:010d}" + (f".{part:04d}" if part else "")
--- a/src/citronvalve/table/mistake.py
+++ b/src/citronvalve/table/mistake.py
@@ -1,4 +1,4 @@
-"""One thing that is wrong with a declaration."""
+"""Mistakes in declarations."""
 
 from typing import Any
 from typing import NamedTuple
@@ -7,9 +7,9 @@
 
 
 class Mistake(NamedTuple):
-    """Where it is, the value seen, why it is wrong, and the remedy.
+    """An invalid value: its place, the reason and the remedy.
 
-    ``needs`` is the key of the row that a reference does not find.
+    ``needs`` is the key of the missing row that a reference names.
     """
 
     row: str
@@ -25,7 +25,7 @@
 
 
 class MistakesError(errors.TableError):
-    """A table that can't be used, with everything that is wrong.
+    """The table is invalid; lists all its mistakes.
 
     :param mistakes: at least one.
     """
--- a/src/citronvalve/table/planning.py
+++ b/src/citronvalve/table/planning.py
@@ -1,4 +1,4 @@
-"""Works out what an edit changes; pure."""
+"""Computes the changes of an edit, without I/O."""
 
 import collections
 from collections.abc import Callable
@@ -14,31 +14,31 @@
 from citronvalve.table import mistake
 from citronvalve.table import state
 
-#: Rows that one edit may change.  It is one transaction, and its audit
-#: entry holds every row before and after: more would be several MB in one
-#: call, which a slow store answers past the timeout.
+#: Rows that one edit may change.  An edit is one transaction, and its audit
+#: entry has every row before and after: more rows would be several MB in one
+#: call, which times out on a slow store.
 MAX_CHANGES = 2_000
 
-#: Share of a section that a file may remove unless told that it may.
+#: Share of a section that a file may remove without explicit permission.
 MAX_REMOVED_SHARE = 0.5
 
-#: Rows below which that share says nothing.
+#: Number of removed rows from which the share is checked.
 MIN_CHECKED_REMOVALS = 3
 
 Values = dict[str, dict[str, Any]]
 
-#: What an edit does to the values that are stored; it may raise
-#: :exc:`mistake.MistakesError`.
+#: Returns the values of the table after an edit, given the stored values.
+#: May raise :exc:`mistake.MistakesError`.
 Operation = Callable[[Values], Values]
 
 
 def apply_declaration(
     declaration: document.Document, allow_removals: bool = False
 ) -> Operation:
-    """Return the edit that makes the table say what a file declares.
+    """Return an operation that replaces the sections of a declaration.
 
-    :param declaration: without mistakes.
-    :param removals: whether most of a section may go.
+    :param declaration: a document without mistakes.
+    :param allow_removals: whether most rows of a section may be removed.
     """
 
     def operation(stored: Values) -> Values:
@@ -57,9 +57,9 @@
 
 
 def _check_removals(stored: Values, removed: list[str]) -> None:
-    # A file that was cut short or filled in wrongly declares an empty
-    # section as well as a full one, and within seconds no daemon anywhere
-    # would know an upstream or a team.
+    # A truncated or wrongly generated file may declare a section with hardly
+    # any rows.  Applied, it would remove the upstreams or teams from all
+    # daemons within seconds.
     total = collections.Counter(map(_section_of, stored))
     mistakes = [
         mistake.Mistake(
@@ -67,7 +67,7 @@
             "",
             count,
             f"it would lose {count} of its {total[section]} rows",
-            "look at the file, or apply it with --allow-removals",
+            "check the file, or apply it with --allow-removals",
         )
         for section, count in collections.Counter(
             map(_section_of, removed)
@@ -80,10 +80,10 @@
 
 
 def plan(stored: state.State, operation: Operation) -> edit.Plan:
-    """Check the table as it would be, and tell what would change.
+    """Validate the table after an edit, and return the changes.
 
-    :param stored: the table as it is.
-    :param wanted: the edit.
+    :param stored: the current table.
+    :param operation: the edit.
     """
     before = stored.value_by_key
     try:
@@ -111,7 +111,7 @@
 
 
 def _with_defaults(checked: builder.BuildResult, after: Values) -> Values:
-    # Defaults are stored as well: else a release with another default would
+    # Defaults are stored too; otherwise a release with another default would
     # change behaviour without an edit.
     complete: dict[str, Any] = {}
     for kind in kinds.KIND_BY_SECTION.values():
@@ -121,7 +121,7 @@
             complete.update((kind.key_of(row), row) for row in rows)
         elif kind.key_of({}) in after:
             complete[kind.key_of({})] = section_rows._asdict()
-    # As JSON gives it back, so that it compares with what is stored.
+    # The JSON round trip makes the values comparable with the stored ones.
     return msgspec.json.decode(msgspec.json.encode(complete))
 
 
--- a/src/citronvalve/table/poller.py
+++ b/src/citronvalve/table/poller.py
@@ -1,4 +1,4 @@
-"""Reads what changed in the platform's table, for one watcher."""
+"""Reads the platform's table for one watcher."""
 
 from citronvalve.model import clock
 from citronvalve.model import missing
@@ -9,11 +9,11 @@
 
 
 class Poller:
-    """Asks the platform when told to; its owner keeps the time.
+    """Scans the platform's table on request; the caller schedules it.
 
     :param service: the platform's table service.
-    :param watcher: decides what is new.
-    :param now: monotonic clock.
+    :param watcher: turns scans into deltas.
+    :param time_source: monotonic clock.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self.watcher = watcher
 
     def poll(self) -> deltas.Delta | missing.Missing | None:
-        """Look once; None when nothing changed."""
+        """Read the changes since the last poll; None if there are none."""
         requested_at = self._clock.now()
         scan = self._service.scan(layout.TABLE, self.watcher.revision)
         if missing.is_missing(scan):
@@ -36,7 +36,7 @@
         return self.watcher.apply_scan(scan, requested_at)
 
     def read_full(self) -> deltas.Delta | missing.Missing:
-        """Read the whole table, to compare what is held with it."""
+        """Read the whole table, to compare the local copy with it."""
         scan = self._service.scan(layout.TABLE)
         if missing.is_missing(scan):
             self.watcher.record_failure()
--- a/src/citronvalve/table/reader.py
+++ b/src/citronvalve/table/reader.py
@@ -15,7 +15,7 @@
     """Read the stored rows.
 
     :param service: the platform's table service.
-    :param seen: an earlier state; only what changed since is read.
+    :param previous: an earlier state; only later changes are read.
     """
     scan = service.scan(layout.TABLE, previous.revision)
     if missing.is_missing(scan):
@@ -26,10 +26,10 @@
 def read(
     service: tableservice.TableService,
 ) -> declared.Declared | missing.Unavailable:
-    """Read the table at its present version; version 0 when there is none.
+    """Read the current table; version 0 if there is none.
 
     :param service: the platform's table service.
-    :raises mistake.MistakesError: when the stored rows can't be used.
+    :raises mistake.MistakesError: if a stored row is invalid.
     """
     stored = read_state(service)
     if missing.is_missing(stored):
@@ -38,10 +38,10 @@
 
 
 def build_declared(stored: state.State) -> declared.Declared:
-    """Return the typed table of stored rows.
+    """Build the typed table from stored rows.
 
     :param stored: all rows.
-    :raises mistake.MistakesError: when the stored rows can't be used.
+    :raises mistake.MistakesError: if a stored row is invalid.
     """
     values = dict(builder.drop_unknown(stored.value_by_key.items()))
     found = builder.build_full(values, stored.version)
--- a/src/citronvalve/table/reconcileschedule.py
+++ b/src/citronvalve/table/reconcileschedule.py
@@ -1,28 +1,30 @@
-"""Decides when a daemon compares its table with the whole of the platform's.
+"""Schedules comparisons of a daemon's table with the platform's.
 
-A reading of what changed shows nothing of the rows below it: a row that is
-wrong here at the platform's own version would stay until somebody edits it.
+An incremental read returns only rows that changed since a revision.  A local
+row that is wrong at an older revision would persist until the next edit of
+it.
 """
 
 import random
 
 from citronvalve.model import clock
 
-#: Between two comparisons of a watcher, which reads the whole table for each.
+#: Interval between a watcher's comparisons; each is a full read.
 _INTERVAL: clock.Ms = 5 * clock.MINUTE
 
-#: Watchers that were started together do not read together.
+#: Share of the interval by which full reads are spread, so that watchers
+#: that start together do not read together.
 _JITTER = 0.2
 
-#: Between two comparisons at least: a peer that is wrong itself may differ
-#: for long.
+#: Minimum time between comparisons that a peer causes: a peer whose own
+#: table is wrong may differ for long.
 _MIN_INTERVAL: clock.Ms = clock.MINUTE
 
 
 class ReconcileSchedule:
-    """Watchers compare by time, the others when a peer holds other rows.
+    """Schedules watchers by time, other daemons when a peer differs.
 
-    :param chance: for jitter.
+    :param rng: source of the jitter.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -33,11 +35,11 @@
     def is_due(
         self, now: clock.Ms, is_watcher: bool, peer_differs: bool
     ) -> bool:
-        """Tell whether to compare at this moment.
+        """Return whether a comparison is due.
 
-        :param now: monotonic ms.
-        :param watches: whether this daemon reads the platform for others.
-        :param doubted: whether a peer holds other rows at the same version.
+        :param now: monotonic time in ms.
+        :param is_watcher: whether this daemon polls the platform.
+        :param peer_differs: whether a peer has other rows at this version.
         """
         if self._next_read_at is None:
             self._schedule_next(now)
@@ -47,9 +49,9 @@
         return is_watcher and now >= self._next_read_at
 
     def record_full_read(self, now: clock.Ms) -> None:
-        """Take in that the whole table was asked for.
+        """Record that a full read was started.
 
-        :param now: monotonic ms.
+        :param now: monotonic time in ms.
         """
         self._last_read_at = now
         self._schedule_next(now)
--- a/src/citronvalve/table/rowedits.py
+++ b/src/citronvalve/table/rowedits.py
@@ -1,4 +1,4 @@
-"""Edits of one row, and edits that undo others; pure."""
+"""Operations that edit one row or undo other edits, without I/O."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -13,18 +13,19 @@
 def set_columns(
     key: str, columns: dict[str, Any], new: bool = False
 ) -> planning.Operation:
-    """Return the edit that sets columns of one row.
+    """Return an operation that sets columns of one row.
 
     :param key: section and name, as in ``datacentres/sapporo``.
-    :param columns: those to set; the others stay.
-    :param new: whether the row must not be there yet.
+    :param columns: values by column; other columns keep theirs.
+    :param new: whether to add a row, which must not exist, or to change
+        one, which must.
     """
 
     def operation(stored: planning.Values) -> planning.Values:
         kind = _kind_of_key(key)
         names = key.split(layout.SEPARATOR)[1:]
         named = dict(zip(kind.key_columns, names, strict=False))
-        # The row of switches is there from the start, with its defaults.
+        # The row of switches always exists, initially with its defaults.
         if kind.key_columns and (key in stored) == new:
             _refuse(
                 key,
@@ -37,7 +38,7 @@
 
 
 def remove_row(key: str) -> planning.Operation:
-    """Return the edit that removes one row.
+    """Return an operation that removes one row.
 
     :param key: section and name.
     """
@@ -51,9 +52,9 @@
 
 
 def undo_edits(entries: Iterable[edit.Entry]) -> planning.Operation:
-    """Return the edit that undoes other edits.
+    """Return an operation that undoes other edits.
 
-    :param entries: the latest edits of the table, oldest first.
+    :param entries: the latest edits of the table, in any order.
     """
     latest_first = sorted(entries, reverse=True)
 
@@ -70,7 +71,7 @@
 def _undo_change(
     values: planning.Values, change: edit.Change, version: int
 ) -> None:
-    # Rows written around the tool would be lost without a trace.
+    # A row that was written without an audit entry would be lost.
     if values.get(change.key) != change.after:
         _refuse(
             change.key,
--- a/src/citronvalve/table/state.py
+++ b/src/citronvalve/table/state.py
@@ -1,4 +1,4 @@
-"""The stored rows of the table at one version, and how changes fold in."""
+"""The stored rows of the table at one version, and updates by scans."""
 
 from typing import Any
 from typing import NamedTuple
@@ -8,11 +8,11 @@
 
 
 class State(NamedTuple):
-    """Every stored row, with the head among them.
+    """All stored rows, including the head.
 
-    ``version`` is the table's own, which rises by one with each edit;
-    ``revision`` is the store's when the head was last written, and is what
-    the next scan and the next edit's condition start from.
+    ``version`` is the table's version, which rises by one with each edit.
+    ``revision`` is the store's revision of the head; the next scan starts
+    from it, and the next edit is conditional on it.
     """
 
     version: int
@@ -21,7 +21,7 @@
 
     @property
     def value_by_key(self) -> dict[str, dict[str, Any]]:
-        """Return the rows' columns, without the head and removed rows."""
+        """Return the columns of each row, without head and removed rows."""
         return {
             key: row.value
             for key, row in self.row_by_key.items()
@@ -34,9 +34,9 @@
 
 
 def fold(state: State, scan: rows.Scan) -> State:
-    """Return the state after a scan of what changed.
+    """Return the state updated by a scan.
 
-    :param state: what was seen so far.
+    :param state: the state before the scan.
     :param scan: of :data:`layout.TABLE` after ``state.revision``.
     """
     if not scan.rows:
--- a/src/citronvalve/table/watcher.py
+++ b/src/citronvalve/table/watcher.py
@@ -1,4 +1,4 @@
-"""Decides when to look at the platform's table, and what is new in it."""
+"""Schedules polls of the platform's table, and turns scans into deltas."""
 
 import random
 from typing import NamedTuple
@@ -12,16 +12,15 @@
 
 
 class PollTiming(NamedTuple):
-    """How often to look.
-
-    ``period``: ms between looks.  Two watchers in each of 31 data centres
-    make 177 reads a second of the 2,000 that the platform serves, and the
-    way from them to all daemons keeps half a second of the one that an edit
-    may take.
-    ``jitter``: share by which a wait is shortened or lengthened, so that
-    watchers that were started together do not read together.
-    ``longest``: ms between looks in an outage; an edit made right after it
-    has then still half of its 9 s for the way to all daemons.
+    """Intervals between polls.
+
+    ``period``: ms between polls.  Two watchers in each of 31 data centres
+    make 177 of the 2,000 reads a second that the platform serves.  An edit
+    may take 1 s to reach all daemons; half of it is left after the poll.
+    ``jitter``: share by which a delay is shortened or lengthened, so that
+    watchers that start together do not read together.
+    ``max_period``: ms between polls during an outage.  An edit right after
+    the outage has half of its 9 s left to reach all daemons.
     """
 
     period: clock.Ms = 350
@@ -30,16 +29,16 @@
 
 
 class Watcher:
-    """Turns reads of the table into deltas; pure.
+    """Turns scans of the table into deltas, without I/O.
 
-    It never tells of a revision at or below one that it has seen: a read
-    may come from a replica that lags, or from a store that was put back.
+    Deltas never go back to an earlier revision: a scan may come from a
+    lagging replica, or from a store that was restored from a backup.
 
-    :param timing: how often to look.
-    :param chance: for jitter.
-    :param invariants: where promises are asserted.
-    :ivar revision: the newest revision seen; the next scan starts from it.
-    :ivar failures: failed looks since the last good one.
+    :param timing: intervals between polls.
+    :param rng: source of the jitter.
+    :param invariants: asserts that the revision rises.
+    :ivar revision: the latest revision read; the next scan starts from it.
+    :ivar failures: failed polls since the last successful one.
     """
 
     def __init__(
@@ -56,46 +55,48 @@
         self.failures = 0
 
     def skip_to(self, revision: int) -> None:
-        """Go on from a copy that came from a peer.
+        """Continue from the revision of a copy received from a peer.
 
-        :param revision: of the copy; a lower one changes nothing.
+        :param revision: of the copy; a lower one has no effect.
         """
         self.revision = max(self.revision, revision)
 
     def poll_delay(self) -> clock.Ms:
-        """Return ms until the next look.
+        """Return the delay until the next poll.
 
-        Load: a store that comes back after an outage, with every watcher
-        waiting for it.  Waits double up to a limit and are spread out, or
-        the first second would bring down a store that is barely up.
+        The delay doubles with each failure up to a limit and has jitter.
+        Otherwise all watchers would poll a recovering store within its
+        first second and overload it.
         """
-        # More doublings than these pass any limit, and would overflow.
+        # 16 doublings exceed any limit; more would overflow.
         doubled = self._timing.period << min(self.failures, 16)
         span = min(doubled, self._timing.max_period)
         spread = self._rng.uniform(-1, 1) * self._timing.jitter
         return max(1, int(span * (1 + spread)))
 
     def age(self, now: clock.Ms) -> clock.Ms | missing.NotFound:
-        """Return ms since the last good look.
+        """Return the time since the last successful poll.
 
         :param now: monotonic time in ms.
         """
         if self._last_read_at is None:
-            return missing.NotFound("the table was never read", "platform")
+            return missing.NotFound(
+                "the table has not been read yet", "platform"
+            )
         return now - self._last_read_at
 
     def record_failure(self) -> None:
-        """Take in that a look failed; only the age tells, the table stays."""
+        """Record a failed poll; the table stays in force and its age grows."""
         self.failures += 1
 
     def apply_scan(
         self, scan: rows.Scan, requested_at: clock.Ms
     ) -> deltas.Delta | missing.Stale | None:
-        """Take in a scan after :attr:`revision`; None when nothing changed.
+        """Apply a scan after :attr:`revision`; None if nothing changed.
 
-        :param scan: as the platform gave it.
-        :param asked_at: monotonic ms before it was asked for: it is no
-            newer than that.
+        :param scan: as returned by the platform.
+        :param requested_at: monotonic time in ms before the request; the
+            table's age counts from it.
         """
         newer = tuple(r for r in scan.rows if r.version > self.revision)
         flaw = self._find_inconsistency(scan.revision, newer)
@@ -106,9 +107,9 @@
         return self._advance(newer) if newer else None
 
     def apply_full_scan(self, scan: rows.Scan) -> deltas.Delta | missing.Stale:
-        """Take in a scan of the whole table; the revision stays.
+        """Turn a scan of the whole table into a delta; the revision stays.
 
-        :param scan: as the platform gave it.
+        :param scan: as returned by the platform.
         """
         flaw = self._find_inconsistency(scan.revision, scan.rows)
         if flaw:
@@ -122,7 +123,7 @@
             return "an older revision than one already seen"
         head = [row for row in found if row.key == layout.HEAD]
         # Every edit writes the head: rows without it, or newer than it, are
-        # half of an edit.
+        # part of an incomplete edit.
         if found and not head:
             return "rows without the head"
         if head and head[0].version != _max_revision(found):
@@ -141,7 +142,7 @@
 
     def _reject(self, why: str) -> missing.Stale:
         self.failures += 1
-        return missing.Stale(f"the platform told {why}", layout.TABLE)
+        return missing.Stale(f"the platform returned {why}", layout.TABLE)
 
 
 def _max_revision(found: tuple[rows.Row, ...]) -> int:
