--- a/tests/inforce/comparing.feature
+++ b/tests/inforce/comparing.feature
@@ -1,69 +1,70 @@
-Feature: A daemon's table is the platform's, however it came
-  Versions are compared by their number each time a daemon reads; rows that
-  differ at the same number would stay until somebody edits them.
+Feature: A daemon's table is reconciled with the platform's
+  Incremental reads compare only version numbers; rows that differ at the
+  same version would persist until the next edit of them.
 
   Background:
     Given the example declaration is in the platform's table
 
   Scenario Outline: <what> is held at the platform's version
-    Guards against a wrong row that no reading and no edit of others ends.
+    Guards against a wrong row that neither reads nor edits of other rows
+    correct.
 
-    Given a watcher that took the table from a peer, with <what>
+    Given a watcher that received the table from a peer, with <what>
     Then within <span> s its table in force is the platform's
     And the log names the rows that differed
 
     Examples:
       | what                                  | span |
       | a data centre that is out by its copy | 360  |
-      | a row that the platform has not       | 360  |
+      | a row that the platform does not have | 360  |
       | a row missing                         | 360  |
 
   Scenario: a peer holds other rows at the same version
-    Guards against a wrong row of a daemon that is no watcher: its peers tell
-    other digests, and nobody looks at the rows.
+    Guards against a wrong row of a daemon that is not a watcher: its peers
+    send other digests, and the rows are not compared.
 
-    Given a daemon that took the table from a peer, with a row missing
-    When it hears a peer with the platform's table
+    Given a daemon that received the table from a peer, with a row missing
+    When a peer with the platform's table sends gossip
     Then within 10 s its table in force is the platform's
 
-  Scenario: a wrong row outlives an edit of another
-    Guards against a delta that hides what differs below it.
+  Scenario: a wrong row persists after an edit of another row
+    Guards against a delta that hides a difference at older revisions.
 
-    Given a daemon that took the table from a peer, with a row missing
-    When sapporo is taken out, and the daemon reads that
-    And it hears a peer with the platform's table
+    Given a daemon that received the table from a peer, with a row missing
+    When sapporo is taken out, and the daemon reads the edit
+    And a peer with the platform's table sends gossip
     Then within 10 s its table in force is the platform's
 
   Scenario: the platform is down while peers differ
-    Guards against giving up the comparison at the first failure.
+    Guards against abandoning the comparison after the first failed read.
 
-    Given a daemon that took the table from a peer, with a row missing
-    When it hears a peer with the platform's table
-    And the platform does not answer for 30 s
+    Given a daemon that received the table from a peer, with a row missing
+    When a peer with the platform's table sends gossip
+    And the platform does not respond for 30 s
     Then within 120 s its table in force is the platform's
 
-  Scenario: a removed row is no difference
-    Guards against replacing a table that is right: copies keep a removed row
-    as an empty one.
+  Scenario: a removed row is not a difference
+    Guards against replacing a correct table: copies keep a removed row as an
+    empty one.
 
-    Given a watcher that took the table from a peer
-    When a team is removed, and the daemon reads that
+    Given a watcher that received the table from a peer
+    When a team is removed, and the daemon reads the edit
     Then it has compared its table within 360 s and found no difference
 
-  Scenario: peers that differ for long do not make the platform's load
-    A daemon that is right can't mend one that is wrong. It reads the whole
-    table once a minute at most.
+  Scenario: peers that differ for long do not overload the platform
+    Guards against a full read on each gossip of a peer whose own table is
+    wrong.  The daemon makes at most one full read a minute.
 
-    Given a daemon that took the table from a peer
-    When it hears a peer with another table for 300 s
+    Given a daemon that received the table from a peer
+    When a peer with another table sends gossip for 300 s
     Then it has read the whole table at most 6 times
     And its table in force is the platform's
 
   Scenario: an old whole reading arrives
-    Guards against a reading from a replica that lags in place of a newer
-    table.
+    Guards against replacing a newer table by a full read from a lagging
+    replica.
 
-    Given a daemon that took the table from a peer
-    When sapporo is taken out, and the daemon reads that
-    And it compares its table with the platform's of before
+    Given a daemon that received the table from a peer
+    When sapporo is taken out, and the daemon reads the edit
+    And it reconciles its table with the platform's earlier one
     Then its table in force is the platform's
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -42,14 +42,14 @@
 
 _PEER = envelope.Sender("d-2", "hakodate", 1, "tcp://127.0.0.1:5")
 
-#: Time of one round of the daemon's tasks in ms.
+#: Interval of the daemon's tasks.
 _STEP_INTERVAL: clock.Ms = 250
 
 _ROW_KEY = f"{layout.key('datacentres', 'hakodate')}"
 
 
 class _CountingStore(memorytable.MemoryTable):
-    """Counts the times that it was read whole."""
+    """Counts full reads."""
 
     full_reads = 0
 
@@ -59,7 +59,7 @@
 
 
 class _Daemon:
-    """The tasks that bring tables into force, driven by hand."""
+    """The tasks that bring tables into force, stepped by the test."""
 
     def __init__(self, store, is_watcher):
         self.store = store
@@ -82,9 +82,9 @@
         self.repeated_gossip: gossip.Gossip | None = None
 
     def run(self, span):
-        """Let time pass.
+        """Run the tasks while the clock advances.
 
-        :param span: ms.
+        :param span: duration in ms.
         """
         with self.log.applicationbound():
             for _ in range(0, span, _STEP_INTERVAL):
@@ -94,7 +94,7 @@
                 self._task.step()
 
     def receive(self, message):
-        """Take in what a peer tells."""
+        """Handle a message of a peer."""
         self.peering.peer.core.handle(codec.ReceivedMessage(_PEER, message))
 
 
@@ -107,7 +107,7 @@
 
 
 def _stored(store):
-    # Not counted as a reading of the daemon's.
+    # Bypasses the counter: this is not a read by the daemon.
     return memorytable.MemoryTable.scan(store, layout.TABLE).rows
 
 
@@ -139,7 +139,7 @@
 _CORRUPTION_BY_NAME = {
     "": lambda held: None,
     "a data centre that is out by its copy": _set_out_of_service,
-    "a row that the platform has not": _add_row,
+    "a row that the platform does not have": _add_row,
     "a row missing": _remove_row,
 }
 
@@ -157,22 +157,22 @@
     assert _matches_platform(context) == (not corruption)
 
 
-@behave.given("a watcher that took the table from a peer, with {what}")
+@behave.given("a watcher that received the table from a peer, with {what}")
 def step_watcher(context, what):
     _start_daemon(context, what, is_watcher=True)
 
 
-@behave.given("a watcher that took the table from a peer")
+@behave.given("a watcher that received the table from a peer")
 def step_right_watcher(context):
     _start_daemon(context, "", is_watcher=True)
 
 
-@behave.given("a daemon that took the table from a peer, with {what}")
+@behave.given("a daemon that received the table from a peer, with {what}")
 def step_daemon_with(context, what):
     _start_daemon(context, what, is_watcher=False)
 
 
-@behave.given("a daemon that took the table from a peer")
+@behave.given("a daemon that received the table from a peer")
 def step_daemon(context):
     _start_daemon(context, "", is_watcher=False)
 
@@ -193,19 +193,19 @@
     return gossip.Gossip(0, copy.version, copy.digest, table_age=100)
 
 
-@behave.when("it hears a peer with the platform's table")
+@behave.when("a peer with the platform's table sends gossip")
 def step_hears(context):
     context.daemon.repeated_gossip = _make_gossip(context, list)
 
 
-@behave.when("the platform does not answer for {seconds:d} s")
+@behave.when("the platform does not respond for {seconds:d} s")
 def step_down(context, seconds):
     context.store.faults.order(faults.Fault.DOWN)
     context.daemon.run(seconds * clock.SECOND)
     context.store.faults.order(faults.Fault.DOWN, 0)
 
 
-@behave.when("it hears a peer with another table for {seconds:d} s")
+@behave.when("a peer with another table sends gossip for {seconds:d} s")
 def step_hears_another(context, seconds):
     context.daemon.repeated_gossip = _make_gossip(
         context, lambda held: held[1:]
@@ -213,7 +213,7 @@
     context.daemon.run(seconds * clock.SECOND)
 
 
-@behave.when("sapporo is taken out, and the daemon reads that")
+@behave.when("sapporo is taken out, and the daemon reads the edit")
 def step_out(context):
     context.before = _stored(context.store)
     key = layout.key("datacentres", "sapporo")
@@ -222,7 +222,7 @@
     assert context.daemon.view.version == 2
 
 
-@behave.when("a team is removed, and the daemon reads that")
+@behave.when("a team is removed, and the daemon reads the edit")
 def step_removed(context):
     def wanted(stored):
         left = rowedits.remove_row("teams/ledger")(stored)
@@ -238,7 +238,7 @@
 )
 def step_no_difference(context, seconds):
     context.daemon.run(seconds * clock.SECOND)
-    assert context.store.full_reads, "it never compared"
+    assert context.store.full_reads, "it made no full read"
     assert _matches_platform(context)
     assert not _warned(context), context.daemon.log.formatted_records
 
@@ -247,7 +247,7 @@
     return context.daemon.log.has_warning("table differed from the platform's")
 
 
-@behave.when("it compares its table with the platform's of before")
+@behave.when("it reconciles its table with the platform's earlier one")
 def step_before(context):
     held = _packed(context.before)
     version = max(row.version for row in held)
--- a/tests/inforce/steps/inforce_steps.py
+++ b/tests/inforce/steps/inforce_steps.py
@@ -1,4 +1,4 @@
-"""Steps that edit the table under real daemons."""
+"""Steps that edit the table while real daemons run."""
 
 import signal
 import subprocess
@@ -49,7 +49,7 @@
     context.version = _status(context, "daemon-0")["table_version"]
 
 
-@behave.given("the platform does not answer")
+@behave.given("the platform does not respond")
 def step_no_answer(context):
     context.made = drill.open_in(context, _DATACENTRES)
     context.gone = set()
@@ -119,7 +119,7 @@
 
 
 @behave.then("it is in force on all within {most:d} ms")
-@behave.then("it is in force on all that live within {most:d} ms")
+@behave.then("it is in force on all live daemons within {most:d} ms")
 @behave.then("it is in force on the others within {most:d} ms")
 def step_in_force(context, most):
     _in_force_within(context, most)
@@ -140,7 +140,7 @@
     return _run_tool(context, "status", *_operators(context), *options)
 
 
-@behave.then("the status exits 0 and names nobody")
+@behave.then("the status exits 0 and names no daemon")
 def step_status(context):
     done = _run_status(context, "--wait", "5")
     assert done.returncode == 0, done.stdout
@@ -156,13 +156,13 @@
     context.killed_at = time.monotonic()
 
 
-@behave.then("the status names the dead one until it counts as dead")
+@behave.then("the status names the killed daemon until it is marked dead")
 def step_dead(context):
-    # Asked in this process: on a busy machine the tool alone may take longer
-    # to start than the dead member is listed.
+    # The status is read in this process: on a busy machine the tool may take
+    # longer to start than the dead member is listed.
     shown = status.status(*_operators(context), platform=_platform(context))
     if shown.code == exitcode.ExitCode.OK:
-        # Nobody is named only once the dead one has counted as dead.
+        # No daemon is named only after the killed one is marked dead.
         passed = (time.monotonic() - context.killed_at) * 1_000
         assert passed >= timing.Timing().dead_after, (passed, shown.text)
         for name, told in _statuses(context).items():
@@ -175,17 +175,17 @@
     assert done.returncode == 0, done.stdout
 
 
-@behave.when("each answer of the platform takes {delay:d} ms")
+@behave.when("each response of the platform takes {delay:d} ms")
 def step_slow(context, delay):
     _inject_fault(context, "slow", -1, delay)
 
 
-@behave.when("the platform stops answering")
+@behave.when("the platform stops responding")
 def step_stops(context):
     _inject_fault(context, "down", -1)
 
 
-@behave.when("the platform answers again")
+@behave.when("the platform responds again")
 def step_answers(context):
     _inject_fault(context, "down", 0)
 
@@ -208,17 +208,17 @@
         assert _ready(context, name)
 
 
-@behave.when("a daemon starts afresh")
+@behave.when("a new daemon starts")
 @behave.when("a lone daemon starts")
 def step_fresh(context):
     _fleet(context).start_daemon("fresh", "sapporo")
     _fleet(context).wait_up()
 
 
-@behave.then("it gets ready with the version of its peers")
+@behave.then("it becomes ready with the version of its peers")
 def step_gets_ready(context):
     drill.eventually(
-        lambda: _ready(context, "fresh"), "the fresh daemon is ready"
+        lambda: _ready(context, "fresh"), "the new daemon is ready"
     )
     assert _status(context, "fresh")["table_version"] == context.version
 
@@ -231,11 +231,11 @@
         time.sleep(0.05)
 
 
-@behave.then("it gets ready once a table is applied")
+@behave.then("it becomes ready once a table is applied")
 def step_once(context):
     assert context.made.apply("first") == 1
     drill.eventually(
-        lambda: _ready(context, "fresh"), "the fresh daemon is ready"
+        lambda: _ready(context, "fresh"), "the new daemon is ready"
     )
 
 
@@ -247,7 +247,7 @@
     context.gone.add(context.paused)
 
 
-@behave.then("the status names the paused one")
+@behave.then("the status names the paused daemon")
 def step_names(context):
     drill.eventually(
         lambda: context.paused in _run_status(context).stdout,
@@ -255,7 +255,7 @@
     )
 
 
-@behave.when("the paused daemon goes on")
+@behave.when("the paused daemon resumes")
 def step_goes_on(context):
     process = _fleet(context).process_by_name[context.paused]
     process.send(signal.SIGCONT)
--- a/tests/inforce/steps/view_steps.py
+++ b/tests/inforce/steps/view_steps.py
@@ -14,19 +14,21 @@
     context.view = view.View(manualclock.ManualClock(), context.checks)
 
 
-@behave.when("it is told of versions {told}")
-def step_told(context, told):
-    context.seen = []
-    for version in map(int, told.split(", ")):
+@behave.when("it receives versions {received}")
+def step_receives(context, received):
+    context.in_force = []
+    for version in map(int, received.split(", ")):
         context.view.update_table(builder.EMPTY._replace(version=version))
-        context.seen.append(context.view.version)
+        context.in_force.append(context.view.version)
 
 
-@behave.then("the versions in force were {seen}")
-def step_seen(context, seen):
-    assert context.seen == list(map(int, seen.split(", "))), context.seen
+@behave.then("the versions in force were {in_force}")
+def step_in_force(context, in_force):
+    assert context.in_force == list(map(int, in_force.split(", "))), (
+        context.in_force
+    )
 
 
-@behave.then("the promise was looked at {looks:d} times")
-def step_looks(context, looks):
-    assert sum(context.checks.count_by_name.values()) == looks
+@behave.then("the invariant was checked {checks:d} times")
+def step_checks(context, checks):
+    assert sum(context.checks.count_by_name.values()) == checks
--- a/tests/table/edits.feature
+++ b/tests/table/edits.feature
@@ -1,46 +1,46 @@
-Feature: Edits take effect once, or not at all, and leave their trace
+Feature: Edits take effect at most once and are audited
   Versions only rise, and each has exactly one audit entry.
 
   Background:
     Given the example declaration is in the table
 
-  Scenario: the same declaration again changes nothing
+  Scenario: applying the same declaration again changes nothing
     When ann applies the example declaration
     Then the edit is Unchanged
     And the table is at version 1
 
-  Scenario: the audit entry says who, why, and each row before and after
+  Scenario: the audit entry has the author, the reason and the changes
     When ann sets datacentres/sapporo state to "out" because "power work"
     Then the entry of version 2 is by ann because "power work"
     And it shows datacentres/sapporo state from "in" to "out"
 
-  Scenario: racing operators
-    Two operators plan on version 1.  Bob's edit comes in after ann's tool
-    read the table, before it commits.  She must learn who changed what,
-    since her plan did not know of it; her edit must not undo his.
+  Scenario: two operators edit concurrently
+    Bob's edit is committed after ann's tool has read version 1 and before it
+    commits.  Her edit must not undo his, and she must learn who changed
+    what.
 
-    Given bob gets in between with datacentres/sapporo state "out"
+    Given bob commits before ann with datacentres/sapporo state "out"
     When ann sets teams/kaban weight to 5 because "busy week"
     Then the edit is Conflict
     And the winner is bob with datacentres/sapporo state from "in" to "out"
     And the table is at version 2
 
-  Scenario: an apply that was planned on an older version
+  Scenario: an edit that was planned on an older version is a conflict
     When bob sets datacentres/sapporo state to "out" because "power work"
     And ann applies the example declaration planned on version 1
     Then the edit is Conflict
     And the winner is bob with datacentres/sapporo state from "in" to "out"
 
-  Scenario Outline: the answer to an edit is lost
-    The store goes silent at the commit.  The tool can't tell whether the
-    edit took effect, and it may still do so after a look that did not find
-    it.  It sends the same transaction again: its condition lets only one of
-    the two take effect, and the audit entry tells whose it is.
+  Scenario Outline: the response to a commit is lost
+    Guards against edits that are lost or take effect twice.  Without a
+    response the edit may take effect at once, later or never.  The tool
+    sends the same transaction again: its condition lets only one of the two
+    take effect, and the audit entry identifies the edit.
 
-    Given the store does <fates> to the commits of ann
+    Given the commits of ann meet <fates>
     When ann sets teams/kaban weight to 5 because "busy week"
     Then the edit is <outcome>
-    And once late writes have landed the table is at version <version>
+    And after delayed writes the table is at version <version>
     And each version has one audit entry
 
     Examples:
@@ -66,12 +66,12 @@
       | 1    |
       | 2    |
 
-  Scenario: an operator who was outrun while reads are down still learns it
-    Given bob gets in between with datacentres/sapporo state "out"
-    And reads go down with the commit of ann
+  Scenario: a conflict is reported when the other edits can't be read
+    Given bob commits before ann with datacentres/sapporo state "out"
+    And reads fail from the commit of ann on
     When ann sets teams/kaban weight to 5 because "busy week"
     Then the edit is Conflict
-    And who won could not be read
+    And the conflict says why the other edits could not be read
 
   Scenario: a revert is a new edit
     When ann sets datacentres/sapporo state to "out" because "power work"
@@ -79,9 +79,9 @@
     And ann reverts to version 1
     Then the edit is Accepted
     And the table is at version 4
-    And the table says what it said at version 1
+    And the table has the rows of version 1
 
-  Scenario Outline: a revert to what is not there
+  Scenario Outline: a revert to a version that does not exist is refused
     When ann reverts to version <version>
     Then the edit is Refused
 
@@ -90,7 +90,7 @@
       | -1      |
       | 2       |
 
-  Scenario: a row that was written around the tool is not undone over
+  Scenario: a revert does not overwrite a row written without an audit entry
     When ann sets teams/kaban weight to 5 because "busy week"
     And somebody writes teams/kaban without an audit entry
     And ann reverts to version 1
@@ -100,14 +100,14 @@
     When ann sets teams/kaban weight to 5 because " "
     Then the edit is Refused
 
-  Scenario: a section that the file does not name stays
+  Scenario: a section that is not in the file keeps its rows
     When ann applies only the teams of the example without ledger's limits
     Then the edit is Accepted
     And upstreams/hakodate-1 is still there
 
-  Scenario Outline: a file that would empty a section
-    A template goes wrong and the file names a section with hardly a row.
-    Applied, it would leave no daemon anywhere with a team or an upstream.
+  Scenario Outline: a file that removes most rows of a section
+    Guards against a faulty template whose section has hardly any rows:
+    applied, it would remove the teams or upstreams from all daemons.
 
     When ann applies <count> of 8 teams <option>
     Then the edit is <outcome>
@@ -119,14 +119,14 @@
       | 0     | .                    | Refused  |
       | 0     | and allows removals  | Accepted |
 
-  Scenario: an edit larger than one transaction may be
+  Scenario: an edit that is too large for one transaction is refused
     When ann applies 2100 teams
     Then the edit is Refused
 
-  Scenario: a long audit entry is read back whole
+  Scenario: an audit entry in several parts is read back completely
     When ann applies 1500 teams
     Then the entry of version 2 holds every changed row
 
-  Scenario: operators race through a store that loses answers
+  Scenario: operators edit concurrently through a store that loses responses
     When the machine RacingOperators has run
-    Then each of its promises was looked at
+    Then each of its invariants was checked
--- a/tests/table/helpers.py
+++ b/tests/table/helpers.py
@@ -1,4 +1,4 @@
-"""Parts that the steps about the table share."""
+"""Helpers shared by the steps about the table."""
 
 import pathlib
 import random
@@ -24,14 +24,14 @@
 
 
 def connection(context):
-    """Return the way from ann to the store."""
+    """Return ann's connection to the store, which can inject faults."""
     if "connection" not in context:
         context.connection = hostiletable.HostileTable(context.store)
     return context.connection
 
 
 def apply(context, who, wanted, why="a reason", expected=None):
-    """Apply an edit, ann's by her own way to the store."""
+    """Apply an edit; ann's edits use her own connection to the store."""
     service = connection(context) if who == "ann" else context.store
     author = edit.Author(who, why)
     context.done = new_editor(service, who).apply(wanted, author, expected)
--- a/tests/table/machines.py
+++ b/tests/table/machines.py
@@ -1,4 +1,4 @@
-"""State machines about edits of the table and daemons that follow them."""
+"""State machines about edits of the table and daemons that poll it."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class RacingOperators(stateful.RuleBasedStateMachine):
-    """Operators edit at once through a store that loses answers."""
+    """Operators edit concurrently through a store that loses responses."""
 
     CHECKS = invariant.Invariants()
 
@@ -68,14 +68,14 @@
         fates=_FATES,
     )
     def sets(self, at, name, weight, fates):
-        """Set a weight while the store does what the fates say."""
+        """Set a weight while the store applies faults to the commits."""
         self.links[at].fates.extend(fates)
         self._set(at, name, weight)
         self.links[at].fates.clear()
 
     @stateful.rule(name=_NAMES, other=_NAMES, weight=_WEIGHTS, fates=_FATES)
     def races(self, name, other, weight, fates):
-        """Let another operator in between the read and the commit."""
+        """Commit another operator's edit between a read and its commit."""
         link = self.links[0]
         link.fates.extend(fates)
         link.before_commit = lambda: self._set(1, other, weight)
@@ -94,7 +94,7 @@
 
     @stateful.rule(back=strategies.integers(0, 4), fates=_FATES)
     def reverts(self, back, fates):
-        """Go back to what an earlier version said."""
+        """Revert to an earlier version."""
         author = self._author()
         version = reader.read_state(self.store).version
         self.links[1].fates.extend(fates)
@@ -104,23 +104,23 @@
 
     @stateful.rule(at=strategies.integers(0, 2))
     def lands(self, at):
-        """Let writes arrive that their senders gave up on."""
+        """Deliver delayed writes whose senders have timed out."""
         self.links[at].land()
 
     @stateful.rule()
     def asks(self):
-        """Send a read; its answer may come after those of later ones."""
+        """Send a scan; its response may arrive after those of later ones."""
         self.scans.append(self.store.scan(layout.TABLE, self.watcher.revision))
 
     @stateful.precondition(lambda self: self.scans)
     @stateful.rule(at=strategies.integers(0, 9))
     def answers(self, at):
-        """Give a daemon any answer, late or twice."""
+        """Deliver any response to a daemon, late or repeatedly."""
         self._answer(self.scans[at % len(self.scans)])
 
     @stateful.rule()
     def follows(self):
-        """Look, and get the answer at once."""
+        """Poll and deliver the response at once."""
         self._answer(self.store.scan(layout.TABLE, self.watcher.revision))
 
     def _answer(self, scan):
@@ -130,7 +130,7 @@
 
     @stateful.invariant()
     def each_accepted_edit_has_one_entry(self):
-        """No edit is lost, doubled, or done after it was said not to be."""
+        """No edit is lost, applied twice, or applied after its refusal."""
         version = reader.read_state(self.store).version
         entries = audit.read_range(self.store, 0, version)
         assert not missing.is_missing(entries), entries
@@ -145,7 +145,7 @@
 
     @stateful.invariant()
     def the_trail_leads_to_the_table(self):
-        """The entries, carried out one by one, give what is stored."""
+        """Applying the audit entries in order gives the stored rows."""
         values = {}
         for entry in self.entries:
             for change in entry.changes:
@@ -156,7 +156,7 @@
 
     @stateful.invariant()
     def a_daemon_in_step_holds_the_table(self):
-        """Whoever has seen the last revision has the whole table."""
+        """A daemon at the latest revision holds the complete table."""
         stored = reader.read_state(self.store)
         if stored.revision == self.follower.revision != rows.NO_ROW:
             assert self.follower.table == reader.read(self.store)
--- a/tests/table/rows.feature
+++ b/tests/table/rows.feature
@@ -1,9 +1,9 @@
-Feature: A declaration is checked as a whole before it is accepted
-  An operator who mends one mistake and is then told of the next loses time
-  that a data centre may not have, so all are told at once, each with its
-  place, the value seen, the reason and the remedy.
+Feature: A declaration is validated as a whole before it is accepted
+  Guards against reporting mistakes one after the other, which delays urgent
+  edits.  All mistakes are reported at once, each with its place, the value,
+  the reason and the remedy.
 
-  Scenario Outline: a wrong row is refused by name
+  Scenario Outline: an invalid value is reported with its row and column
     Given the example declaration
     When <row> gets <column> = <value>
     Then the only mistake is at <row>, <column>: "<why>", "<remedy>"
@@ -40,7 +40,7 @@
       | groups/sapporo-kantei        | model       | "x"              | models has no such row    | add models/x         |
       | groups/sapporo-kantei        | most_closed | 2                | there are only 1 groups   | at most 1            |
 
-  Scenario: every mistake is told at once
+  Scenario: all mistakes are reported at once
     Given the example declaration
     When teams/kaban gets weight = 0
     And groups/sapporo-kantei gets model = "x"
@@ -48,12 +48,12 @@
     And switches/all gets hedge_share = 3
     Then there are 4 mistakes
 
-  Scenario: a row that is wrong does not make those that name it wrong too
+  Scenario: references to an invalid row are not reported as mistakes
     Given the example declaration
     When models/kantei gets max_tokens = 0
     Then there are 1 mistakes
 
-  Scenario Outline: a file that can't be read is refused
+  Scenario Outline: an unreadable or malformed file is refused
     When the file holds <text>
     Then a mistake says "<why>"
 
@@ -71,14 +71,14 @@
       | [1]                                         | no map of        |
       | {teams:                                     | Unexpected       |
 
-  Scenario: a limit that stands twice is refused
+  Scenario: a limit that is declared twice is refused
     When the file holds {limits: [{team: "a", model: "m", datacentre: "d", slots: 1}, {team: "a", model: "m", datacentre: "d", slots: 2}]}
     Then a mistake says "declared twice"
 
-  Scenario: each number in the table has bounds with a reason
+  Scenario: each numeric column has bounds
     Then every column that holds a number has a bound
 
-  Scenario: a column or section of a newer release is passed over by a daemon
+  Scenario: a column or section of a newer release is ignored by a daemon
     Given the example declaration is in the table
     When a newer release adds a column to teams/kaban and a section of its own
     Then a daemon reads the table as before
--- a/tests/table/steps/edits_steps.py
+++ b/tests/table/steps/edits_steps.py
@@ -40,7 +40,7 @@
     helpers.set_column(context, who, key, column, json5.loads(value), why)
 
 
-@behave.given('{who} gets in between with {key} {column} "{value}"')
+@behave.given('{who} commits before ann with {key} {column} "{value}"')
 def step_between(context, who, key, column, value):
     wanted = rowedits.set_columns(key, {column: value})
     rival = helpers.new_editor(context.store, who)
@@ -49,7 +49,7 @@
     )
 
 
-@behave.given("reads go down with the commit of ann")
+@behave.given("reads fail from the commit of ann on")
 def step_reads_down(context):
     link = helpers.connection(context)
     rival = link.before_commit
@@ -61,7 +61,7 @@
     link.before_commit = both
 
 
-@behave.given("the store does {fates} to the commits of ann")
+@behave.given("the commits of ann meet {fates}")
 def step_fates(context, fates):
     helpers.connection(context).fates.extend(
         map(hostiletable.Fate, fates.split(", "))
@@ -124,7 +124,7 @@
             for i in range(most)
         }
         some = document.Document(frozenset({"teams"}), values, ())
-        # The limit on the example's team has to go with it.
+        # The example's limit refers to its team and is removed with it.
         some = some._replace(sections=some.sections | {"limits"})
         allowed = most == total or option == "and allows removals"
         helpers.apply(
@@ -143,7 +143,7 @@
     assert _version(context) == version, _version(context)
 
 
-@behave.then("once late writes have landed the table is at version {v:d}")
+@behave.then("after delayed writes the table is at version {v:d}")
 def step_landed(context, v):
     context.connection.land()
     assert _version(context) == v, _version(context)
@@ -178,13 +178,13 @@
     step_shows(context, key, column, a, b)
 
 
-@behave.then("who won could not be read")
+@behave.then("the conflict says why the other edits could not be read")
 def step_unread(context):
     assert not context.done.winners
     assert context.done.unread_reason == "no reads"
 
 
-@behave.then("the table says what it said at version 1")
+@behave.then("the table has the rows of version 1")
 def step_as_before(context):
     first = audit.read(context.store, 1)
     values = {change.key: change.after for change in first.changes}
@@ -209,7 +209,7 @@
     context.count_by_name = machinery.run(name)
 
 
-@behave.then("each of its promises was looked at")
+@behave.then("each of its invariants was checked")
 def step_checked(context):
     assert all(context.count_by_name.values())
     assert len(context.count_by_name) == 2
--- a/tests/table/steps/rows_steps.py
+++ b/tests/table/steps/rows_steps.py
@@ -1,4 +1,4 @@
-"""Steps about declarations and their mistakes."""
+"""Steps about declarations and their validation."""
 
 import enum
 
--- a/tests/table/steps/watching_steps.py
+++ b/tests/table/steps/watching_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a daemon that follows the table."""
+"""Steps about a daemon that polls the table."""
 
 import random
 
@@ -20,7 +20,7 @@
 from tests.table import helpers
 
 
-@behave.given("a daemon that has read it")
+@behave.given("a daemon that has read the table")
 def step_daemon(context):
     checks = invariant.Invariants()
     context.clock = manualclock.ManualClock()
@@ -38,7 +38,7 @@
         context.outcome = context.follower.apply_delta(received)
 
 
-@behave.when("the daemon looks")
+@behave.when("the daemon polls")
 def step_polls(context):
     table_poller = poller.Poller(context.store, context.watcher, context.clock)
     _apply(context, table_poller.poll())
@@ -58,7 +58,7 @@
     helpers.apply(context, "bob", wanted)
 
 
-@behave.when("the platform is down for {count:d} looks")
+@behave.when("the platform is down for {count:d} polls")
 def step_down(context, count):
     context.store.faults.order(faults.Fault.DOWN)
     for _ in range(count):
@@ -71,13 +71,13 @@
     context.store.faults.order(faults.Fault.DOWN, 0)
 
 
-@behave.when("a look is sent and its answer held up at version 2")
+@behave.when("a scan is sent and its response delayed at version 2")
 def step_held(context):
     step_becomes(context, "datacentres/sapporo", "state", "out")
     context.held = context.store.scan(layout.TABLE, context.watcher.revision)
 
 
-@behave.when("the answer that was held up comes")
+@behave.when("the delayed response arrives")
 def step_delivered(context):
     _apply(context, context.watcher.apply_scan(context.held, 0))
 
@@ -87,7 +87,7 @@
     context.store = memorytable.MemoryTable()
 
 
-@behave.when("the platform tells of {part}")
+@behave.when("the platform returns {part}")
 def step_part(context, part):
     at = context.watcher.revision + 1
     changed_rows = [rows.Row(layout.TABLE, "teams/x", {"name": "x"}, at + 1)]
@@ -101,7 +101,7 @@
     )
 
 
-@behave.when("a peer gives a delta from {base:d} to {to:d}")
+@behave.when("a peer sends a delta from {base:d} to {to:d}")
 def step_peer(context, base, to):
     head = rows.Row(layout.TABLE, layout.HEAD, {"version": to}, to)
     context.outcome = context.follower.apply_delta(
@@ -127,7 +127,7 @@
     assert context.follower.table.version == version
 
 
-@behave.then("the look gave {count:d} rows")
+@behave.then("the poll returned {count:d} rows")
 def step_gave(context, count):
     assert len(context.received.rows) == count, context.received
 
@@ -142,14 +142,14 @@
     assert context.watcher.age(context.clock.now()) == age
 
 
-@behave.then("it waits between {low:d} and {high:d} ms, spread out")
+@behave.then("its poll delay is spread between {low:d} and {high:d} ms")
 def step_waits(context, low, high):
     waits = {context.watcher.poll_delay() for _ in range(200)}
     assert low <= min(waits) and max(waits) <= high, waits
     assert max(waits) - min(waits) > (high - low) / 2
 
 
-@behave.then('the look is doubted as "{why}"')
+@behave.then('the poll is rejected with "{why}"')
 def step_rejected(context, why):
     assert isinstance(context.received, missing.Stale), context.received
     assert why in context.received.reason
@@ -157,11 +157,11 @@
 
 @behave.then("the delta is {outcome}")
 def step_delta(context, outcome):
-    kinds = {"a gap": missing.Stale, "passed over": type(None)}
+    kinds = {"a gap": missing.Stale, "ignored": type(None)}
     assert isinstance(context.outcome, kinds[outcome])
 
 
-@behave.then("it says why it refuses {key}")
+@behave.then("it reports a mistake in {key}")
 def step_refuses(context, key):
     (wrong,) = context.follower.mistakes
     assert wrong.row == key, wrong
