--- a/src/citronvalve/table/typed.py
+++ b/src/citronvalve/table/builder.py
@@ -1,4 +1,4 @@
-"""Builds the typed table from stored rows, or says all that is wrong."""
+"""Builds the typed table from rows and collects all their mistakes."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -16,82 +16,84 @@
 EMPTY = declared.Declared(0, {}, {}, {}, {}, {}, {}, {}, declared.Switches())
 
 
-class Typed(NamedTuple):
-    """The table, and what is wrong with it; use it only when nothing is."""
+class BuildResult(NamedTuple):
+    """The table and its mistakes; valid only without mistakes."""
 
     table: declared.Declared
     mistakes: tuple[mistake.Mistake, ...]
 
 
-def full(value_by_key: dict[str, dict[str, Any]], version: int) -> Typed:
-    """Check rows as operators write them, as a whole.
+def build_full(
+    value_by_key: dict[str, dict[str, Any]], version: int
+) -> BuildResult:
+    """Build a table from all its rows, with checks across rows.
 
-    Rows that are wrong by themselves are left out of the look at the whole
-    table, so that one mistake is not told twice.
+    References to rows that are invalid by themselves are not reported, so
+    that one mistake is reported once.
 
     :param value_by_key: every row's columns.
-    :param version: what the table's version is to be.
+    :param version: the version of the new table.
     """
-    changed = changed_from(EMPTY, value_by_key.items(), version)
+    changed = build_changed(EMPTY, value_by_key.items(), version)
     wrong = changed.mistakes
     wrong_rows = {each.row for each in wrong}
-    whole = tuple(
+    cross_mistakes = tuple(
         each
         for each in crosscheck.check(changed.table)
         if each.needs not in wrong_rows
     )
-    return Typed(changed.table, wrong + whole)
+    return BuildResult(changed.table, wrong + cross_mistakes)
 
 
-def changed_from(
+def build_changed(
     before: declared.Declared,
     changes: Iterable[tuple[str, dict[str, Any] | None]],
     version: int,
-) -> Typed:
-    """Return the table after changes, each row checked by itself.
+) -> BuildResult:
+    """Build a table from an earlier one, checking each changed row alone.
 
-    :param before: the table so far; it is not changed.
-    :param changes: key and columns, or None for a row that went.
-    :param version: the version that the changes make.
+    :param before: the earlier table; it is not modified.
+    :param changes: key and columns, or None for a removed row.
+    :param version: the version that the changes create.
     """
     builder = _Builder(before)
     for key, value in changes:
-        builder.change(key, value)
-    return builder.built(version)
+        builder.apply_change(key, value)
+    return builder.build(version)
 
 
 class _Builder:
-    """Carries changes out on copies of only the sections that they touch.
+    """Applies changes, copying only the sections that they touch.
 
-    :param before: the table so far.
+    :param before: the earlier table.
     """
 
     def __init__(self, before: declared.Declared) -> None:
         self._before = before
         self._new_by_field: dict[str, Any] = {}
-        self._wrong: list[mistake.Mistake] = []
+        self._mistakes: list[mistake.Mistake] = []
 
-    def change(self, key: str, value: dict[str, Any] | None) -> None:
-        """Put a row, or take it away with None."""
+    def apply_change(self, key: str, value: dict[str, Any] | None) -> None:
+        """Set a row, or remove it when the value is None."""
         section, *names = key.split(layout.SEPARATOR)
         kind = kinds.KIND_BY_SECTION.get(section)
         if kind is None:
-            self._wrong.append(_no_section(key, section))
+            self._mistakes.append(_unknown_section(key, section))
         elif not kind.key_columns:
-            # The one row of switches has its defaults while it is away.
-            record = self._checked(kind, key, value or {})
+            # Without a stored row the switches have their defaults.
+            record = self._check_row(kind, key, value or {})
             if record:
                 self._new_by_field[kind.field] = record
         else:
             name = names[0] if len(names) == 1 else tuple(names)
-            self._put(kind, key, name, value)
+            self._set_row(kind, key, name, value)
 
-    def built(self, version: int) -> Typed:
-        """Return the table with all that was wrong."""
+    def build(self, version: int) -> BuildResult:
+        """Return the table with all mistakes found."""
         table = self._before._replace(version=version, **self._new_by_field)
-        return Typed(table, tuple(self._wrong))
+        return BuildResult(table, tuple(self._mistakes))
 
-    def _put(
+    def _set_row(
         self,
         kind: kinds.Kind,
         key: str,
@@ -105,27 +107,27 @@
         if value is None:
             record_by_name.pop(name, None)
             return
-        record = self._checked(kind, key, value)
+        record = self._check_row(kind, key, value)
         if record:
             record_by_name[name] = record
 
-    def _checked(
+    def _check_row(
         self, kind: kinds.Kind, key: str, value: dict[str, Any]
     ) -> Any:
-        checked = columns.check(kind, key, value)
-        self._wrong += checked.mistakes
+        checked = columns.check_row(kind, key, value)
+        self._mistakes += checked.mistakes
         return checked.record
 
 
-def known(
+def drop_unknown(
     changes: Iterable[tuple[str, dict[str, Any] | None]],
 ) -> Iterator[tuple[str, dict[str, Any] | None]]:
-    """Leave out what a newer release stored and this one does not know.
+    """Yield changes without sections and columns of a newer release.
 
-    Releases are rolled out VM by VM: a daemon that refused a new column
-    would stay on an old table for the whole roll-out.
+    Releases are rolled out VM by VM: a daemon that rejected an unknown
+    column would keep an old table during the whole roll-out.
 
-    :param changes: key and columns, or None for a row that went.
+    :param changes: key and columns, or None for a removed row.
     """
     for key, value in changes:
         kind = kinds.KIND_BY_SECTION.get(key.split(layout.SEPARATOR)[0])
@@ -133,14 +135,14 @@
             continue
         if value is not None:
             value = {
-                name: seen
-                for name, seen in value.items()
+                name: column_value
+                for name, column_value in value.items()
                 if name in kind.column_by_name
             }
         yield key, value
 
 
-def _no_section(key: str, section: str) -> mistake.Mistake:
+def _unknown_section(key: str, section: str) -> mistake.Mistake:
     return mistake.Mistake(
         key,
         "",
--- a/src/citronvalve/table/planning.py
+++ b/src/citronvalve/table/planning.py
@@ -1,4 +1,4 @@
-"""Works out what an edit changes; pure."""
+"""Computes the changes of an edit, without I/O."""
 
 import collections
 from collections.abc import Callable
@@ -6,123 +6,126 @@
 
 import msgspec
 
+from citronvalve.table import builder
 from citronvalve.table import document
 from citronvalve.table import edit
 from citronvalve.table import kinds
 from citronvalve.table import layout
 from citronvalve.table import mistake
 from citronvalve.table import state
-from citronvalve.table import typed
 
-#: Rows that one edit may change.  It is one transaction, and its audit
-#: entry holds every row before and after: more would be several MB in one
-#: call, which a slow store answers past the timeout.
-MOST_CHANGES = 2_000
+#: Rows that one edit may change.  An edit is one transaction, and its audit
+#: entry has every row before and after: more rows would be several MB in one
+#: call, which times out on a slow store.
+MAX_CHANGES = 2_000
 
-#: Share of a section that a file may remove unless told that it may.
-MOST_REMOVED = 0.5
+#: Share of a section that a file may remove without explicit permission.
+MAX_REMOVED_SHARE = 0.5
 
-#: Rows below which that share says nothing.
-FEWEST_WIDE = 3
+#: Number of removed rows from which the share is checked.
+MIN_CHECKED_REMOVALS = 3
 
 Values = dict[str, dict[str, Any]]
 
-#: What an edit does to the values that are stored; it may raise
-#: :exc:`mistake.MistakesError`.
-Wanted = Callable[[Values], Values]
+#: Returns the values of the table after an edit, given the stored values.
+#: May raise :exc:`mistake.MistakesError`.
+Operation = Callable[[Values], Values]
 
 
-def declaring(
-    declaration: document.Document, removals: bool = False
-) -> Wanted:
-    """Return the edit that makes the table say what a file declares.
+def apply_declaration(
+    declaration: document.Document, allow_removals: bool = False
+) -> Operation:
+    """Return an operation that replaces the sections of a declaration.
 
-    :param declaration: without mistakes.
-    :param removals: whether most of a section may go.
+    :param declaration: a document without mistakes.
+    :param allow_removals: whether most rows of a section may be removed.
     """
 
-    def wanted(stored: Values) -> Values:
+    def operation(stored: Values) -> Values:
         gone = [
             key
             for key in stored
-            if _section(key) in declaration.sections
+            if _section_of(key) in declaration.sections
             and key not in declaration.value_by_key
         ]
-        if not removals:
-            _refuse_wide(stored, gone)
+        if not allow_removals:
+            _check_removals(stored, gone)
         kept = {key: stored[key] for key in stored.keys() - set(gone)}
         return kept | declaration.value_by_key
 
-    return wanted
+    return operation
 
 
-def _refuse_wide(stored: Values, gone: list[str]) -> None:
-    # A file that was cut short or filled in wrongly declares an empty
-    # section as well as a full one, and within seconds no daemon anywhere
-    # would know an upstream or a team.
-    total = collections.Counter(map(_section, stored))
-    wide = [
+def _check_removals(stored: Values, removed: list[str]) -> None:
+    # A truncated or wrongly generated file may declare a section with hardly
+    # any rows.  Applied, it would remove the upstreams or teams from all
+    # daemons within seconds.
+    total = collections.Counter(map(_section_of, stored))
+    mistakes = [
         mistake.Mistake(
             section,
             "",
             count,
             f"it would lose {count} of its {total[section]} rows",
-            "look at the file, or apply it with --allow-removals",
+            "check the file, or apply it with --allow-removals",
         )
-        for section, count in collections.Counter(map(_section, gone)).items()
-        if count >= FEWEST_WIDE and count > total[section] * MOST_REMOVED
+        for section, count in collections.Counter(
+            map(_section_of, removed)
+        ).items()
+        if count >= MIN_CHECKED_REMOVALS
+        and count > total[section] * MAX_REMOVED_SHARE
     ]
-    if wide:
-        raise mistake.MistakesError(tuple(wide))
+    if mistakes:
+        raise mistake.MistakesError(tuple(mistakes))
 
 
-def plan(stored: state.State, wanted: Wanted) -> edit.Plan:
-    """Check the table as it would be, and tell what would change.
+def plan(stored: state.State, operation: Operation) -> edit.Plan:
+    """Validate the table after an edit, and return the changes.
 
-    :param stored: the table as it is.
-    :param wanted: the edit.
+    :param stored: the current table.
+    :param operation: the edit.
     """
     before = stored.value_by_key
     try:
-        after = wanted(before)
+        after = operation(before)
     except mistake.MistakesError as error:
         return edit.Plan(stored.version, (), error.mistakes)
-    checked = typed.full(after, stored.version + 1)
+    checked = builder.build_full(after, stored.version + 1)
     if checked.mistakes:
         return edit.Plan(stored.version, (), checked.mistakes)
-    changes = _changes(before, _complete(checked, after))
-    if len(changes) > MOST_CHANGES:
+    changes = _find_changes(before, _with_defaults(checked, after))
+    if len(changes) > MAX_CHANGES:
         wrong = mistake.Mistake(
             "table",
             "",
             len(changes),
-            f"one edit changes at most {MOST_CHANGES} rows",
+            f"one edit changes at most {MAX_CHANGES} rows",
             "apply the sections one after the other, in several files",
         )
         return edit.Plan(stored.version, (), (wrong,))
     return edit.Plan(stored.version, changes)
 
 
-def _section(key: str) -> str:
+def _section_of(key: str) -> str:
     return key.split(layout.SEPARATOR)[0]
 
 
-def _complete(checked: typed.Typed, after: Values) -> Values:
-    # Defaults are stored as well: else a release with another default would
+def _with_defaults(checked: builder.BuildResult, after: Values) -> Values:
+    # Defaults are stored too; otherwise a release with another default would
     # change behaviour without an edit.
     complete: dict[str, Any] = {}
     for kind in kinds.KIND_BY_SECTION.values():
-        held = getattr(checked.table, kind.field)
+        section_rows = getattr(checked.table, kind.field)
         if kind.key_columns:
-            rows = (record._asdict() for record in held.values())
+            rows = (record._asdict() for record in section_rows.values())
             complete.update((kind.key_of(row), row) for row in rows)
         elif kind.key_of({}) in after:
-            complete[kind.key_of({})] = held._asdict()
-    # As JSON gives it back, so that it compares with what is stored.
+            complete[kind.key_of({})] = section_rows._asdict()
+    # The JSON round trip makes the values comparable with the stored ones.
     return msgspec.json.decode(msgspec.json.encode(complete))
 
 
-def _changes(before: Values, after: Values) -> tuple[edit.Change, ...]:
+def _find_changes(before: Values, after: Values) -> tuple[edit.Change, ...]:
     return tuple(
         edit.Change(key, before.get(key), after.get(key))
         for key in sorted(before.keys() | after.keys())
--- a/src/citronvalve/table/poller.py
+++ b/src/citronvalve/table/poller.py
@@ -1,4 +1,4 @@
-"""Reads what changed in the platform's table, for one watcher."""
+"""Reads the platform's table for one watcher."""
 
 from citronvalve.model import clock
 from citronvalve.model import missing
@@ -9,36 +9,36 @@
 
 
 class Poller:
-    """Asks the platform when told to; its owner keeps the time.
+    """Scans the platform's table on request; the caller schedules it.
 
     :param service: the platform's table service.
-    :param watcher: decides what is new.
-    :param now: monotonic clock.
+    :param watcher: turns scans into deltas.
+    :param time_source: monotonic clock.
     """
 
     def __init__(
         self,
         service: tableservice.TableService,
         watcher: watchers.Watcher,
-        now: clock.Clock,
+        time_source: clock.Clock,
     ) -> None:
         self._service = service
-        self._clock = now
+        self._clock = time_source
         self.watcher = watcher
 
     def poll(self) -> deltas.Delta | missing.Missing | None:
-        """Look once; None when nothing changed."""
-        asked_at = self._clock.now()
+        """Read the changes since the last poll; None if there are none."""
+        requested_at = self._clock.now()
         scan = self._service.scan(layout.TABLE, self.watcher.revision)
         if missing.is_missing(scan):
-            self.watcher.failed()
+            self.watcher.record_failure()
             return scan
-        return self.watcher.take(scan, asked_at)
+        return self.watcher.apply_scan(scan, requested_at)
 
-    def read_whole(self) -> deltas.Delta | missing.Missing:
-        """Read the whole table, to compare what is held with it."""
+    def read_full(self) -> deltas.Delta | missing.Missing:
+        """Read the whole table, to compare the local copy with it."""
         scan = self._service.scan(layout.TABLE)
         if missing.is_missing(scan):
-            self.watcher.failed()
+            self.watcher.record_failure()
             return scan
-        return self.watcher.take_whole(scan)
+        return self.watcher.apply_full_scan(scan)
--- a/src/citronvalve/table/rowedits.py
+++ b/src/citronvalve/table/rowedits.py
@@ -1,4 +1,4 @@
-"""Edits of one row, and edits that undo others; pure."""
+"""Operations that edit one row or undo other edits, without I/O."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -10,21 +10,22 @@
 from citronvalve.table import planning
 
 
-def setting(
+def set_columns(
     key: str, columns: dict[str, Any], new: bool = False
-) -> planning.Wanted:
-    """Return the edit that sets columns of one row.
+) -> planning.Operation:
+    """Return an operation that sets columns of one row.
 
     :param key: section and name, as in ``datacentres/sapporo``.
-    :param columns: those to set; the others stay.
-    :param new: whether the row must not be there yet.
+    :param columns: values by column; other columns keep theirs.
+    :param new: whether to add a row, which must not exist, or to change
+        one, which must.
     """
 
-    def wanted(stored: planning.Values) -> planning.Values:
-        kind = _kind(key)
+    def operation(stored: planning.Values) -> planning.Values:
+        kind = _kind_of_key(key)
         names = key.split(layout.SEPARATOR)[1:]
         named = dict(zip(kind.key_columns, names, strict=False))
-        # The row of switches is there from the start, with its defaults.
+        # The row of switches always exists, initially with its defaults.
         if kind.key_columns and (key in stored) == new:
             _refuse(
                 key,
@@ -33,42 +34,44 @@
             )
         return stored | {key: stored.get(key, {}) | columns | named}
 
-    return wanted
+    return operation
 
 
-def removing(key: str) -> planning.Wanted:
-    """Return the edit that removes one row.
+def remove_row(key: str) -> planning.Operation:
+    """Return an operation that removes one row.
 
     :param key: section and name.
     """
 
-    def wanted(stored: planning.Values) -> planning.Values:
+    def operation(stored: planning.Values) -> planning.Values:
         if key not in stored:
             _refuse(key, "no such row", "see `citronvalve table show`")
         return {k: value for k, value in stored.items() if k != key}
 
-    return wanted
+    return operation
 
 
-def undoing(entries: Iterable[edit.Entry]) -> planning.Wanted:
-    """Return the edit that undoes other edits.
+def undo_edits(entries: Iterable[edit.Entry]) -> planning.Operation:
+    """Return an operation that undoes other edits.
 
-    :param entries: the latest edits of the table, oldest first.
+    :param entries: the latest edits of the table, in any order.
     """
     latest_first = sorted(entries, reverse=True)
 
-    def wanted(stored: planning.Values) -> planning.Values:
+    def operation(stored: planning.Values) -> planning.Values:
         values = dict(stored)
         for entry in latest_first:
             for change in entry.changes:
-                _undo(values, change, entry.version)
+                _undo_change(values, change, entry.version)
         return values
 
-    return wanted
+    return operation
 
 
-def _undo(values: planning.Values, change: edit.Change, version: int) -> None:
-    # Rows written around the tool would be lost without a trace.
+def _undo_change(
+    values: planning.Values, change: edit.Change, version: int
+) -> None:
+    # A row that was written without an audit entry would be lost.
     if values.get(change.key) != change.after:
         _refuse(
             change.key,
@@ -81,13 +84,13 @@
         values[change.key] = change.before
 
 
-def _kind(key: str) -> kinds.Kind:
+def _kind_of_key(key: str) -> kinds.Kind:
     section, *names = key.split(layout.SEPARATOR)
     kind = kinds.KIND_BY_SECTION.get(section)
     if kind is None:
         _refuse(key, "no such section", "use " + ", ".join(_SECTIONS))
-    if len(names) != len(kind.key_columns or kinds.ALL):
-        form = layout.key(section, *(kind.key_columns or kinds.ALL))
+    if len(names) != len(kind.key_columns or kinds.SWITCHES_NAMES):
+        form = layout.key(section, *(kind.key_columns or kinds.SWITCHES_NAMES))
         _refuse(key, "not the key of a row", f"write {form}")
     return kind
 
--- a/src/citronvalve/table/watcher.py
+++ b/src/citronvalve/table/watcher.py
@@ -1,4 +1,4 @@
-"""Decides when to look at the platform's table, and what is new in it."""
+"""Schedules polls of the platform's table, and turns scans into deltas."""
 
 import random
 from typing import NamedTuple
@@ -11,124 +11,127 @@
 from citronvalve.table import layout
 
 
-class Timing(NamedTuple):
-    """How often to look.
+class PollTiming(NamedTuple):
+    """Intervals between polls.
 
-    ``period``: ms between looks.  Two watchers in each of 31 data centres
-    make 177 reads a second of the 2,000 that the platform serves, and the
-    way from them to all daemons keeps half a second of the one that an edit
-    may take.
-    ``jitter``: share by which a wait is shortened or lengthened, so that
-    watchers that were started together do not read together.
-    ``longest``: ms between looks in an outage; an edit made right after it
-    has then still half of its 9 s for the way to all daemons.
+    ``period``: ms between polls.  Two watchers in each of 31 data centres
+    make 177 of the 2,000 reads a second that the platform serves.  An edit
+    may take 1 s to reach all daemons; half of it is left after the poll.
+    ``jitter``: share by which a delay is shortened or lengthened, so that
+    watchers that start together do not read together.
+    ``max_period``: ms between polls during an outage.  An edit right after
+    the outage has half of its 9 s left to reach all daemons.
     """
 
     period: clock.Ms = 350
     jitter: float = 0.2
-    longest: clock.Ms = 4_000
+    max_period: clock.Ms = 4_000
 
 
 class Watcher:
-    """Turns reads of the table into deltas; pure.
+    """Turns scans of the table into deltas, without I/O.
 
-    It never tells of a revision at or below one that it has seen: a read
-    may come from a replica that lags, or from a store that was put back.
+    Deltas never go back to an earlier revision: a scan may come from a
+    lagging replica, or from a store that was restored from a backup.
 
-    :param timing: how often to look.
-    :param chance: for jitter.
-    :param invariants: where promises are asserted.
-    :ivar revision: the newest revision seen; the next scan starts from it.
-    :ivar failures: failed looks since the last good one.
+    :param timing: intervals between polls.
+    :param rng: source of the jitter.
+    :param invariants: asserts that the revision rises.
+    :ivar revision: the latest revision read; the next scan starts from it.
+    :ivar failures: failed polls since the last successful one.
     """
 
     def __init__(
         self,
-        timing: Timing,
-        chance: random.Random,
+        timing: PollTiming,
+        rng: random.Random,
         invariants: invariant.Invariants,
     ) -> None:
         self._timing = timing
-        self._chance = chance
+        self._rng = rng
         self._invariants = invariants
-        self._good_at: clock.Ms | None = None
+        self._last_read_at: clock.Ms | None = None
         self.revision = rows.NO_ROW
         self.failures = 0
 
     def skip_to(self, revision: int) -> None:
-        """Go on from a copy that came from a peer.
+        """Continue from the revision of a copy received from a peer.
 
-        :param revision: of the copy; a lower one changes nothing.
+        :param revision: of the copy; a lower one has no effect.
         """
         self.revision = max(self.revision, revision)
 
-    def wait(self) -> clock.Ms:
-        """Return ms until the next look.
+    def poll_delay(self) -> clock.Ms:
+        """Return the delay until the next poll.
 
-        Load: a store that comes back after an outage, with every watcher
-        waiting for it.  Waits double up to a limit and are spread out, or
-        the first second would bring down a store that is barely up.
+        The delay doubles with each failure up to a limit and has jitter.
+        Otherwise all watchers would poll a recovering store within its
+        first second and overload it.
         """
-        # More doublings than these pass any limit, and would overflow.
+        # 16 doublings exceed any limit; more would overflow.
         doubled = self._timing.period << min(self.failures, 16)
-        span = min(doubled, self._timing.longest)
-        spread = self._chance.uniform(-1, 1) * self._timing.jitter
+        span = min(doubled, self._timing.max_period)
+        spread = self._rng.uniform(-1, 1) * self._timing.jitter
         return max(1, int(span * (1 + spread)))
 
     def age(self, now: clock.Ms) -> clock.Ms | missing.NotFound:
-        """Return ms since the last good look.
+        """Return the time since the last successful poll.
 
         :param now: monotonic time in ms.
         """
-        if self._good_at is None:
-            return missing.NotFound("the table was never read", "platform")
-        return now - self._good_at
-
-    def failed(self) -> None:
-        """Take in that a look failed; only the age tells, the table stays."""
+        if self._last_read_at is None:
+            return missing.NotFound(
+                "the table has not been read yet", "platform"
+            )
+        return now - self._last_read_at
+
+    def record_failure(self) -> None:
+        """Record a failed poll; the table stays in force and its age grows."""
         self.failures += 1
 
-    def take(
-        self, scan: rows.Scan, asked_at: clock.Ms
+    def apply_scan(
+        self, scan: rows.Scan, requested_at: clock.Ms
     ) -> deltas.Delta | missing.Stale | None:
-        """Take in a scan after :attr:`revision`; None when nothing changed.
+        """Apply a scan after :attr:`revision`; None if nothing changed.
 
-        :param scan: as the platform gave it.
-        :param asked_at: monotonic ms before it was asked for: it is no
-            newer than that.
+        :param scan: as returned by the platform.
+        :param requested_at: monotonic time in ms before the request; the
+            table's age counts from it.
         """
         newer = tuple(r for r in scan.rows if r.version > self.revision)
-        flaw = self._flaw(scan.revision, newer)
+        flaw = self._find_inconsistency(scan.revision, newer)
         if flaw:
-            return self._doubt(flaw)
+            return self._reject(flaw)
         self.failures = 0
-        self._good_at = asked_at
-        return self._rise(newer) if newer else None
+        self._last_read_at = requested_at
+        return self._advance(newer) if newer else None
 
-    def take_whole(self, scan: rows.Scan) -> deltas.Delta | missing.Stale:
-        """Take in a scan of the whole table; the revision stays.
+    def apply_full_scan(self, scan: rows.Scan) -> deltas.Delta | missing.Stale:
+        """Turn a scan of the whole table into a delta; the revision stays.
 
-        :param scan: as the platform gave it.
+        :param scan: as returned by the platform.
         """
-        flaw = self._flaw(scan.revision, scan.rows)
+        flaw = self._find_inconsistency(scan.revision, scan.rows)
         if flaw:
-            return self._doubt(flaw)
-        return deltas.Delta(rows.NO_ROW, _newest(scan.rows), scan.rows)
+            return self._reject(flaw)
+        return deltas.Delta(rows.NO_ROW, _max_revision(scan.rows), scan.rows)
 
-    def _flaw(self, revision: int, found: tuple[rows.Row, ...]) -> str:
+    def _find_inconsistency(
+        self, revision: int, found: tuple[rows.Row, ...]
+    ) -> str:
         if revision < self.revision:
             return "an older revision than one already seen"
         head = [row for row in found if row.key == layout.HEAD]
         # Every edit writes the head: rows without it, or newer than it, are
-        # half of an edit.
+        # part of an incomplete edit.
         if found and not head:
             return "rows without the head"
-        if head and head[0].version != _newest(found):
+        if head and head[0].version != _max_revision(found):
             return "rows newer than the head"
         return ""
 
-    def _rise(self, newer: tuple[rows.Row, ...]) -> deltas.Delta:
-        to = _newest(newer)
+    def _advance(self, newer: tuple[rows.Row, ...]) -> deltas.Delta:
+        to = _max_revision(newer)
         self._invariants.check(
             "a watcher's revision rises",
             to > self.revision,
@@ -137,10 +140,10 @@
         base, self.revision = self.revision, to
         return deltas.Delta(base, to, newer)
 
-    def _doubt(self, why: str) -> missing.Stale:
+    def _reject(self, why: str) -> missing.Stale:
         self.failures += 1
-        return missing.Stale(f"the platform told {why}", layout.TABLE)
+        return missing.Stale(f"the platform returned {why}", layout.TABLE)
 
 
-def _newest(found: tuple[rows.Row, ...]) -> int:
+def _max_revision(found: tuple[rows.Row, ...]) -> int:
     return max((row.version for row in found), default=rows.NO_ROW)
--- a/tests/inforce/steps/comparing_steps.py
+++ b/tests/inforce/steps/comparing_steps.py
@@ -40,28 +40,28 @@
     daemons_here=1,
 )
 
-_MATE = envelope.Sender("d-2", "hakodate", 1, "tcp://127.0.0.1:5")
+_PEER = envelope.Sender("d-2", "hakodate", 1, "tcp://127.0.0.1:5")
 
-#: Time of one round of the daemon's tasks in ms.
-_ROUND: clock.Ms = 250
+#: Interval of the daemon's tasks.
+_STEP_INTERVAL: clock.Ms = 250
 
-_ROW = f"{layout.key('datacentres', 'hakodate')}"
+_ROW_KEY = f"{layout.key('datacentres', 'hakodate')}"
 
 
-class _Store(memorytable.MemoryTable):
-    """Counts the times that it was read whole."""
+class _CountingStore(memorytable.MemoryTable):
+    """Counts full reads."""
 
-    read_whole = 0
+    full_reads = 0
 
     def scan(self, table, after=0):
-        self.read_whole += not after
+        self.full_reads += not after
         return super().scan(table, after)
 
 
 class _Daemon:
-    """The tasks that bring tables into force, driven by hand."""
+    """The tasks that bring tables into force, stepped by the test."""
 
-    def __init__(self, store, watches):
+    def __init__(self, store, is_watcher):
         self.store = store
         self.clock = manualclock.ManualClock(1_000_000)
         self.view = view.View(self.clock, invariant.Invariants())
@@ -77,35 +77,37 @@
             environment.RequestLimits(),
         )
         self.peering = peertask.PeerTask(env, self.view, _SETTINGS)
-        self.peering.peer.is_watcher = lambda: watches
+        self.peering.peer.is_watcher = lambda: is_watcher
         self._task = tabletask.TableTask(env, self.view, store, self.peering)
-        self.hears: gossip.Gossip | None = None
+        self.repeated_gossip: gossip.Gossip | None = None
 
     def run(self, span):
-        """Let time pass.
+        """Run the tasks while the clock advances.
 
-        :param span: ms.
+        :param span: duration in ms.
         """
         with self.log.applicationbound():
-            for _ in range(0, span, _ROUND):
-                self.clock.advance(_ROUND)
-                if self.hears is not None:
-                    self.hear(self.hears)
+            for _ in range(0, span, _STEP_INTERVAL):
+                self.clock.advance(_STEP_INTERVAL)
+                if self.repeated_gossip is not None:
+                    self.receive(self.repeated_gossip)
                 self._task.step()
 
-    def hear(self, message):
-        """Take in what a peer tells."""
-        self.peering.peer.core.handle(codec.ReceivedMessage(_MATE, message))
+    def receive(self, message):
+        """Handle a message of a peer."""
+        self.peering.peer.core.handle(codec.ReceivedMessage(_PEER, message))
 
 
 @behave.given("the example declaration is in the platform's table")
 def step_example(context):
-    context.store = _Store()
-    helpers.apply(context, "bob", planning.declaring(helpers.example()))
+    context.store = _CountingStore()
+    helpers.apply(
+        context, "bob", planning.apply_declaration(helpers.example())
+    )
 
 
 def _stored(store):
-    # Not counted as a reading of the daemon's.
+    # Bypasses the counter: this is not a read by the daemon.
     return memorytable.MemoryTable.scan(store, layout.TABLE).rows
 
 
@@ -118,98 +120,100 @@
     ]
 
 
-def _out(held):
-    at = next(i for i, row in enumerate(held) if row.key == _ROW)
+def _set_out_of_service(held):
+    at = next(i for i, row in enumerate(held) if row.key == _ROW_KEY)
     value = msgspec.msgpack.decode(held[at].value) | {"state": "out"}
     held[at] = held[at]._replace(value=msgspec.msgpack.encode(value))
 
 
-def _one_more(held):
+def _add_row(held):
     value = msgspec.msgpack.encode({"name": "nowhere"})
     key = layout.key("datacentres", "nowhere")
     held.append(change.Change(layout.TABLE, key, 1, value))
 
 
-def _one_less(held):
-    held[:] = [row for row in held if row.key != _ROW]
+def _remove_row(held):
+    held[:] = [row for row in held if row.key != _ROW_KEY]
 
 
-_SPOIL_BY_WHAT = {
+_CORRUPTION_BY_NAME = {
     "": lambda held: None,
-    "a data centre that is out by its copy": _out,
-    "a row that the platform has not": _one_more,
-    "a row missing": _one_less,
+    "a data centre that is out by its copy": _set_out_of_service,
+    "a row that the platform does not have": _add_row,
+    "a row missing": _remove_row,
 }
 
 
-def _begin(context, what, watches):
+def _start_daemon(context, corruption, is_watcher):
     held = _packed(_stored(context.store))
     version = max(row.version for row in held)
-    _SPOIL_BY_WHAT[what](held)
-    context.daemon = _Daemon(context.store, watches)
+    _CORRUPTION_BY_NAME[corruption](held)
+    context.daemon = _Daemon(context.store, is_watcher)
     context.daemon.peering.peer.publish_table(
         tabledelta.TableDelta(version, 0, tuple(held))
     )
     assert context.daemon.view.table
-    context.store.read_whole = 0
-    assert _is_right(context) == (not what)
+    context.store.full_reads = 0
+    assert _matches_platform(context) == (not corruption)
 
 
-@behave.given("a watcher that took the table from a peer, with {what}")
+@behave.given("a watcher that received the table from a peer, with {what}")
 def step_watcher(context, what):
-    _begin(context, what, watches=True)
+    _start_daemon(context, what, is_watcher=True)
 
 
-@behave.given("a watcher that took the table from a peer")
+@behave.given("a watcher that received the table from a peer")
 def step_right_watcher(context):
-    _begin(context, "", watches=True)
+    _start_daemon(context, "", is_watcher=True)
 
 
-@behave.given("a daemon that took the table from a peer, with {what}")
+@behave.given("a daemon that received the table from a peer, with {what}")
 def step_daemon_with(context, what):
-    _begin(context, what, watches=False)
+    _start_daemon(context, what, is_watcher=False)
 
 
-@behave.given("a daemon that took the table from a peer")
+@behave.given("a daemon that received the table from a peer")
 def step_daemon(context):
-    _begin(context, "", watches=False)
+    _start_daemon(context, "", is_watcher=False)
 
 
-def _is_right(context):
+def _matches_platform(context):
     checks = follower.Follower(invariant.Invariants())
     stored = _stored(context.store)
     version = max(row.version for row in stored)
-    checks.take(delta.Delta(0, version, stored))
+    checks.apply_delta(delta.Delta(0, version, stored))
     return context.daemon.view.table == checks.table
 
 
-def _told(context, rows_of):
-    held = rows_of(_packed(_stored(context.store)))
+def _make_gossip(context, select):
+    held = select(_packed(_stored(context.store)))
     version = max(row.version for row in held)
-    mate = tablecopy.TableCopy(invariant.Invariants())
-    mate.apply(tabledelta.TableDelta(version, 0, tuple(held)))
-    return gossip.Gossip(0, mate.version, mate.digest, table_age=100)
+    copy = tablecopy.TableCopy(invariant.Invariants())
+    copy.apply(tabledelta.TableDelta(version, 0, tuple(held)))
+    return gossip.Gossip(0, copy.version, copy.digest, table_age=100)
 
 
-@behave.when("it hears a peer with the platform's table")
+@behave.when("a peer with the platform's table sends gossip")
 def step_hears(context):
-    context.daemon.hears = _told(context, list)
+    context.daemon.repeated_gossip = _make_gossip(context, list)
 
 
-@behave.when("the platform does not answer for {seconds:d} s")
+@behave.when("the platform does not respond for {seconds:d} s")
 def step_down(context, seconds):
     context.store.faults.order(faults.Fault.DOWN)
     context.daemon.run(seconds * clock.SECOND)
     context.store.faults.order(faults.Fault.DOWN, 0)
 
 
-@behave.when("it hears a peer with another table for {seconds:d} s")
+@behave.when("a peer with another table sends gossip for {seconds:d} s")
 def step_hears_another(context, seconds):
-    context.daemon.hears = _told(context, lambda held: held[1:])
+    context.daemon.repeated_gossip = _make_gossip(
+        context, lambda held: held[1:]
+    )
     context.daemon.run(seconds * clock.SECOND)
 
 
-@behave.when("sapporo is taken out, and the daemon reads that")
+@behave.when("sapporo is taken out, and the daemon reads the edit")
 def step_out(context):
     context.before = _stored(context.store)
     key = layout.key("datacentres", "sapporo")
@@ -218,10 +222,10 @@
     assert context.daemon.view.version == 2
 
 
-@behave.when("a team is removed, and the daemon reads that")
+@behave.when("a team is removed, and the daemon reads the edit")
 def step_removed(context):
     def wanted(stored):
-        left = rowedits.removing("teams/ledger")(stored)
+        left = rowedits.remove_row("teams/ledger")(stored)
         return {k: v for k, v in left.items() if "limits" not in k}
 
     helpers.apply(context, "bob", wanted)
@@ -234,8 +238,8 @@
 )
 def step_no_difference(context, seconds):
     context.daemon.run(seconds * clock.SECOND)
-    assert context.store.read_whole, "it never compared"
-    assert _is_right(context)
+    assert context.store.full_reads, "it made no full read"
+    assert _matches_platform(context)
     assert not _warned(context), context.daemon.log.formatted_records
 
 
@@ -243,7 +247,7 @@
     return context.daemon.log.has_warning("table differed from the platform's")
 
 
-@behave.when("it compares its table with the platform's of before")
+@behave.when("it reconciles its table with the platform's earlier one")
 def step_before(context):
     held = _packed(context.before)
     version = max(row.version for row in held)
@@ -255,7 +259,7 @@
 @behave.then("within {seconds:d} s its table in force is the platform's")
 def step_right_within(context, seconds):
     for _ in range(0, seconds):
-        if _is_right(context):
+        if _matches_platform(context):
             return
         context.daemon.run(clock.SECOND)
     raise AssertionError(context.daemon.log.formatted_records)
@@ -263,7 +267,7 @@
 
 @behave.then("its table in force is the platform's")
 def step_right(context):
-    assert _is_right(context), context.daemon.log.formatted_records
+    assert _matches_platform(context), context.daemon.log.formatted_records
 
 
 @behave.then("the log names the rows that differed")
@@ -273,4 +277,4 @@
 
 @behave.then("it has read the whole table at most {times:d} times")
 def step_times(context, times):
-    assert 0 < context.store.read_whole <= times, context.store.read_whole
+    assert 0 < context.store.full_reads <= times, context.store.full_reads
--- a/tests/table/helpers.py
+++ b/tests/table/helpers.py
@@ -1,4 +1,4 @@
-"""Parts that the steps about the table share."""
+"""Helpers shared by the steps about the table."""
 
 import pathlib
 import random
@@ -18,25 +18,25 @@
     return document.parse(_EXAMPLE.read_text(), _EXAMPLE.name)
 
 
-def new_editor(service, who):
+def new_editor(service, name):
     """Return an operator's editor."""
-    return editor.Editor(service, clock.SystemClock(), random.Random(who))
+    return editor.Editor(service, clock.SystemClock(), random.Random(name))
 
 
-def link(context):
-    """Return the way from ann to the store."""
-    if "link" not in context:
-        context.link = hostiletable.HostileTable(context.store)
-    return context.link
+def connection(context):
+    """Return ann's connection to the store, which can inject faults."""
+    if "connection" not in context:
+        context.connection = hostiletable.HostileTable(context.store)
+    return context.connection
 
 
 def apply(context, who, wanted, why="a reason", expected=None):
-    """Apply an edit, ann's by her own way to the store."""
-    service = link(context) if who == "ann" else context.store
+    """Apply an edit; ann's edits use her own connection to the store."""
+    service = connection(context) if who == "ann" else context.store
     author = edit.Author(who, why)
     context.done = new_editor(service, who).apply(wanted, author, expected)
 
 
 def set_column(context, who, key, column, value, why="a reason"):
     """Set one column."""
-    apply(context, who, rowedits.setting(key, {column: value}), why)
+    apply(context, who, rowedits.set_columns(key, {column: value}), why)
--- a/tests/table/steps/edits_steps.py
+++ b/tests/table/steps/edits_steps.py
@@ -10,7 +10,7 @@
 from citronvalve.table import edit
 from citronvalve.table import layout
 from citronvalve.table import planning
-from citronvalve.table import reading
+from citronvalve.table import reader
 from citronvalve.table import rowedits
 from standins import faults
 from standins import hostiletable
@@ -19,19 +19,19 @@
 
 
 def _version(context):
-    return reading.read_state(context.store).version
+    return reader.read_state(context.store).version
 
 
 @behave.when("{who} applies the example declaration")
 def step_applies(context, who):
-    helpers.apply(context, who, planning.declaring(helpers.example()))
+    helpers.apply(context, who, planning.apply_declaration(helpers.example()))
 
 
 @behave.when(
     "{who} applies the example declaration planned on version {version:d}"
 )
 def step_planned(context, who, version):
-    wanted = planning.declaring(helpers.example())
+    wanted = planning.apply_declaration(helpers.example())
     helpers.apply(context, who, wanted, expected=version)
 
 
@@ -40,18 +40,18 @@
     helpers.set_column(context, who, key, column, json5.loads(value), why)
 
 
-@behave.given('{who} gets in between with {key} {column} "{value}"')
+@behave.given('{who} commits before ann with {key} {column} "{value}"')
 def step_between(context, who, key, column, value):
-    wanted = rowedits.setting(key, {column: value})
+    wanted = rowedits.set_columns(key, {column: value})
     rival = helpers.new_editor(context.store, who)
-    helpers.link(context).before_commit = lambda: rival.apply(
+    helpers.connection(context).before_commit = lambda: rival.apply(
         wanted, edit.Author(who, "in between")
     )
 
 
-@behave.given("reads go down with the commit of ann")
+@behave.given("reads fail from the commit of ann on")
 def step_reads_down(context):
-    link = helpers.link(context)
+    link = helpers.connection(context)
     rival = link.before_commit
 
     def both():
@@ -61,9 +61,9 @@
     link.before_commit = both
 
 
-@behave.given("the store does {fates} to the commits of ann")
+@behave.given("the commits of ann meet {fates}")
 def step_fates(context, fates):
-    helpers.link(context).fates.extend(
+    helpers.connection(context).fates.extend(
         map(hostiletable.Fate, fates.split(", "))
     )
 
@@ -73,20 +73,20 @@
     if call == 1:
         context.store.faults.order(faults.Fault.DOWN)
     else:
-        helpers.link(context).before_commit = lambda: (
+        helpers.connection(context).before_commit = lambda: (
             context.store.faults.order(faults.Fault.DOWN)
         )
 
 
 @behave.when("ann reverts to version {version:d}")
 def step_reverts(context, version):
-    operator = helpers.new_editor(helpers.link(context), "revert")
+    operator = helpers.new_editor(helpers.connection(context), "revert")
     context.done = operator.revert(version, edit.Author("ann", "back"))
 
 
 @behave.when("somebody writes {key} without an audit entry")
-def step_around(context, key):
-    value = reading.read_state(context.store).value_by_key[key]
+def step_unaudited_write(context, key):
+    value = reader.read_state(context.store).value_by_key[key]
     write = rows.Write(layout.TABLE, key, value | {"weight": 9.0})
     context.store.commit(rows.Transaction("around", (), (write,)))
 
@@ -100,7 +100,7 @@
         if key == "teams/kaban"
     }
     only = document.Document(frozenset({"teams", "limits"}), teams, ())
-    helpers.apply(context, "ann", planning.declaring(only))
+    helpers.apply(context, "ann", planning.apply_declaration(only))
 
 
 @behave.when("ann applies {count:d} teams")
@@ -111,7 +111,9 @@
     }
     context.keys = set(values)
     many = document.Document(frozenset({"teams", "limits"}), values, ())
-    helpers.apply(context, "ann", planning.declaring(many, removals=True))
+    helpers.apply(
+        context, "ann", planning.apply_declaration(many, allow_removals=True)
+    )
 
 
 @behave.when("ann applies {count:d} of {total:d} teams {option}")
@@ -122,10 +124,12 @@
             for i in range(most)
         }
         some = document.Document(frozenset({"teams"}), values, ())
-        # The limit on the example's team has to go with it.
+        # The example's limit refers to its team and is removed with it.
         some = some._replace(sections=some.sections | {"limits"})
         allowed = most == total or option == "and allows removals"
-        helpers.apply(context, "ann", planning.declaring(some, allowed))
+        helpers.apply(
+            context, "ann", planning.apply_declaration(some, allowed)
+        )
 
 
 @behave.then("the edit is {outcome}")
@@ -139,15 +143,15 @@
     assert _version(context) == version, _version(context)
 
 
-@behave.then("once late writes have landed the table is at version {v:d}")
+@behave.then("after delayed writes the table is at version {v:d}")
 def step_landed(context, v):
-    context.link.land()
+    context.connection.land()
     assert _version(context) == v, _version(context)
 
 
 @behave.then("each version has one audit entry")
 def step_entries(context):
-    entries = audit.since(context.store, 0, _version(context))
+    entries = audit.read_range(context.store, 0, _version(context))
     assert not missing.is_missing(entries), entries
     after = audit.read(context.store, len(entries) + 1)
     assert isinstance(after, missing.NotFound), after
@@ -174,22 +178,22 @@
     step_shows(context, key, column, a, b)
 
 
-@behave.then("who won could not be read")
+@behave.then("the conflict says why the other edits could not be read")
 def step_unread(context):
     assert not context.done.winners
-    assert context.done.lost == "no reads"
+    assert context.done.unread_reason == "no reads"
 
 
-@behave.then("the table says what it said at version 1")
+@behave.then("the table has the rows of version 1")
 def step_as_before(context):
     first = audit.read(context.store, 1)
     values = {change.key: change.after for change in first.changes}
-    assert reading.read_state(context.store).value_by_key == values
+    assert reader.read_state(context.store).value_by_key == values
 
 
 @behave.then("{key} is still there")
 def step_there(context, key):
-    assert key in reading.read_state(context.store).value_by_key
+    assert key in reader.read_state(context.store).value_by_key
 
 
 @behave.then("the entry of version 2 holds every changed row")
@@ -205,7 +209,7 @@
     context.count_by_name = machinery.run(name)
 
 
-@behave.then("each of its promises was looked at")
-def step_looked(context):
+@behave.then("each of its invariants was checked")
+def step_checked(context):
     assert all(context.count_by_name.values())
     assert len(context.count_by_name) == 2
