--- a/src/citronvalve/once/sweeper.py
+++ b/src/citronvalve/once/sweeper.py
@@ -142,9 +142,9 @@
 
     def _delete_chunk(self, chunk: list[_IndexRow]) -> int | None:
         version_by_row_key = {
-            place: listed.version
-            for listed in chunk
-            for place in listed.row_keys
+            row_key: index_row.version
+            for index_row in chunk
+            for row_key in index_row.row_keys
         }
         for index_row in chunk:
             for name in index_row.objects:
@@ -164,9 +164,9 @@
                 row.key: row.version for row in result.rows
             }
             version_by_row_key = {
-                place: version
-                for place, version in version_by_row_key.items()
-                if current_version_by_row_key.get(place) == version
+                row_key: version
+                for row_key, version in version_by_row_key.items()
+                if current_version_by_row_key.get(row_key) == version
             }
         return None
 
@@ -197,14 +197,17 @@
     return rows.Transaction(
         "sweep",
         tuple(
-            rows.Condition(records.TABLE, place, version)
-            for place, version in version_by_row_key.items()
+            rows.Condition(records.TABLE, row_key, version)
+            for row_key, version in version_by_row_key.items()
         ),
         (
             *(
-                rows.Write(records.TABLE, place, None)
-                for place in version_by_row_key
+                rows.Write(records.TABLE, row_key, None)
+                for row_key in version_by_row_key
+            ),
+            *(
+                rows.Write(index_row.table, index_row.key, None)
+                for index_row in chunk
             ),
-            *(rows.Write(listed.table, listed.key, None) for listed in chunk),
         ),
     )
