--- a/src/citronvalve/table/reconcileschedule.py
+++ b/src/citronvalve/table/reconcileschedule.py
@@ -16,13 +16,13 @@
 #: that start together do not read together.
 _JITTER = 0.2
 
-#: Minimum time between comparisons that a peer causes: a peer whose own
-#: table is wrong may differ for long.
+#: Minimum time between a comparison and the next one that a peer causes: a
+#: peer whose own table is wrong may differ for long.
 _MIN_INTERVAL: clock.Ms = clock.MINUTE
 
 
 class ReconcileSchedule:
-    """Schedules watchers by time, other daemons when a peer differs.
+    """Schedules watchers by time, and any daemon when a peer differs.
 
     :param rng: source of the jitter.
     """
--- a/tests/table/edits.feature
+++ b/tests/table/edits.feature
@@ -37,7 +37,7 @@
     sends the same transaction again: its condition lets only one of the two
     take effect, and the audit entry identifies the edit.
 
-    Given the commits of ann meet <fates>
+    Given the store applies <fates> to the commits of ann
     When ann sets teams/kaban weight to 5 because "busy week"
     Then the edit is <outcome>
     And after delayed writes the table is at version <version>
--- a/tests/table/steps/edits_steps.py
+++ b/tests/table/steps/edits_steps.py
@@ -61,7 +61,7 @@
     link.before_commit = both
 
 
-@behave.given("the commits of ann meet {fates}")
+@behave.given("the store applies {fates} to the commits of ann")
 def step_fates(context, fates):
     helpers.connection(context).fates.extend(
         map(hostiletable.Fate, fates.split(", "))
