--- a/src/citronvalve/cli/changes.py
+++ b/src/citronvalve/cli/changes.py
@@ -7,18 +7,20 @@
 from citronvalve.cli import report
 from citronvalve.table import edit
 
-_HEADS = ("", "row", "column", "before", "after")
+_HEADERS = ("", "row", "column", "before", "after")
 
 
-def grid(changes: Iterable[edit.Change]) -> str:
+def format_table(changes: Iterable[edit.Change]) -> str:
     """Return the changes as text; ``+`` is new, ``-`` gone, ``~`` changed.
 
     :param changes: of one edit.
     """
-    return report.grid(_HEADS, (line for c in changes for line in _lines(c)))
+    return report.format_table(
+        _HEADERS, (line for c in changes for line in _lines(c))
+    )
 
 
-def body(changes: Iterable[edit.Change]) -> list[dict[str, Any]]:
+def to_dicts(changes: Iterable[edit.Change]) -> list[dict[str, Any]]:
     """Return the changes for programs.
 
     :param changes: of one edit.
@@ -28,9 +30,9 @@
 
 def _lines(change: edit.Change) -> Iterator[tuple]:
     if change.before is None:
-        yield ("+", change.key, "", "no row", _short(change.after))
+        yield ("+", change.key, "", "no row", _format_row(change.after))
     elif change.after is None:
-        yield ("-", change.key, "", _short(change.before), "no row")
+        yield ("-", change.key, "", _format_row(change.before), "no row")
     else:
         columns = sorted(change.before.keys() | change.after.keys())
         for column in columns:
@@ -40,5 +42,5 @@
                 yield ("~", change.key, column, before, after)
 
 
-def _short(row: dict[str, Any]) -> str:
+def _format_row(row: dict[str, Any]) -> str:
     return " ".join(f"{k}={v}" for k, v in row.items() if k != "name")
--- a/src/citronvalve/cli/checking.py
+++ b/src/citronvalve/cli/checking.py
@@ -16,21 +16,21 @@
         settings = importlib.import_module("citronvalve.daemon.settings")
     except ModuleNotFoundError:
         text = "this build holds no daemon, and can't check its settings"
-        return _wrong((text,), "install the daemon's package")
+        return _invalid((text,), "install the daemon's package")
     try:
         settings.load(file)
     except errors.SettingsError as error:
-        found = getattr(error, "mistakes", ()) or (error,)
-        return _wrong(tuple(str(each) for each in found), error.remedy)
+        problems = getattr(error, "mistakes", ()) or (error,)
+        return _invalid(tuple(str(each) for each in problems), error.remedy)
     return report.Report(
         exitcode.ExitCode.OK, f"{file} is right", {"outcome": "ok"}
     )
 
 
-def _wrong(found: tuple[str, ...], remedy: str) -> report.Report:
+def _invalid(problems: tuple[str, ...], remedy: str) -> report.Report:
     return report.Report(
         exitcode.ExitCode.BAD_INPUT,
-        "\n".join(found),
-        {"outcome": "mistakes", "mistakes": found},
+        "\n".join(problems),
+        {"outcome": "mistakes", "mistakes": problems},
         remedy or "mend the settings above",
     )
--- a/src/citronvalve/cli/daemons.py
+++ b/src/citronvalve/cli/daemons.py
@@ -17,12 +17,12 @@
 DAEMONS_VARIABLE = "CITRONVALVE_DAEMONS"
 
 #: Daemons asked at once; a fleet of 1,600 is asked through a few of them.
-_AT_ONCE = 32
+_MAX_PARALLEL_QUERIES = 32
 
 _TIMEOUT_SECONDS = 3.0
 
 
-class Told(msgspec.Struct):
+class DaemonStatus(msgspec.Struct):
     """What is read of a daemon's answer; later releases may tell more.
 
     ``silent``: members that have not confirmed this daemon's version, as
@@ -40,21 +40,23 @@
     table_trouble: str = ""
 
 
-class Asked(NamedTuple):
+class QueryResult(NamedTuple):
     """A daemon's address, and what it told."""
 
     address: str
-    told: Told | missing.Unavailable
+    status: DaemonStatus | missing.Unavailable
 
 
-def addresses(given: Iterable[str]) -> list[str]:
+def addresses(arguments: Iterable[str]) -> list[str]:
     """Return the operators' addresses to ask.
 
     :param given: from the command line; none takes the environment's.
     :raises errors.SettingsError: when there are none.
     """
-    named = os.environ.get(DAEMONS_VARIABLE, "")
-    found = list(given) or [each for each in named.split(",") if each]
+    from_environment = os.environ.get(DAEMONS_VARIABLE, "")
+    found = list(arguments) or [
+        each for each in from_environment.split(",") if each
+    ]
     if not found:
         raise errors.SettingsError(
             "no daemon is named",
@@ -65,25 +67,25 @@
     return found
 
 
-def ask(address_by_number: list[str]) -> list[Asked]:
+def query_all(daemon_addresses: list[str]) -> list[QueryResult]:
     """Ask daemons for their status.
 
     :param address_by_number: host:port of each operators' port.
     """
-    with concurrent.futures.ThreadPoolExecutor(_AT_ONCE) as pool:
-        return list(pool.map(_ask_one, address_by_number))
+    with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_QUERIES) as pool:
+        return list(pool.map(_query_one, daemon_addresses))
 
 
-def _ask_one(address: str) -> Asked:
+def _query_one(address: str) -> QueryResult:
     url = f"http://{address.removeprefix('http://').rstrip('/')}/status"
     try:
-        answer = urllib3.request(
+        response = urllib3.request(
             "GET", url, retries=False, timeout=_TIMEOUT_SECONDS
         )
-        told: Any = msgspec.json.decode(answer.data, type=Told)
+        status: Any = msgspec.json.decode(response.data, type=DaemonStatus)
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-        told = missing.Unavailable(str(error), url)
-    return Asked(address, told)
+        status = missing.Unavailable(str(error), url)
+    return QueryResult(address, status)
 
 
 #: Exit code by how a daemon stands, the worst last.
--- a/src/citronvalve/cli/editing.py
+++ b/src/citronvalve/cli/editing.py
@@ -27,24 +27,24 @@
     :param allow_removals: most rows of a section may go.
     :param platform: URL of the platform.
     """
-    declaration = _read(file)
+    declaration = _read_declaration(file)
     if declaration.mistakes:
-        return outcomes.mistakes(declaration.mistakes)
+        return outcomes.mistakes_report(declaration.mistakes)
     wanted = planning.declaring(declaration, allow_removals)
-    planned = session.edits(platform).plan(wanted)
+    planned = session.open_editor(platform).plan(wanted)
     if missing.is_missing(planned):
-        return outcomes.unavailable(planned)
+        return outcomes.unavailable_report(planned)
     if planned.mistakes:
-        return outcomes.mistakes(planned.mistakes)
+        return outcomes.mistakes_report(planned.mistakes)
     body = {
         "outcome": "planned",
         "base": planned.base,
-        "changes": changes.body(planned.changes),
+        "changes": changes.to_dicts(planned.changes),
     }
     text = f"no change: version {planned.base} already says this"
     if planned.changes:
         text = (
-            f"{changes.grid(planned.changes)}\n"
+            f"{changes.format_table(planned.changes)}\n"
             f"{len(planned.changes)} rows change; to make just this edit: "
             f"citronvalve apply {file} --expect {planned.base}"
         )
@@ -69,12 +69,14 @@
     :param allow_removals: most rows of a section may go.
     :param platform: URL of the platform.
     """
-    declaration = _read(file)
+    declaration = _read_declaration(file)
     if declaration.mistakes:
-        return outcomes.mistakes(declaration.mistakes)
+        return outcomes.mistakes_report(declaration.mistakes)
     wanted = planning.declaring(declaration, allow_removals)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def set_row(
@@ -97,17 +99,19 @@
     :param platform: URL of the platform.
     """
     value_by_column = {}
-    for word in columns:
-        column, equals, value = word.partition("=")
-        if not equals:
-            wrong = mistake.Mistake(
-                key, word, word, "no value", "write column=value"
+    for assignment in columns:
+        column, separator, value = assignment.partition("=")
+        if not separator:
+            missing_value = mistake.Mistake(
+                key, assignment, assignment, "no value", "write column=value"
             )
-            return outcomes.mistakes((wrong,))
-        value_by_column[column] = _value(value)
+            return outcomes.mistakes_report((missing_value,))
+        value_by_column[column] = _parse_value(value)
     wanted = rowedits.setting(key, value_by_column, new)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def remove_row(
@@ -128,7 +132,9 @@
     """
     wanted = rowedits.removing(key)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def revert(
@@ -148,17 +154,19 @@
     :param platform: URL of the platform.
     """
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).revert(version, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).revert(version, author, expect)
+    )
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return json5.loads(text)
     except ValueError:
         return text
 
 
-def _read(file: str) -> document.Document:
+def _read_declaration(file: str) -> document.Document:
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/citronvalve/cli/explaining.py
+++ b/src/citronvalve/cli/explaining.py
@@ -12,9 +12,9 @@
 
 #: What changed at an upstream this long before a request's end may be the
 #: cause of it: a replica that stands still tells so after four seconds.
-_BEFORE: clock.Ms = 6_000
+_LOOKBACK: clock.Ms = 6_000
 
-_OF_EVERY_LINE = ("wall_ms", "at_ms", "event", "daemon", "datacentre")
+_COMMON_FIELDS = ("wall_ms", "at_ms", "event", "daemon", "datacentre")
 
 _Line = dict[str, Any]
 
@@ -38,8 +38,8 @@
             {"outcome": "unreadable"},
             "name log files that can be read",
         )
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+    own_lines = [line for line in lines if line.get("request") == request]
+    if not own_lines:
         return report.Report(
             exitcode.ExitCode.REFUSED,
             f"no line tells of {request} in {len(lines)} lines",
@@ -47,17 +47,19 @@
             "give the logs of every daemon of that time; the id may be of "
             "another try, or its lines were dropped under load",
         )
-    story = sorted([*own, *_around(lines, own)], key=_wall)
-    began = min(map(_wall, own))
-    text = "\n".join(_told(line, began) for line in story)
+    timeline = sorted(
+        [*own_lines, *_related_lines(lines, own_lines)], key=_wall_time
+    )
+    started_at = min(map(_wall_time, own_lines))
+    text = "\n".join(_format_line(line, started_at) for line in timeline)
     return report.Report(
-        exitcode.ExitCode.OK, text, {"outcome": "ok", "lines": story}
+        exitcode.ExitCode.OK, text, {"outcome": "ok", "lines": timeline}
     )
 
 
 def _read(file: str) -> Iterable[_Line]:
-    with pathlib.Path(file).open(encoding="utf-8", errors="replace") as read:
-        for text in read:
+    with pathlib.Path(file).open(encoding="utf-8", errors="replace") as stream:
+        for text in stream:
             # Collectors put their own words before a line.
             start = text.find("{")
             if start < 0:
@@ -70,19 +72,19 @@
                 yield line
 
 
-def _around(lines: list[_Line], own: list[_Line]) -> list[_Line]:
-    until = max(map(_wall, own))
-    since = min(map(_wall, own)) - _BEFORE
-    upstreams = {line["upstream"] for line in own if "upstream" in line}
+def _related_lines(lines: list[_Line], own_lines: list[_Line]) -> list[_Line]:
+    until = max(map(_wall_time, own_lines))
+    since = min(map(_wall_time, own_lines)) - _LOOKBACK
+    upstreams = {line["upstream"] for line in own_lines if "upstream" in line}
     groups = {
         line["group"]
         for line in lines
         if line.get("runner") in upstreams and line.get("group")
     }
     seen: set[tuple] = set()
-    found = []
-    for line in sorted(lines, key=_wall):
-        if line.get("request") or not since <= _wall(line) <= until:
+    related = []
+    for line in sorted(lines, key=_wall_time):
+        if line.get("request") or not since <= _wall_time(line) <= until:
             continue
         about = {line.get("upstream"), line.get("runner")} & upstreams
         if not about and line.get("group") not in groups:
@@ -94,19 +96,21 @@
         )
         if key not in seen:
             seen.add(key)
-            found.append(line)
-    return found
+            related.append(line)
+    return related
 
 
-def _wall(line: _Line) -> clock.Ms:
+def _wall_time(line: _Line) -> clock.Ms:
     return int(line.get("wall_ms", 0))
 
 
-def _told(line: _Line, began: clock.Ms) -> str:
-    inputs = " ".join(
+def _format_line(line: _Line, started_at: clock.Ms) -> str:
+    fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in _OF_EVERY_LINE and name != "request"
+        if name not in _COMMON_FIELDS and name != "request"
+    )
+    offset = _wall_time(line) - started_at
+    return (
+        f"{offset:+7d} ms  {line.get('daemon', '')}  {line['event']}: {fields}"
     )
-    at = _wall(line) - began
-    return f"{at:+7d} ms  {line.get('daemon', '')}  {line['event']}: {inputs}"
--- a/src/citronvalve/cli/grouping.py
+++ b/src/citronvalve/cli/grouping.py
@@ -4,10 +4,10 @@
 from typing import NamedTuple
 
 from citronvalve.cli import exitcode
-from citronvalve.cli import moments
 from citronvalve.cli import outcomes
 from citronvalve.cli import report
 from citronvalve.cli import session
+from citronvalve.cli import timestamps
 from citronvalve.groups import phase
 from citronvalve.groups import record
 from citronvalve.groups import rowcache
@@ -19,11 +19,11 @@
 from citronvalve.table import mistake
 from citronvalve.table import reading
 
-_HEADS = ("group", "datacentre", "state", "since", "reason", "domain", "vms")
-_SHORT = "fewer VMs of one domain are free than the group needs"
+_HEADERS = ("group", "datacentre", "state", "since", "reason", "domain", "vms")
+_TOO_FEW_VMS = "fewer VMs of one domain are free than the group needs"
 
 
-class _Shown(NamedTuple):
+class _GroupRow(NamedTuple):
     """One group, or one replica that has no VMs yet."""
 
     group: str
@@ -44,25 +44,25 @@
     :param names: declared groups; none shows all.
     :param platform: URL of the platform.
     """
-    service = session.table(platform)
+    service = session.open_table(platform)
     try:
         table = reading.read(service)
     except mistake.MistakesError as error:
-        return outcomes.mistakes(error.mistakes)
+        return outcomes.mistakes_report(error.mistakes)
     if missing.is_missing(table):
-        return outcomes.unavailable(table)
+        return outcomes.unavailable_report(table)
     wanted = [
         each
         for name, each in sorted(table.group_by_name.items())
         if not names or name in names
     ]
-    shown: list[_Shown] = []
+    rows: list[_GroupRow] = []
     for each in wanted:
         records = _records(service, each)
         if missing.is_missing(records):
-            return outcomes.unavailable(records)
-        shown += _of_declared(each, records)
-    return _report(shown)
+            return outcomes.unavailable_report(records)
+        rows += _group_rows(each, records)
+    return _report(rows)
 
 
 def _records(
@@ -71,17 +71,17 @@
     scan = service.scan(rowcache.groups_table(group.datacentre))
     if missing.is_missing(scan):
         return scan
-    known = rowcache.RowCache(group.datacentre, invariant.Invariants())
-    known.apply_groups(scan)
-    records = known.record_by_group.values()
+    cache = rowcache.RowCache(group.datacentre, invariant.Invariants())
+    cache.apply_groups(scan)
+    records = cache.record_by_group.values()
     return [each for each in records if each.declared == group.name]
 
 
-def _of_declared(
+def _group_rows(
     group: declared.Group, records: list[record.GroupRecord]
-) -> Iterator[_Shown]:
+) -> Iterator[_GroupRow]:
     for each in records:
-        yield _Shown(
+        yield _GroupRow(
             each.name,
             group.datacentre,
             each.phase,
@@ -94,24 +94,24 @@
             each.fence,
         )
     for _ in range(group.replicas - len(records)):
-        yield _Shown(
-            group.name, group.datacentre, phase.Phase.PLANNED, 0, _SHORT
+        yield _GroupRow(
+            group.name, group.datacentre, phase.Phase.PLANNED, 0, _TOO_FEW_VMS
         )
 
 
-def _report(shown: list[_Shown]) -> report.Report:
+def _report(rows: list[_GroupRow]) -> report.Report:
     lines = (
         (
             each.group,
             each.datacentre,
             each.state,
-            moments.text(each.since) if each.since else None,
+            timestamps.format_utc(each.since) if each.since else None,
             each.reason,
             each.domain or None,
             each.vms or None,
         )
-        for each in shown
+        for each in rows
     )
-    body = {"groups": [each._asdict() for each in shown]}
-    text = report.grid(_HEADS, lines)
+    body = {"groups": [each._asdict() for each in rows]}
+    text = report.format_table(_HEADERS, lines)
     return report.Report(exitcode.ExitCode.OK, text, body)
--- a/src/citronvalve/cli/main.py
+++ b/src/citronvalve/cli/main.py
@@ -13,7 +13,7 @@
 from citronvalve.cli import editing
 from citronvalve.cli import explaining
 from citronvalve.cli import grouping
-from citronvalve.cli import looking
+from citronvalve.cli import queries
 from citronvalve.cli import reference
 from citronvalve.cli import report
 from citronvalve.cli import status
@@ -26,7 +26,7 @@
 
     @functools.wraps(run)
     def command(*args, json: bool = False, **options) -> int:
-        return _tell(run(*args, **options), json)
+        return _print_report(run(*args, **options), json)
 
     signature = inspect.signature(run)
     option = inspect.Parameter(
@@ -45,17 +45,17 @@
     return command
 
 
-def _tell(done: report.Report, as_json: bool) -> int:
-    code = int(done.code)
+def _print_report(result: report.Report, as_json: bool) -> int:
+    code = int(result.code)
     if as_json:
-        body = {"exit_code": code, **done.body}
-        if done.remedy:
-            body["remedy"] = done.remedy
+        body = {"exit_code": code, **result.body}
+        if result.remedy:
+            body["remedy"] = result.remedy
         print(msgspec.json.encode(body).decode())
         return code
-    print(done.text)
-    if done.remedy:
-        print(f"remedy: {done.remedy}", file=sys.stderr)
+    print(result.text)
+    if result.remedy:
+        print(f"remedy: {result.remedy}", file=sys.stderr)
     return code
 
 
@@ -63,14 +63,14 @@
     "plan": _command(editing.plan),
     "apply": _command(editing.apply),
     "table": {
-        "show": _command(looking.show),
+        "show": _command(queries.show),
         "columns": _command(reference.columns),
-        "history": _command(looking.history),
+        "history": _command(queries.history),
         "set": _command(editing.set_row),
         "remove": _command(editing.remove_row),
         "revert": _command(editing.revert),
     },
-    "audit": _command(looking.trail),
+    "audit": _command(queries.trail),
     "status": _command(status.status),
     "groups": _command(grouping.groups),
     "explain": _command(explaining.explain),
--- a/src/citronvalve/cli/outcomes.py
+++ b/src/citronvalve/cli/outcomes.py
@@ -5,8 +5,8 @@
 
 from citronvalve.cli import changes
 from citronvalve.cli import exitcode
-from citronvalve.cli import moments
 from citronvalve.cli import report
+from citronvalve.cli import timestamps
 from citronvalve.model import missing
 from citronvalve.table import edit
 from citronvalve.table import mistake
@@ -14,26 +14,26 @@
 _Code = exitcode.ExitCode
 
 
-def of(outcome: edit.Outcome) -> report.Report:
+def edit_report(outcome: edit.Outcome) -> report.Report:
     """Return the report of an edit.
 
     :param outcome: what the editor returned.
     """
-    for kind, tell in _TELL_BY_KIND.items():
-        if isinstance(outcome, kind):
-            return tell(outcome)
+    for outcome_type, make_report in _REPORT_BY_TYPE.items():
+        if isinstance(outcome, outcome_type):
+            return make_report(outcome)
     raise TypeError(f"no report for {outcome!r}")
 
 
-def mistakes(found: Iterable[mistake.Mistake]) -> report.Report:
+def mistakes_report(found: Iterable[mistake.Mistake]) -> report.Report:
     """Return the report of a declaration that is wrong.
 
     :param found: everything that is wrong with it.
     """
     found = tuple(found)
-    heads = ("row", "column", "value", "why", "remedy")
+    headers = ("row", "column", "value", "why", "remedy")
     lines = ((*m[:2], repr(m.value), m.why, m.remedy) for m in found)
-    text = report.grid(heads, lines)
+    text = report.format_table(headers, lines)
     return report.Report(
         _Code.BAD_INPUT,
         f"{len(found)} mistakes; nothing was changed\n{text}",
@@ -42,15 +42,19 @@
     )
 
 
-def unavailable(lost: missing.Missing) -> report.Report:
+def unavailable_report(failure: missing.Missing) -> report.Report:
     """Return the report of a platform that could not be asked.
 
     :param lost: what came back instead of an answer.
     """
     return report.Report(
         _Code.UNAVAILABLE,
-        f"the platform could not be asked: {lost.reason} ({lost.where})",
-        {"outcome": "unavailable", "reason": lost.reason, "at": lost.where},
+        f"the platform could not be asked: {failure.reason} ({failure.where})",
+        {
+            "outcome": "unavailable",
+            "reason": failure.reason,
+            "at": failure.where,
+        },
         "nothing was changed; check --platform and run it again",
     )
 
@@ -60,20 +64,20 @@
 
     :param entry: as read.
     """
-    return entry._asdict() | {"changes": changes.body(entry.changes)}
+    return entry._asdict() | {"changes": changes.to_dicts(entry.changes)}
 
 
 def _accepted(outcome: edit.Accepted) -> report.Report:
     return report.Report(
         _Code.OK,
-        f"{changes.grid(outcome.changes)}\n"
+        f"{changes.format_table(outcome.changes)}\n"
         f"committed as version {outcome.version}; `citronvalve status` shows "
         "when it is in force everywhere",
         {
             "outcome": "accepted",
             "version": outcome.version,
             "edit": outcome.edit,
-            "changes": changes.body(outcome.changes),
+            "changes": changes.to_dicts(outcome.changes),
         },
     )
 
@@ -87,10 +91,10 @@
 
 
 def _refused(outcome: edit.Refused) -> report.Report:
-    return mistakes(outcome.mistakes)
+    return mistakes_report(outcome.mistakes)
 
 
-def _outrun(outcome: edit.Outrun) -> report.Report:
+def _conflict(outcome: edit.Outrun) -> report.Report:
     lines = [
         f"conflict: the edit was made for version {outcome.expected}, the "
         f"table is at {outcome.version}; nothing was changed"
@@ -98,9 +102,9 @@
     for entry in outcome.winners:
         lines.append(
             f"version {entry.version} by {entry.who} at "
-            f"{moments.text(entry.at)}: {entry.why}"
+            f"{timestamps.format_utc(entry.at)}: {entry.why}"
         )
-        lines.append(changes.grid(entry.changes))
+        lines.append(changes.format_table(entry.changes))
     if outcome.lost:
         lines.append(f"who changed it could not be read: {outcome.lost}")
     return report.Report(
@@ -134,11 +138,11 @@
     )
 
 
-_TELL_BY_KIND = {
+_REPORT_BY_TYPE = {
     edit.Accepted: _accepted,
     edit.Unchanged: _unchanged,
     edit.Refused: _refused,
-    edit.Outrun: _outrun,
+    edit.Outrun: _conflict,
     edit.Unknown: _unknown,
-    missing.Missing: unavailable,
+    missing.Missing: unavailable_report,
 }
--- a/src/citronvalve/cli/looking.py
+++ b/src/citronvalve/cli/queries.py
@@ -4,10 +4,10 @@
 
 from citronvalve.cli import changes
 from citronvalve.cli import exitcode
-from citronvalve.cli import moments
 from citronvalve.cli import outcomes
 from citronvalve.cli import report
 from citronvalve.cli import session
+from citronvalve.cli import timestamps
 from citronvalve.model import missing
 from citronvalve.storage import tableservice
 from citronvalve.table import audit
@@ -22,9 +22,9 @@
     :param sections: which sections; none shows all.
     :param platform: URL of the platform.
     """
-    stored = reading.read_state(session.table(platform))
+    stored = reading.read_state(session.open_table(platform))
     if missing.is_missing(stored):
-        return outcomes.unavailable(stored)
+        return outcomes.unavailable_report(stored)
     by_section: dict[str, dict] = collections.defaultdict(dict)
     for key, value in sorted(stored.value_by_key.items()):
         section, _, name = key.partition(layout.SEPARATOR)
@@ -32,13 +32,13 @@
             by_section[section][name] = value
     text = [f"version {stored.version}"]
     for section, row_by_name in by_section.items():
-        heads = [c for c in next(iter(row_by_name.values())) if c != "name"]
+        headers = [c for c in next(iter(row_by_name.values())) if c != "name"]
         lines = (
-            [name, *(row.get(head) for head in heads)]
+            [name, *(row.get(head) for head in headers)]
             for name, row in row_by_name.items()
         )
         text.append(f"\n{section}")
-        text.append(report.grid(["name", *heads], lines))
+        text.append(report.format_table(["name", *headers], lines))
     return report.Report(
         exitcode.ExitCode.OK,
         "\n".join(text),
@@ -52,16 +52,18 @@
     :param last: how many.
     :param platform: URL of the platform.
     """
-    entries = _latest(session.table(platform), last)
+    entries = _latest_entries(session.open_table(platform), last)
     if missing.is_missing(entries):
-        return outcomes.unavailable(entries)
-    heads = ("version", "at", "who", "rows", "why")
+        return outcomes.unavailable_report(entries)
+    headers = ("version", "at", "who", "rows", "why")
     lines = (
-        (e.version, moments.text(e.at), e.who, len(e.changes), e.why)
+        (e.version, timestamps.format_utc(e.at), e.who, len(e.changes), e.why)
         for e in entries
     )
     body = {"edits": [outcomes.entry_body(entry) for entry in entries]}
-    return report.Report(exitcode.ExitCode.OK, report.grid(heads, lines), body)
+    return report.Report(
+        exitcode.ExitCode.OK, report.format_table(headers, lines), body
+    )
 
 
 def trail(*versions: int, last: int = 5, platform: str = "") -> report.Report:
@@ -71,25 +73,25 @@
     :param last: how many of the latest.
     :param platform: URL of the platform.
     """
-    service = session.table(platform)
+    service = session.open_table(platform)
     entries = (
         tuple(audit.read(service, version) for version in versions)
         if versions
-        else _latest(service, last)
+        else _latest_entries(service, last)
     )
     if missing.is_missing(entries):
-        return outcomes.unavailable(entries)
+        return outcomes.unavailable_report(entries)
     for entry in entries:
         if isinstance(entry, missing.NotFound):
-            return _no_entry(entry)
+            return _entry_not_found(entry)
         if missing.is_missing(entry):
-            return outcomes.unavailable(entry)
-    text = "\n\n".join(_entry(entry) for entry in entries)
+            return outcomes.unavailable_report(entry)
+    text = "\n\n".join(_format_entry(entry) for entry in entries)
     body = {"edits": [outcomes.entry_body(entry) for entry in entries]}
     return report.Report(exitcode.ExitCode.OK, text, body)
 
 
-def _latest(
+def _latest_entries(
     service: tableservice.TableService, last: int
 ) -> tuple[edit.Entry, ...] | missing.Missing:
     head = service.read(layout.TABLE, layout.HEAD)
@@ -101,18 +103,19 @@
     return audit.since(service, max(0, version - last), version)
 
 
-def _entry(entry: edit.Entry) -> str:
+def _format_entry(entry: edit.Entry) -> str:
     return (
-        f"version {entry.version} by {entry.who} at {moments.text(entry.at)}"
-        f" (edit {entry.edit})\nwhy: {entry.why}\n"
-        f"{changes.grid(entry.changes)}"
+        f"version {entry.version} by {entry.who} at "
+        f"{timestamps.format_utc(entry.at)} (edit {entry.edit})\n"
+        f"why: {entry.why}\n"
+        f"{changes.format_table(entry.changes)}"
     )
 
 
-def _no_entry(absent: missing.NotFound) -> report.Report:
+def _entry_not_found(not_found: missing.NotFound) -> report.Report:
     return report.Report(
         exitcode.ExitCode.REFUSED,
-        f"no such audit entry: {absent.where}",
-        {"outcome": "not-found", "at": absent.where},
+        f"no such audit entry: {not_found.where}",
+        {"outcome": "not-found", "at": not_found.where},
         "see `citronvalve table history` for the versions there are",
     )
--- a/src/citronvalve/cli/reference.py
+++ b/src/citronvalve/cli/reference.py
@@ -9,7 +9,7 @@
 from citronvalve.cli import report
 from citronvalve.table import kinds
 
-_HEADS = ("section", "column", "takes", "default", "bounds", "because")
+_HEADERS = ("section", "column", "takes", "default", "bounds", "because")
 
 _NAME_BY_TYPE = {
     str: "text",
@@ -36,15 +36,15 @@
         line
         for kind in kinds.KIND_BY_SECTION.values()
         if not sections or kind.section in sections
-        for line in lines_of(kind)
+        for line in column_lines(kind)
     ]
-    body = {"columns": [dict(zip(_HEADS, n, strict=True)) for n in lines]}
+    body = {"columns": [dict(zip(_HEADERS, n, strict=True)) for n in lines]}
     return report.Report(
-        exitcode.ExitCode.OK, report.grid(_HEADS, lines), body
+        exitcode.ExitCode.OK, report.format_table(_HEADERS, lines), body
     )
 
 
-def lines_of(kind: kinds.Kind) -> Iterator[tuple]:
+def column_lines(kind: kinds.Kind) -> Iterator[tuple]:
     """Return one line for each column of a kind.
 
     :param kind: of row.
@@ -54,22 +54,22 @@
         yield (
             kind.section,
             column.name,
-            _takes(column.type),
-            "required" if column.required else _plain(column.default),
+            _type_text(column.type),
+            "required" if column.required else _default_text(column.default),
             bound.span if bound else "",
             bound.reason if bound else "",
         )
 
 
-def _takes(kind: Any) -> str:
-    if isinstance(kind, type) and issubclass(kind, enum.Enum):
-        return " or ".join(str(each.value) for each in kind)
-    if typing.get_origin(kind) is tuple:
+def _type_text(column_type: Any) -> str:
+    if isinstance(column_type, type) and issubclass(column_type, enum.Enum):
+        return " or ".join(str(each.value) for each in column_type)
+    if typing.get_origin(column_type) is tuple:
         return "list of texts"
-    return _NAME_BY_TYPE[kind]
+    return _NAME_BY_TYPE[column_type]
 
 
-def _plain(value: Any) -> str:
+def _default_text(value: Any) -> str:
     if isinstance(value, tuple):
         return ", ".join(value)
     if isinstance(value, bool):
--- a/src/citronvalve/cli/session.py
+++ b/src/citronvalve/cli/session.py
@@ -12,34 +12,34 @@
 #: Names the platform for all commands of a shell.
 PLATFORM_VARIABLE = "CITRONVALVE_PLATFORM"
 
-_DEFAULT = "http://127.0.0.1:7300"
+_DEFAULT_PLATFORM = "http://127.0.0.1:7300"
 
 #: An operator waits for it; a store that is slow but alive still answers.
 _TIMEOUT: clock.Ms = 10_000
 
 #: First wait before an edit with a lost answer is settled again, in s.
-_FIRST_PAUSE = 0.25
+_FIRST_PAUSE_SECONDS = 0.25
 
 
-def table(platform: str) -> httptable.HttpTable:
+def open_table(platform: str) -> httptable.HttpTable:
     """Return the table service.
 
     :param platform: URL, or empty for that of the environment.
     """
-    address = platform or os.environ.get(PLATFORM_VARIABLE, _DEFAULT)
+    address = platform or os.environ.get(PLATFORM_VARIABLE, _DEFAULT_PLATFORM)
     address = address.removeprefix("http://").rstrip("/")
     return httptable.HttpTable(client.PlatformClient(address, _TIMEOUT))
 
 
-def edits(platform: str) -> editor.Editor:
+def open_editor(platform: str) -> editor.Editor:
     """Return an editor of the table.
 
     :param platform: URL, or empty for that of the environment.
     """
-    chance = random.SystemRandom()
+    rng = random.SystemRandom()
 
     def pause(tried: int) -> None:
         # Doubled and spread out: many tools may be waiting for one store.
-        time.sleep(_FIRST_PAUSE * 2**tried * chance.uniform(0.5, 1))
+        time.sleep(_FIRST_PAUSE_SECONDS * 2**tried * rng.uniform(0.5, 1))
 
-    return editor.Editor(table(platform), clock.SystemClock(), chance, pause)
+    return editor.Editor(open_table(platform), clock.SystemClock(), rng, pause)
--- a/src/citronvalve/cli/status.py
+++ b/src/citronvalve/cli/status.py
@@ -6,15 +6,15 @@
 
 from citronvalve.cli import daemons
 from citronvalve.cli import exitcode
-from citronvalve.cli import moments
 from citronvalve.cli import report
 from citronvalve.cli import session
+from citronvalve.cli import timestamps
 from citronvalve.model import errors
 from citronvalve.model import missing
 from citronvalve.storage import tableservice
 from citronvalve.table import layout
 
-_LOOK_SECONDS = 0.2
+_POLL_SECONDS = 0.2
 
 _REMEDY_BY_CODE = {
     exitcode.ExitCode.OK: "",
@@ -25,38 +25,38 @@
 }
 
 
-class _Seen(NamedTuple):
+class _FleetStatus(NamedTuple):
     """One look at the platform and the daemons."""
 
     head: dict[str, Any] | missing.Unavailable
-    asked: list[daemons.Asked]
+    results: list[daemons.QueryResult]
 
     @property
     def committed(self) -> int:
         """Return the newest version known, from the platform or a daemon."""
-        told = [a.told.table_version for a in self.asked if a.told]
+        versions = [a.status.table_version for a in self.results if a.status]
         head = self.head["version"] if self.head else 0
-        return max([head, *told])
+        return max([head, *versions])
 
-    def standing(self, asked: daemons.Asked) -> str:
+    def standing(self, result: daemons.QueryResult) -> str:
         """Tell how a daemon stands to the committed version."""
-        if not asked.told:
+        if not result.status:
             return "no answer"
-        behind = asked.told.table_version < self.committed
+        behind = result.status.table_version < self.committed
         return "behind" if behind else "in force"
 
     @property
     def silent(self) -> list[str]:
         """Return members that have not confirmed, as any daemon knows."""
-        told = [a.told for a in self.asked if a.told]
-        newest = [t for t in told if t.table_version == self.committed]
+        statuses = [a.status for a in self.results if a.status]
+        newest = [t for t in statuses if t.table_version == self.committed]
         return sorted({name for each in newest for name in each.silent})
 
     @property
     def code(self) -> exitcode.ExitCode:
         """Return the worst that was seen."""
         codes = [
-            daemons.CODE_BY_STANDING[self.standing(a)] for a in self.asked
+            daemons.CODE_BY_STANDING[self.standing(a)] for a in self.results
         ]
         if self.silent:
             codes.append(exitcode.ExitCode.REFUSED)
@@ -76,7 +76,7 @@
     :param platform: URL of the platform.
     """
     try:
-        named = daemons.addresses(addresses)
+        daemon_addresses = daemons.addresses(addresses)
     except errors.SettingsError as error:
         return report.Report(
             exitcode.ExitCode.BAD_INPUT,
@@ -84,84 +84,88 @@
             {"outcome": "bad-input"},
             error.remedy,
         )
-    service = session.table(platform)
-    until = time.monotonic() + wait
-    seen = _look(service, named)
-    while seen.code and time.monotonic() < until:
-        time.sleep(_LOOK_SECONDS)
-        seen = _look(service, named)
-    return _told(seen)
-
-
-def _look(service: tableservice.TableService, named: list[str]) -> _Seen:
+    service = session.open_table(platform)
+    deadline = time.monotonic() + wait
+    fleet = _query(service, daemon_addresses)
+    while fleet.code and time.monotonic() < deadline:
+        time.sleep(_POLL_SECONDS)
+        fleet = _query(service, daemon_addresses)
+    return _report(fleet)
+
+
+def _query(
+    service: tableservice.TableService, daemon_addresses: list[str]
+) -> _FleetStatus:
     row = service.read(layout.TABLE, layout.HEAD)
     if isinstance(row, missing.NotFound):
         head: Any = {"version": 0, "who": "nobody", "at": 0}
     else:
         head = row if missing.is_missing(row) else row.value
-    return _Seen(head, daemons.ask(named))
+    return _FleetStatus(head, daemons.query_all(daemon_addresses))
 
 
-def _told(seen: _Seen) -> report.Report:
-    heads = ("daemon", "data centre", "version", "", "age ms", "requests")
-    lines = [_line(seen, asked) for asked in seen.asked]
-    text = [_committed(seen), report.grid(heads, lines)]
-    if seen.silent:
-        text.append("not confirmed by: " + ", ".join(seen.silent))
+def _report(fleet: _FleetStatus) -> report.Report:
+    headers = ("daemon", "data centre", "version", "", "age ms", "requests")
+    lines = [_daemon_line(fleet, asked) for asked in fleet.results]
+    text = [_committed_text(fleet), report.format_table(headers, lines)]
+    if fleet.silent:
+        text.append("not confirmed by: " + ", ".join(fleet.silent))
     text += [
-        f"{asked.told.name}: {asked.told.table_trouble}"
-        for asked in seen.asked
-        if asked.told and asked.told.table_trouble
+        f"{asked.status.name}: {asked.status.table_trouble}"
+        for asked in fleet.results
+        if asked.status and asked.status.table_trouble
     ]
     body = {
-        "committed": seen.committed,
-        "platform": "ok" if seen.head else seen.head.reason,
-        "in_force": seen.code == exitcode.ExitCode.OK,
-        "silent": seen.silent,
-        "daemons": [_body(seen, asked) for asked in seen.asked],
+        "committed": fleet.committed,
+        "platform": "ok" if fleet.head else fleet.head.reason,
+        "in_force": fleet.code == exitcode.ExitCode.OK,
+        "silent": fleet.silent,
+        "daemons": [_daemon_body(fleet, asked) for asked in fleet.results],
     }
-    remedy = _REMEDY_BY_CODE[seen.code]
-    return report.Report(seen.code, "\n".join(text), body, remedy)
+    remedy = _REMEDY_BY_CODE[fleet.code]
+    return report.Report(fleet.code, "\n".join(text), body, remedy)
 
 
-def _committed(seen: _Seen) -> str:
-    if not seen.head:
+def _committed_text(fleet: _FleetStatus) -> str:
+    if not fleet.head:
         return (
-            f"the platform could not be asked: {seen.head.reason}; the newest "
-            f"version that a daemon holds is {seen.committed}"
+            f"the platform could not be asked: {fleet.head.reason}; the "
+            f"newest version that a daemon holds is {fleet.committed}"
         )
-    head = seen.head
+    head = fleet.head
     return (
         f"version {head['version']} committed by {head['who']} at "
-        f"{moments.text(head['at'])}"
+        f"{timestamps.format_utc(head['at'])}"
     )
 
 
-def _line(seen: _Seen, asked: daemons.Asked) -> tuple:
-    told = asked.told
-    if not told:
-        return (asked.address, None, None, "no answer", None, told.reason)
-    state = seen.standing(asked) + (", stopping" if told.stopping else "")
+def _daemon_line(fleet: _FleetStatus, result: daemons.QueryResult) -> tuple:
+    daemon = result.status
+    if not daemon:
+        return (result.address, None, None, "no answer", None, daemon.reason)
+    state = fleet.standing(result) + (", stopping" if daemon.stopping else "")
     return (
-        told.name,
-        told.datacentre,
-        told.table_version,
+        daemon.name,
+        daemon.datacentre,
+        daemon.table_version,
         state,
-        told.table_age_ms,
-        told.in_progress,
+        daemon.table_age_ms,
+        daemon.in_progress,
     )
 
 
-def _body(seen: _Seen, asked: daemons.Asked) -> dict[str, Any]:
-    standing = {"address": asked.address, "standing": seen.standing(asked)}
-    if not asked.told:
-        return standing | {"reason": asked.told.reason}
-    told = asked.told
+def _daemon_body(
+    fleet: _FleetStatus, result: daemons.QueryResult
+) -> dict[str, Any]:
+    standing = {"address": result.address, "standing": fleet.standing(result)}
+    if not result.status:
+        return standing | {"reason": result.status.reason}
+    daemon = result.status
     return standing | {
-        "name": told.name,
-        "datacentre": told.datacentre,
-        "version": told.table_version,
-        "age_ms": told.table_age_ms,
-        "stopping": told.stopping,
-        "in_progress": told.in_progress,
+        "name": daemon.name,
+        "datacentre": daemon.datacentre,
+        "version": daemon.table_version,
+        "age_ms": daemon.table_age_ms,
+        "stopping": daemon.stopping,
+        "in_progress": daemon.in_progress,
     }
--- a/src/citronvalve/cli/moments.py
+++ b/src/citronvalve/cli/timestamps.py
@@ -5,7 +5,7 @@
 from citronvalve.model import clock
 
 
-def text(at: clock.Ms) -> str:
+def format_utc(at: clock.Ms) -> str:
     """Return a moment in UTC, to the second.
 
     :param at: ms since the epoch.
--- a/tests/cli/steps/tool_steps.py
+++ b/tests/cli/steps/tool_steps.py
@@ -21,10 +21,10 @@
 from citronvalve.table import kinds
 from citronvalve.table import reading
 
-_TRIES_SECONDS = 10
+_WRITE_TIMEOUT_SECONDS = 10
 
 
-class Done(NamedTuple):
+class CommandResult(NamedTuple):
     """How a command ended."""
 
     returncode: int
@@ -47,10 +47,10 @@
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         try:
-            main.main([*words, *_platform(context, words)])
+            main.main([*words, *_platform_option(context, words)])
         except SystemExit as end:
             code = end.code
-    return Done(code, out.getvalue(), err.getvalue())
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 def _spawn(context, *words):
@@ -58,14 +58,14 @@
     return subprocess.run(
         [
             *(sys.executable, "-m", "citronvalve.cli.main", *words),
-            *_platform(context, words),
+            *_platform_option(context, words),
         ],
         capture_output=True,
         check=False,
     ).returncode
 
 
-def _platform(context, words):
+def _platform_option(context, words):
     if words[0] == "settings" or words[:2] == ("table", "columns"):
         return ()
     return "--platform", f"http://{context.fleet.platform}"
@@ -83,7 +83,7 @@
     context.done = _run(context, *words.split())
 
 
-def _order(context, fault, calls=-1):
+def _inject_fault(context, fault, calls=-1):
     body = msgspec.json.encode(
         {"service": "table", "fault": fault, "calls": calls}
     )
@@ -92,29 +92,29 @@
 
 @behave.when("the platform goes down")
 def step_down(context):
-    _order(context, "down")
+    _inject_fault(context, "down")
 
 
 @behave.when("the platform is back")
 def step_back(context):
-    _order(context, "down", 0)
+    _inject_fault(context, "down", 0)
 
 
 @behave.when("the next answer of the platform is lost")
 def step_lost(context):
-    _order(context, "lose-answer", 1)
+    _inject_fault(context, "lose-answer", 1)
 
 
 @behave.when("the platform takes one more edit and then goes down")
 def step_takes(context):
-    _order(context, "lose-answer", 1)
+    _inject_fault(context, "lose-answer", 1)
     writes = _writes(context)
 
     def watch():
-        until = time.monotonic() + _TRIES_SECONDS
+        until = time.monotonic() + _WRITE_TIMEOUT_SECONDS
         while _writes(context) == writes and time.monotonic() < until:
             time.sleep(0.005)
-        _order(context, "down")
+        _inject_fault(context, "down")
 
     context.watching = concurrent.futures.ThreadPoolExecutor(1)
     context.watching.submit(watch)
@@ -139,19 +139,19 @@
     context.version = _version(context)
     words = ("table", "set", key)
 
-    def one(number):
+    def run_one(number):
         # Never a value that is there: the tool would have no change to make.
         value = f"{column}={100 * context.version + number}"
         who = ("--who", f"operator-{number}", "--why", "race")
         return _spawn(context, *words, value, *who, *options)
 
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
-        context.codes = list(pool.map(one, range(count)))
+        context.codes = list(pool.map(run_one, range(count)))
 
 
 def _version(context):
-    kept = client.PlatformClient(context.fleet.platform)
-    return reading.read_state(httptable.HttpTable(kept)).version
+    platform = client.PlatformClient(context.fleet.platform)
+    return reading.read_state(httptable.HttpTable(platform)).version
 
 
 @behave.then('it exits {code:d} and says "{says}"')
@@ -199,13 +199,15 @@
 @behave.then("docs/OPERATIONS.md has a line for each column with its bounds")
 def step_page(context):
     page = pathlib.Path("docs/OPERATIONS.md").read_text()
-    lost = [
+    missing_lines = [
         line
         for kind in kinds.KIND_BY_SECTION.values()
-        for line in map(_page_line, reference.lines_of(kind))
+        for line in map(_page_line, reference.column_lines(kind))
         if line not in page
     ]
-    assert not lost, "\n".join(["add to docs/OPERATIONS.md:", *lost])
+    assert not missing_lines, "\n".join(
+        ["add to docs/OPERATIONS.md:", *missing_lines]
+    )
 
 
 def _page_line(cells):
