--- a/src/citronvalve/cli/changes.py
+++ b/src/citronvalve/cli/changes.py
@@ -1,4 +1,4 @@
-"""Shows changes of rows as a table."""
+"""Format row changes for output."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -11,9 +11,11 @@
 
 
 def format_table(changes: Iterable[edit.Change]) -> str:
-    """Return the changes as text; ``+`` is new, ``-`` gone, ``~`` changed.
+    """Return row changes as a text table.
 
-    :param changes: of one edit.
+    ``+`` marks an added row, ``-`` a removed row and ``~`` a changed column.
+
+    :param changes: row changes of one edit.
     """
     return report.format_table(
         _HEADERS, (line for c in changes for line in _lines(c))
@@ -21,9 +23,9 @@
 
 
 def to_dicts(changes: Iterable[edit.Change]) -> list[dict[str, Any]]:
-    """Return the changes for programs.
+    """Return row changes as dictionaries for JSON output.
 
-    :param changes: of one edit.
+    :param changes: row changes of one edit.
     """
     return [change._asdict() for change in changes]
 
--- a/src/citronvalve/cli/checking.py
+++ b/src/citronvalve/cli/checking.py
@@ -1,4 +1,4 @@
-"""Commands that check files without changing anything."""
+"""Commands that validate files."""
 
 import importlib
 
@@ -10,12 +10,12 @@
 def check(file: str) -> report.Report:
     """Check a daemon's settings file.
 
-    :param file: settings in JSON with comments.
+    :param file: settings file in JSON with comments.
     """
     try:
         settings = importlib.import_module("citronvalve.daemon.settings")
     except ModuleNotFoundError:
-        text = "this build holds no daemon, and can't check its settings"
+        text = "this build has no daemon package and can't check its settings"
         return _invalid((text,), "install the daemon's package")
     try:
         settings.load(file)
@@ -23,7 +23,7 @@
         problems = getattr(error, "mistakes", ()) or (error,)
         return _invalid(tuple(str(each) for each in problems), error.remedy)
     return report.Report(
-        exitcode.ExitCode.OK, f"{file} is right", {"outcome": "ok"}
+        exitcode.ExitCode.OK, f"{file} is valid", {"outcome": "ok"}
     )
 
 
@@ -32,5 +32,5 @@
         exitcode.ExitCode.BAD_INPUT,
         "\n".join(problems),
         {"outcome": "mistakes", "mistakes": problems},
-        remedy or "mend the settings above",
+        remedy or "correct the settings above",
     )
--- a/src/citronvalve/cli/daemons.py
+++ b/src/citronvalve/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Asks daemons for their status, all at once."""
+"""Query the status of daemons in parallel."""
 
 from collections.abc import Iterable
 import concurrent.futures
@@ -13,20 +13,24 @@
 from citronvalve.model import errors
 from citronvalve.model import missing
 
-#: Names the daemons' operators' addresses for all commands of a shell.
+#: Environment variable with the default operators' addresses of daemons,
+#: separated by commas.
 DAEMONS_VARIABLE = "CITRONVALVE_DAEMONS"
 
-#: Daemons asked at once; a fleet of 1,600 is asked through a few of them.
+#: Bounds the number of threads when a fleet of 1,600 daemons is queried.
 _MAX_PARALLEL_QUERIES = 32
 
 _TIMEOUT_SECONDS = 3.0
 
 
 class DaemonStatus(msgspec.Struct):
-    """What is read of a daemon's answer; later releases may tell more.
+    """The fields of a daemon's status response that the tool uses.
 
-    ``silent``: members that have not confirmed this daemon's version, as
-    it knows.  ``members``: how many members it knows, itself too.
+    Unknown fields are ignored, since later releases may add some.
+
+    :ivar members: number of members that the daemon knows, itself included.
+    :ivar silent: members that have not confirmed the daemon's table version,
+        as far as the daemon knows.
     """
 
     name: str
@@ -41,17 +45,18 @@
 
 
 class QueryResult(NamedTuple):
-    """A daemon's address, and what it told."""
+    """A daemon's address and its status, or why the status is unavailable."""
 
     address: str
     status: DaemonStatus | missing.Unavailable
 
 
 def addresses(arguments: Iterable[str]) -> list[str]:
-    """Return the operators' addresses to ask.
+    """Return the operators' addresses of the daemons to query.
 
-    :param given: from the command line; none takes the environment's.
-    :raises errors.SettingsError: when there are none.
+    :param arguments: addresses from the command line; if there are none,
+        those in the environment variable are used.
+    :raises errors.SettingsError: if neither gives an address.
     """
     from_environment = os.environ.get(DAEMONS_VARIABLE, "")
     found = list(arguments) or [
@@ -59,18 +64,18 @@
     ]
     if not found:
         raise errors.SettingsError(
-            "no daemon is named",
+            "no daemon address is given",
             where="command line",
             remedy=f"give HOST:PORT of operators' ports, or set "
-            f"{DAEMONS_VARIABLE} to a list with commas",
+            f"{DAEMONS_VARIABLE} to a comma-separated list",
         )
     return found
 
 
 def query_all(daemon_addresses: list[str]) -> list[QueryResult]:
-    """Ask daemons for their status.
+    """Return the status of each daemon, in the order of the addresses.
 
-    :param address_by_number: host:port of each operators' port.
+    :param daemon_addresses: operators' ports as HOST:PORT.
     """
     with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_QUERIES) as pool:
         return list(pool.map(_query_one, daemon_addresses))
@@ -88,7 +93,8 @@
     return QueryResult(address, status)
 
 
-#: Exit code by how a daemon stands, the worst last.
+#: Exit codes by whether a daemon has the committed table version in force,
+#: in ascending severity.
 CODE_BY_STANDING = {
     "in force": exitcode.ExitCode.OK,
     "behind": exitcode.ExitCode.REFUSED,
--- a/src/citronvalve/cli/editing.py
+++ b/src/citronvalve/cli/editing.py
@@ -1,4 +1,4 @@
-"""Commands that plan and make edits."""
+"""Commands that plan and apply edits of the table."""
 
 import pathlib
 from typing import Any
@@ -23,8 +23,8 @@
 ) -> report.Report:
     """Show what applying a declaration would change.
 
-    :param file: declaration in JSON with comments.
-    :param allow_removals: most rows of a section may go.
+    :param file: declaration file in JSON with comments.
+    :param allow_removals: allow the removal of most rows of a section.
     :param platform: URL of the platform.
     """
     declaration = _read_declaration(file)
@@ -41,11 +41,11 @@
         "base": planned.base,
         "changes": changes.to_dicts(planned.changes),
     }
-    text = f"no change: version {planned.base} already says this"
+    text = f"no change: version {planned.base} already matches"
     if planned.changes:
         text = (
             f"{changes.format_table(planned.changes)}\n"
-            f"{len(planned.changes)} rows change; to make just this edit: "
+            f"{len(planned.changes)} rows change; to apply exactly this edit: "
             f"citronvalve apply {file} --expect {planned.base}"
         )
     return report.Report(exitcode.ExitCode.OK, text, body)
@@ -60,13 +60,14 @@
     allow_removals: bool = False,
     platform: str = "",
 ) -> report.Report:
-    """Make the table say what a declaration says.
-
-    :param file: declaration in JSON with comments.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was planned on; another is a conflict.
-    :param allow_removals: most rows of a section may go.
+    """Change the table to match a declaration.
+
+    :param file: declaration file in JSON with comments.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the plan is based on; if the table is at
+        another one, the edit fails as a conflict.
+    :param allow_removals: allow the removal of most rows of a section.
     :param platform: URL of the platform.
     """
     declaration = _read_declaration(file)
@@ -91,11 +92,12 @@
     """Set columns of one row, as in datacentres/sapporo state=out.
 
     :param key: section and name of the row.
-    :param columns: column=value; values as in a declaration.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param new: add a row that is not there yet.
-    :param expect: version that was looked at; another is a conflict.
+    :param columns: column=value, with values as in a declaration.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param new: add a row that does not exist yet.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     value_by_column = {}
@@ -125,9 +127,10 @@
     """Remove one row.
 
     :param key: section and name of the row.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was looked at; another is a conflict.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     wanted = rowedits.removing(key)
@@ -145,12 +148,13 @@
     expect: int | None = None,
     platform: str = "",
 ) -> report.Report:
-    """Make the table say what it said at an earlier version, as a new edit.
+    """Restore the rows of an earlier version as a new edit.
 
-    :param version: the earlier version.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was looked at; another is a conflict.
+    :param version: version to restore.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     author = edit.Author(who, why)
--- a/src/citronvalve/cli/exitcode.py
+++ b/src/citronvalve/cli/exitcode.py
@@ -1,20 +1,20 @@
-"""Exit codes of the operators' tool; they are part of its interface."""
+"""Exit codes of the operators' tool, which are part of its interface."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """How a command ended."""
+    """Result of a command."""
 
-    #: Done, or already so.
+    #: The command succeeded, or there was nothing to change.
     OK = 0
-    #: Understood, and not done: nothing was changed.
+    #: The command was valid but was not carried out; nothing was changed.
     REFUSED = 1
-    #: The command line, a file or a row is wrong; nothing was changed.
+    #: The command line, a file or a row is invalid; nothing was changed.
     BAD_INPUT = 2
-    #: Somebody else edited the table meanwhile; nothing was changed.
+    #: The table was edited concurrently; nothing was changed.
     CONFLICT = 3
-    #: The platform or a daemon could not be asked; nothing was changed.
+    #: The platform or a daemon could not be reached; nothing was changed.
     UNAVAILABLE = 4
-    #: The edit may or may not be in the table.
+    #: It is unknown whether the edit was committed.
     UNKNOWN = 5
--- a/src/citronvalve/cli/explaining.py
+++ b/src/citronvalve/cli/explaining.py
@@ -1,4 +1,4 @@
-"""The command that tells one request's story from the daemons' logs."""
+"""The command that traces one request through the daemons' logs."""
 
 from collections.abc import Iterable
 import pathlib
@@ -10,8 +10,9 @@
 from citronvalve.cli import report
 from citronvalve.model import clock
 
-#: What changed at an upstream this long before a request's end may be the
-#: cause of it: a replica that stands still tells so after four seconds.
+#: Changes at an upstream are shown from this long before the request's first
+#: line, as they may be the cause of its outcome: a stalled replica is reported
+#: only after four seconds.
 _LOOKBACK: clock.Ms = 6_000
 
 _COMMON_FIELDS = ("wall_ms", "at_ms", "event", "daemon", "datacentre")
@@ -20,14 +21,13 @@
 
 
 def explain(request: str, *files: str) -> report.Report:
-    """Tell what was decided for a request, in order.
+    """Show the decisions about a request in chronological order.
 
-    Beside its own lines it shows what its upstreams and their groups went
-    through shortly before. Daemons' times are of their wall clocks, which
-    may differ by some ms.
+    Includes changes of its upstreams and their groups from shortly before.
+    Times are from the daemons' wall clocks, which may differ by some ms.
 
-    :param request: its id.
-    :param files: logs of one or more daemons.
+    :param request: id of the request.
+    :param files: log files of one or more daemons.
     """
     try:
         lines = [line for file in files for line in _read(file)]
@@ -36,16 +36,16 @@
             exitcode.ExitCode.BAD_INPUT,
             str(error),
             {"outcome": "unreadable"},
-            "name log files that can be read",
+            "give log files that can be read",
         )
     own_lines = [line for line in lines if line.get("request") == request]
     if not own_lines:
         return report.Report(
             exitcode.ExitCode.REFUSED,
-            f"no line tells of {request} in {len(lines)} lines",
+            f"no line mentions {request} in {len(lines)} lines",
             {"outcome": "unknown"},
-            "give the logs of every daemon of that time; the id may be of "
-            "another try, or its lines were dropped under load",
+            "give the logs of all daemons from that time; the id may be of "
+            "another attempt, or its lines were dropped under load",
         )
     timeline = sorted(
         [*own_lines, *_related_lines(lines, own_lines)], key=_wall_time
@@ -60,7 +60,7 @@
 def _read(file: str) -> Iterable[_Line]:
     with pathlib.Path(file).open(encoding="utf-8", errors="replace") as stream:
         for text in stream:
-            # Collectors put their own words before a line.
+            # Log collectors put a prefix before the JSON object.
             start = text.find("{")
             if start < 0:
                 continue
@@ -89,7 +89,7 @@
         about = {line.get("upstream"), line.get("runner")} & upstreams
         if not about and line.get("group") not in groups:
             continue
-        # Each daemon notes the same change; one of them is enough.
+        # Every daemon logs the same change; only the first line is kept.
         key = tuple(
             str(line.get(name))
             for name in ("event", "runner", "upstream", "phase", "order")
--- a/src/citronvalve/cli/grouping.py
+++ b/src/citronvalve/cli/grouping.py
@@ -1,4 +1,4 @@
-"""Shows the replica groups: state, reason and since when."""
+"""The command that shows the state of replica groups."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 
 
 class _GroupRow(NamedTuple):
-    """One group, or one replica that has no VMs yet."""
+    """One group, or one declared replica without VMs."""
 
     group: str
     datacentre: str
@@ -39,9 +39,9 @@
 
 
 def groups(*names: str, platform: str = "") -> report.Report:
-    """Show replica groups, and those that have no VMs yet.
+    """Show replica groups, including replicas that have no VMs yet.
 
-    :param names: declared groups; none shows all.
+    :param names: declared groups to show; none shows all.
     :param platform: URL of the platform.
     """
     service = session.open_table(platform)
--- a/src/citronvalve/cli/main.py
+++ b/src/citronvalve/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' tool."""
+"""Entry point of the operators' command-line tool."""
 
 from collections.abc import Callable
 import functools
@@ -18,11 +18,11 @@
 from citronvalve.cli import report
 from citronvalve.cli import status
 
-_JSON_DOC = "\n:param json: print one JSON object for programs.\n"
+_JSON_DOC = "\n:param json: print one JSON object instead of text.\n"
 
 
 def _command(run: Callable[..., report.Report]) -> Callable:
-    """Add ``--json`` to a command."""
+    """Wrap a command so that it accepts ``--json`` and prints its report."""
 
     @functools.wraps(run)
     def command(*args, json: bool = False, **options) -> int:
@@ -81,10 +81,10 @@
 def main(argv: list[str] | None = None) -> None:
     """Run one command and exit with its code.
 
-    :param argv: words after the program's name; None takes the process's.
+    :param argv: arguments after the program's name; None uses sys.argv.
     """
     if argv is None:
-        # A reader such as head may leave early; that is no failure of ours.
+        # A reader such as head may close the pipe early; this is no error.
         signal.signal(signal.SIGPIPE, signal.SIG_DFL)
     sys.exit(defopt.run(_COMMANDS, argv=argv, no_negated_flags=True))
 
--- a/src/citronvalve/cli/outcomes.py
+++ b/src/citronvalve/cli/outcomes.py
@@ -1,4 +1,4 @@
-"""Tells operators what came of an edit or a read."""
+"""Convert results of edits and reads to reports."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -17,7 +17,7 @@
 def edit_report(outcome: edit.Outcome) -> report.Report:
     """Return the report of an edit.
 
-    :param outcome: what the editor returned.
+    :param outcome: result from the editor.
     """
     for outcome_type, make_report in _REPORT_BY_TYPE.items():
         if isinstance(outcome, outcome_type):
@@ -26,9 +26,9 @@
 
 
 def mistakes_report(found: Iterable[mistake.Mistake]) -> report.Report:
-    """Return the report of a declaration that is wrong.
+    """Return the report of invalid input.
 
-    :param found: everything that is wrong with it.
+    :param found: all mistakes in it.
     """
     found = tuple(found)
     headers = ("row", "column", "value", "why", "remedy")
@@ -38,31 +38,32 @@
         _Code.BAD_INPUT,
         f"{len(found)} mistakes; nothing was changed\n{text}",
         {"outcome": "mistakes", "mistakes": [m._asdict() for m in found]},
-        "mend the rows above and run it again",
+        "correct the rows above and run the command again",
     )
 
 
 def unavailable_report(failure: missing.Missing) -> report.Report:
-    """Return the report of a platform that could not be asked.
+    """Return the report of a failed read from the platform.
 
-    :param lost: what came back instead of an answer.
+    :param failure: why there is no response.
     """
     return report.Report(
         _Code.UNAVAILABLE,
-        f"the platform could not be asked: {failure.reason} ({failure.where})",
+        f"the platform could not be reached: {failure.reason} "
+        f"({failure.where})",
         {
             "outcome": "unavailable",
             "reason": failure.reason,
             "at": failure.where,
         },
-        "nothing was changed; check --platform and run it again",
+        "nothing was changed; check --platform and run the command again",
     )
 
 
 def entry_body(entry: edit.Entry) -> dict[str, Any]:
-    """Return an audit entry for programs.
+    """Return an audit entry as a dictionary for JSON output.
 
-    :param entry: as read.
+    :param entry: audit entry of one edit.
     """
     return entry._asdict() | {"changes": changes.to_dicts(entry.changes)}
 
@@ -85,7 +86,7 @@
 def _unchanged(outcome: edit.Unchanged) -> report.Report:
     return report.Report(
         _Code.OK,
-        f"no change: version {outcome.version} already says this",
+        f"no change: version {outcome.version} already matches",
         {"outcome": "unchanged", "version": outcome.version},
     )
 
@@ -106,7 +107,9 @@
         )
         lines.append(changes.format_table(entry.changes))
     if outcome.lost:
-        lines.append(f"who changed it could not be read: {outcome.lost}")
+        lines.append(
+            f"the conflicting edits could not be read: {outcome.lost}"
+        )
     return report.Report(
         _Code.CONFLICT,
         "\n".join(lines),
@@ -116,7 +119,7 @@
             "version": outcome.version,
             "winners": [entry_body(entry) for entry in outcome.winners],
         },
-        "look at `citronvalve plan` again, then apply with "
+        "run `citronvalve plan` again, then apply with "
         f"--expect {outcome.version}",
     )
 
@@ -132,7 +135,7 @@
             "base": outcome.base,
             "reason": outcome.reason,
         },
-        f"once the platform answers, look whether `citronvalve audit "
+        f"once the platform responds, check whether `citronvalve audit "
         f"{outcome.base + 1}` shows this edit; if not, run it again with "
         f"--expect {outcome.base}: only one of the two can take effect",
     )
--- a/src/citronvalve/cli/queries.py
+++ b/src/citronvalve/cli/queries.py
@@ -1,4 +1,4 @@
-"""Commands that look at the table."""
+"""Commands that show the table and its edits."""
 
 import collections
 
@@ -19,7 +19,7 @@
 def show(*sections: str, platform: str = "") -> report.Report:
     """Show the rows of the table.
 
-    :param sections: which sections; none shows all.
+    :param sections: sections to show; none shows all.
     :param platform: URL of the platform.
     """
     stored = reading.read_state(session.open_table(platform))
@@ -49,7 +49,7 @@
 def history(*, last: int = 20, platform: str = "") -> report.Report:
     """List the latest edits.
 
-    :param last: how many.
+    :param last: number of edits to list.
     :param platform: URL of the platform.
     """
     entries = _latest_entries(session.open_table(platform), last)
@@ -67,10 +67,10 @@
 
 
 def trail(*versions: int, last: int = 5, platform: str = "") -> report.Report:
-    """Show audit entries: who, when, why, each row before and after.
+    """Show audit entries: author, time, reason and row changes.
 
-    :param versions: which; none shows the latest.
-    :param last: how many of the latest.
+    :param versions: versions to show; none shows the latest.
+    :param last: number of latest entries to show.
     :param platform: URL of the platform.
     """
     service = session.open_table(platform)
@@ -117,5 +117,5 @@
         exitcode.ExitCode.REFUSED,
         f"no such audit entry: {not_found.where}",
         {"outcome": "not-found", "at": not_found.where},
-        "see `citronvalve table history` for the versions there are",
+        "see `citronvalve table history` for existing versions",
     )
--- a/src/citronvalve/cli/reference.py
+++ b/src/citronvalve/cli/reference.py
@@ -1,4 +1,4 @@
-"""The reference of the table's columns, from the checks themselves."""
+"""Reference of the table's columns, generated from their validation rules."""
 
 from collections.abc import Iterator
 import enum
@@ -20,9 +20,9 @@
 
 
 def columns(*sections: str) -> report.Report:
-    """Show the columns of the table: what each takes, and its bounds.
+    """Show the columns of the table with their types, defaults and bounds.
 
-    :param sections: which sections; none shows all.
+    :param sections: sections to show; none shows all.
     """
     unknown = sorted(set(sections) - kinds.KIND_BY_SECTION.keys())
     if unknown:
@@ -45,9 +45,9 @@
 
 
 def column_lines(kind: kinds.Kind) -> Iterator[tuple]:
-    """Return one line for each column of a kind.
+    """Yield the cells of one line for each column of a section.
 
-    :param kind: of row.
+    :param kind: kind of row that the section holds.
     """
     for column in kind.column_by_name.values():
         bound = column.bound
--- a/src/citronvalve/cli/report.py
+++ b/src/citronvalve/cli/report.py
@@ -1,4 +1,4 @@
-"""What a command tells: text for people, a body for programs."""
+"""Output of a command, as text and as a JSON object."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -7,12 +7,18 @@
 
 from citronvalve.cli import exitcode
 
-#: Characters of one cell; a longer value is cut, --json gives it whole.
+#: Longer values are truncated in text; --json prints them in full.
 MAX_CELL_CHARS = 60
 
 
 class Report(NamedTuple):
-    """The end of a command; ``remedy`` says what to do about a failure."""
+    """Result of a command.
+
+    :ivar code: exit code.
+    :ivar text: output for people.
+    :ivar body: fields of the JSON output.
+    :ivar remedy: how to resolve a failure; empty on success.
+    """
 
     code: exitcode.ExitCode
     text: str
@@ -23,10 +29,10 @@
 def format_table(
     headers: Sequence[str], lines: Iterable[Sequence[Any]]
 ) -> str:
-    """Return a table with aligned columns.
+    """Return a text table with aligned columns.
 
-    :param heads: one name a column.
-    :param lines: as many cells in each.
+    :param headers: names of the columns.
+    :param lines: cells of each line, one for each column.
     """
     cells = [[_format_cell(each) for each in line] for line in lines]
     table = [list(headers), *cells]
--- a/src/citronvalve/cli/session.py
+++ b/src/citronvalve/cli/session.py
@@ -1,4 +1,4 @@
-"""What each command works with: the platform and an editor on it."""
+"""Access to the platform's table for the commands."""
 
 import os
 import random
@@ -9,22 +9,22 @@
 from citronvalve.storage import httptable
 from citronvalve.table import editor
 
-#: Names the platform for all commands of a shell.
+#: Environment variable with the default URL of the platform.
 PLATFORM_VARIABLE = "CITRONVALVE_PLATFORM"
 
 _DEFAULT_PLATFORM = "http://127.0.0.1:7300"
 
-#: An operator waits for it; a store that is slow but alive still answers.
+#: Long enough for a slow store, short enough for a waiting operator.
 _TIMEOUT: clock.Ms = 10_000
 
-#: First wait before an edit with a lost answer is settled again, in s.
+#: Delay before the first retry to settle an edit whose response was lost.
 _FIRST_PAUSE_SECONDS = 0.25
 
 
 def open_table(platform: str) -> httptable.HttpTable:
-    """Return the table service.
+    """Return the table service of the platform.
 
-    :param platform: URL, or empty for that of the environment.
+    :param platform: URL; if empty, the environment variable or the default.
     """
     address = platform or os.environ.get(PLATFORM_VARIABLE, _DEFAULT_PLATFORM)
     address = address.removeprefix("http://").rstrip("/")
@@ -32,14 +32,15 @@
 
 
 def open_editor(platform: str) -> editor.Editor:
-    """Return an editor of the table.
+    """Return an editor of the platform's table.
 
-    :param platform: URL, or empty for that of the environment.
+    :param platform: URL; if empty, the environment variable or the default.
     """
     rng = random.SystemRandom()
 
     def pause(tried: int) -> None:
-        # Doubled and spread out: many tools may be waiting for one store.
+        # Exponential backoff with jitter, since many tools may be retrying
+        # on the same store.
         time.sleep(_FIRST_PAUSE_SECONDS * 2**tried * rng.uniform(0.5, 1))
 
     return editor.Editor(open_table(platform), clock.SystemClock(), rng, pause)
--- a/src/citronvalve/cli/status.py
+++ b/src/citronvalve/cli/status.py
@@ -1,4 +1,4 @@
-"""Shows how far the committed table is in force."""
+"""The command that shows where the committed table is in force."""
 
 import time
 from typing import Any
@@ -18,28 +18,28 @@
 
 _REMEDY_BY_CODE = {
     exitcode.ExitCode.OK: "",
-    exitcode.ExitCode.REFUSED: "wait with --wait; if it stays, look at the "
-    "log of the daemons that are behind",
+    exitcode.ExitCode.REFUSED: "wait with --wait; if it stays, check "
+    "the logs of the daemons that are behind",
     exitcode.ExitCode.UNAVAILABLE: "check the addresses and the daemons "
-    "that gave no answer; what they have in force is not known",
+    "that did not respond; their version in force is unknown",
 }
 
 
 class _FleetStatus(NamedTuple):
-    """One look at the platform and the daemons."""
+    """State of the platform and the daemons, from one round of queries."""
 
     head: dict[str, Any] | missing.Unavailable
     results: list[daemons.QueryResult]
 
     @property
     def committed(self) -> int:
-        """Return the newest version known, from the platform or a daemon."""
+        """Return the newest version that the platform or a daemon reports."""
         versions = [a.status.table_version for a in self.results if a.status]
         head = self.head["version"] if self.head else 0
         return max([head, *versions])
 
     def standing(self, result: daemons.QueryResult) -> str:
-        """Tell how a daemon stands to the committed version."""
+        """Return whether a daemon has the committed version in force."""
         if not result.status:
             return "no answer"
         behind = result.status.table_version < self.committed
@@ -47,14 +47,14 @@
 
     @property
     def silent(self) -> list[str]:
-        """Return members that have not confirmed, as any daemon knows."""
+        """Return members that any up-to-date daemon reports as unconfirmed."""
         statuses = [a.status for a in self.results if a.status]
         newest = [t for t in statuses if t.table_version == self.committed]
         return sorted({name for each in newest for name in each.silent})
 
     @property
     def code(self) -> exitcode.ExitCode:
-        """Return the worst that was seen."""
+        """Return the exit code of the most severe condition."""
         codes = [
             daemons.CODE_BY_STANDING[self.standing(a)] for a in self.results
         ]
@@ -70,8 +70,8 @@
 ) -> report.Report:
     """Show which version is committed, and where it is in force.
 
-    :param addresses: operators' ports of daemons as HOST:PORT; any one
-        tells which members have not confirmed.
+    :param addresses: operators' ports of daemons as HOST:PORT; one daemon
+        is enough to list the members that have not confirmed the version.
     :param wait: seconds to wait until it is in force everywhere.
     :param platform: URL of the platform.
     """
@@ -129,7 +129,7 @@
 def _committed_text(fleet: _FleetStatus) -> str:
     if not fleet.head:
         return (
-            f"the platform could not be asked: {fleet.head.reason}; the "
+            f"the platform could not be reached: {fleet.head.reason}; the "
             f"newest version that a daemon holds is {fleet.committed}"
         )
     head = fleet.head
--- a/src/citronvalve/cli/timestamps.py
+++ b/src/citronvalve/cli/timestamps.py
@@ -1,4 +1,4 @@
-"""Writes moments for people."""
+"""Format timestamps as text."""
 
 import datetime
 
@@ -6,7 +6,7 @@
 
 
 def format_utc(at: clock.Ms) -> str:
-    """Return a moment in UTC, to the second.
+    """Return a timestamp as text in UTC, with seconds.
 
     :param at: ms since the epoch.
     """
--- a/tests/cli/environment.py
+++ b/tests/cli/environment.py
@@ -1,4 +1,4 @@
-"""Starts the platform's process once for all scenarios of the tool."""
+"""Start one platform process for all scenarios of the tool."""
 
 import pathlib
 import tempfile
@@ -7,13 +7,13 @@
 
 
 def before_all(context):
-    """Start the platform."""
+    """Start the platform process."""
     context.folder = tempfile.TemporaryDirectory()
     context.fleet = fleet.Fleet(pathlib.Path(context.folder.name))
     context.fleet.start_platform()
 
 
 def after_all(context):
-    """End it."""
+    """Stop the platform process."""
     context.fleet.end()
     context.folder.cleanup()
--- a/tests/cli/steps/tool_steps.py
+++ b/tests/cli/steps/tool_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the operators' tool against a platform's process."""
+"""Steps that run the operators' tool against a platform process."""
 
 import concurrent.futures
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class CommandResult(NamedTuple):
-    """How a command ended."""
+    """Exit code and output of a command."""
 
     returncode: int
     stdout: str
@@ -54,7 +54,7 @@
 
 
 def _spawn(context, *words):
-    """Run a command in a process of its own; return its exit code."""
+    """Run a command in its own process and return its exit code."""
     return subprocess.run(
         [
             *(sys.executable, "-m", "citronvalve.cli.main", *words),
@@ -100,12 +100,12 @@
     _inject_fault(context, "down", 0)
 
 
-@behave.when("the next answer of the platform is lost")
+@behave.when("the next response of the platform is lost")
 def step_lost(context):
     _inject_fault(context, "lose-answer", 1)
 
 
-@behave.when("the platform takes one more edit and then goes down")
+@behave.when("the platform commits one more edit and then goes down")
 def step_takes(context):
     _inject_fault(context, "lose-answer", 1)
     writes = _writes(context)
@@ -125,12 +125,14 @@
     return urllib3.request("GET", url).json()["writes"]
 
 
-@behave.when("{count:d} tools at once set {key} {column} on version {at:d}")
+@behave.when(
+    "{count:d} tools concurrently set {key} {column} on version {at:d}"
+)
 def step_race(context, count, key, column, at):
     _race(context, count, key, column, "--expect", str(at))
 
 
-@behave.when("{count:d} tools at once set {key} {column} on any version")
+@behave.when("{count:d} tools concurrently set {key} {column} on any version")
 def step_race_any(context, count, key, column):
     _race(context, count, key, column)
 
@@ -140,7 +142,7 @@
     words = ("table", "set", key)
 
     def run_one(number):
-        # Never a value that is there: the tool would have no change to make.
+        # Each value is new, since setting the present value changes nothing.
         value = f"{column}={100 * context.version + number}"
         who = ("--who", f"operator-{number}", "--why", "race")
         return _spawn(context, *words, value, *who, *options)
@@ -173,7 +175,7 @@
     assert _version(context) == version
 
 
-@behave.then("it shows the edit that was named before")
+@behave.then("it shows the edit id that the previous command printed")
 def step_named(context):
     words = context.before.stdout.split()
     edit = words[words.index("edit") + 1]
@@ -190,7 +192,7 @@
     assert set(context.codes) <= {0, 3}, context.codes
 
 
-@behave.then("the table's version rose by one for each that exits 0")
+@behave.then("the table's version increased by one for each that exits 0")
 def step_rose(context):
     rose = _version(context) - context.version
     assert rose == context.codes.count(0) >= 1, (rose, context.codes)
--- a/tests/cli/tool.feature
+++ b/tests/cli/tool.feature
@@ -1,18 +1,18 @@
-Feature: The operators' tool says what it did, by text and by exit code
-  0 done, 1 refused, 2 bad input, 3 conflict, 4 unavailable, 5 unknown.
-  Whatever is not 0 names its remedy, and a script can go by the code.
+Feature: The operators' tool reports results by text and by exit code
+  Exit codes: 0 done, 1 refused, 2 bad input, 3 conflict, 4 unavailable,
+  5 unknown. Scripts rely on the code, and each failure names its remedy.
 
   Background:
     Given a platform without a table
     And the example declaration has been applied
 
-  Scenario Outline: a command ends with its code
+  Scenario Outline: a command exits with its code
     When the tool runs <words>
     Then it exits <code> and says "<says>"
 
     Examples:
       | words                                                         | code | says                        |
-      | plan examples/table.json5                                     | 0    | already says this           |
+      | plan examples/table.json5                                     | 0    | already matches             |
       | apply examples/table.json5 --who a --why b                    | 0    | no change: version 1        |
       | apply examples/table.json5 --who a --why b --expect 0         | 3    | version 1 by first          |
       | apply examples/table.json5 --who a                            | 2    | required: --why             |
@@ -37,12 +37,12 @@
       | audit 9                                                       | 1    | no such audit entry         |
       | status                                                        | 2    | CITRONVALVE_DAEMONS         |
       | status 127.0.0.1:1                                            | 4    | no answer                   |
-      | settings check examples/daemon.json5                          | 0    | is right                    |
+      | settings check examples/daemon.json5                          | 0    | is valid                    |
       | settings check no-such-file                                   | 2    | No such file                |
       | settings check examples/table.json5                           | 2    | teams                       |
       | no-such-command                                               | 2    | invalid choice              |
 
-  Scenario Outline: every command tells programs the same in JSON
+  Scenario Outline: a command prints its report as JSON
     When the tool runs <words> --json
     Then its output is one JSON object with <key>
 
@@ -70,36 +70,37 @@
       | table history                              |
       | audit                                      |
 
-  Scenario: the answer to an apply is lost
-    The store takes the edit and closes the connection without an answer.
-    The operator must not be told that it failed, or make it twice.
+  Scenario: the response to an edit is lost
+    The store commits the edit and closes the connection without a response.
+    Guards against reporting a failure or committing the edit twice.
 
-    When the next answer of the platform is lost
+    When the next response of the platform is lost
     And the tool runs table set teams/kaban weight=5 --who a --why b
     Then it exits 0 and says "committed as version 2"
     And the table's version is 2
 
-  Scenario: the platform goes down right after it took the edit
-    The answer is lost, and the store stays down while the tool tries to
-    settle it.  It can't know, says so, and names the edit to look for.
+  Scenario: the platform goes down right after it commits an edit
+    The response is lost, and the store stays down while the tool retries.
+    Guards against reporting success or failure when the result is unknown;
+    the tool prints the id of the edit to check for.
 
-    When the platform takes one more edit and then goes down
+    When the platform commits one more edit and then goes down
     And the tool runs table set teams/kaban weight=5 --who a --why b
     Then it exits 5 and says "may or may not be in the table"
     When the platform is back
     And the tool runs audit 2
-    Then it shows the edit that was named before
+    Then it shows the edit id that the previous command printed
 
-  Scenario: eight operators race in processes of their own
-    All read version 1 and set one row.  Those who were outrun are told so;
-    the table holds one edit for each who was told of success.
+  Scenario: eight operators edit one row concurrently
+    Each tool runs in its own process. Guards against lost updates: the table
+    holds one edit for each success, and the other tools report a conflict.
 
-    When 8 tools at once set teams/kaban weight on version 1
+    When 8 tools concurrently set teams/kaban weight on version 1
     Then 1 exits 0 and the others exit 3
     And the table's version is 2
-    When 8 tools at once set teams/kaban weight on any version
+    When 8 tools concurrently set teams/kaban weight on any version
     Then each exits 0 or 3
-    And the table's version rose by one for each that exits 0
+    And the table's version increased by one for each that exits 0
 
-  Scenario: the operators' page knows every column
+  Scenario: the operators' page lists every column
     Then docs/OPERATIONS.md has a line for each column with its bounds
