--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -21,7 +21,7 @@
 _TIMEOUT = 700
 
 
-class _Held(tablelistener.TableListener):
+class _KeySet(tablelistener.TableListener):
     def __init__(self):
         self.keys = set()
 
@@ -39,7 +39,9 @@
     context.store = rowstore.RowStore()
     context.service = store.Store(
         client.PlatformClient(
-            context.store.address, _TIMEOUT, not_executed_statuses=store.UNDONE
+            context.store.address,
+            _TIMEOUT,
+            not_executed_statuses=store.NOT_EXECUTED_STATUSES,
         )
     )
 
@@ -76,7 +78,7 @@
 
 @behave.given("the table is followed")
 def step_follow(context):
-    context.held = _Held()
+    context.held = _KeySet()
     context.clock = clock.SystemClock()
     context.tail = tail.Tail(
         context.service,
@@ -90,7 +92,7 @@
     assert len(context.held.keys) == 3
 
 
-def _write(context):
+def _insert_row(context):
     context.outcome = context.service.commit(
         rows.Transaction(
             "try",
@@ -102,13 +104,13 @@
 
 @behave.when("a row is written that must not exist")
 def step_write(context):
-    _write(context)
+    _insert_row(context)
 
 
 @behave.when("a row is written twice that must not exist")
 def step_write_twice(context):
-    _write(context)
-    _write(context)
+    _insert_row(context)
+    _insert_row(context)
     assert context.outcome.rows[0].value == {"a": 1}
 
 
@@ -228,7 +230,7 @@
     if what in _ENTRY_BY_WHAT:
         value = _ENTRY | _ENTRY_BY_WHAT[what]
     row = rows.Row("servers", "i-1", value, 12)
-    context.runner = entries.Entries(clock.SystemClock()).decode(row)
+    context.runner = entries.EntryDecoder(clock.SystemClock()).decode(row)
 
 
 @behave.then("it names {named}")
@@ -281,47 +283,48 @@
 }
 
 
-def _spoiled(what):
-    made = copy.deepcopy(_CONFIGURATION)
+def _altered_configuration(what):
+    altered = copy.deepcopy(_CONFIGURATION)
     if what == "a kind that nobody knows":
-        made["Routes"][0]["Kind"] = "sometimes"
+        altered["Routes"][0]["Kind"] = "sometimes"
     elif what == "no teams":
-        del made["Tenants"]
+        del altered["Tenants"]
     elif what == "a word as version":
-        made["Version"] = "seven"
+        altered["Version"] = "seven"
     elif what == "no routes":
-        del made["Routes"]
-    return made
+        del altered["Routes"]
+    return altered
 
 
 @behave.when("the configuration has {what}")
 def step_configuration(context, what):
     from adapter import configuration
 
-    row = rows.Row("op", "config", _spoiled(what), 3)
+    row = rows.Row("op", "config", _altered_configuration(what), 3)
     context.read = configuration.decode(row)
 
 
 @behave.then("what is declared is {read}")
 def step_read_as(context, read):
-    made = context.read
+    catalogue = context.read
     if read == "refused":
-        assert missing.is_missing(made)
+        assert missing.is_missing(catalogue)
         return
-    route = made.find_route("h.example", "/a/b")
-    assert route, made
+    route = catalogue.find_route("h.example", "/a/b")
+    assert route, catalogue
     check = {
         "read, with both shares": lambda: (
             len(route.shares) == 2
-            and made.service_by_name["s"].engine.model_by_name["m"].size == 6
-            and made.holder_by_key["k"].name == "team"
+            and catalogue.service_by_name["s"].engine.model_by_name["m"].size
+            == 6
+            and catalogue.holder_by_key["k"].name == "team"
         ),
         "read, as run once at most": lambda: (
             route.kind is kind.RequestKind.AT_MOST_ONCE
         ),
-        "read, and asks for no key": lambda: not made.needs_key,
+        "read, and asks for no key": lambda: not catalogue.needs_key,
     }
-    assert check[read](), made
+    assert check[read](), catalogue
 
 
 @behave.when("the settings file of the platform's pages is read")
--- a/tests/adapter/steps/program_steps.py
+++ b/tests/adapter/steps/program_steps.py
@@ -20,7 +20,7 @@
 from standins import scriptedrunner
 
 _PROGRAM = pathlib.Path("platform/serve.py")
-_PATIENCE = 15
+_TIMEOUT_SECONDS = 15
 
 
 def _free_port():
@@ -31,7 +31,7 @@
     return port
 
 
-def _file(context, **changes):
+def _write_settings(context, **changes):
     ports = context.ports
     value = {
         "NodeName": "front-a-1",
@@ -78,15 +78,15 @@
 
 
 def _eventually(condition, what):
-    until = time.monotonic() + _PATIENCE
+    until = time.monotonic() + _TIMEOUT_SECONDS
     while time.monotonic() < until:
         if condition():
             return
         eventlet.sleep(0.05)
-    raise AssertionError(f"not in {_PATIENCE} s: {what}")
+    raise AssertionError(f"not in {_TIMEOUT_SECONDS} s: {what}")
 
 
-def _said(context, event):
+def _has_event(context, event):
     return f'"event":"{event}"' in context.log.read_text()
 
 
@@ -99,7 +99,7 @@
     return b" 200 " in got.partition(b"\r\n")[0]
 
 
-def _ask(context):
+def _send_request(context):
     return scriptedrunner.exchange(
         f"127.0.0.1:{context.ports[0]}",
         b"GET /a/b HTTP/1.1\r\nHost: h.example\r\nX-Api-Key: k\r\n"
@@ -150,7 +150,7 @@
             "Slots": 6,
         },
     )
-    _file(context)
+    _write_settings(context)
     context.process = _start(context)
 
     def serves():
@@ -164,7 +164,7 @@
 
 @behave.when("a caller asks it for something")
 def step_ask(context):
-    context.got = _ask(context)
+    context.got = _send_request(context)
 
 
 @behave.then("the caller gets the whole answer of the runner")
@@ -183,13 +183,15 @@
 
 @behave.when("the settings file changes and the program is told so")
 def step_change(context):
-    _file(context, Bounds={"RetryBudgetSlack": 99, "GraceS": 6})
+    _write_settings(context, Bounds={"RetryBudgetSlack": 99, "GraceS": 6})
     context.process.send_signal(signal.SIGHUP)
 
 
 @behave.then("it says that it has reloaded")
 def step_reloaded(context):
-    _eventually(lambda: _said(context, "reloaded"), "a line of the reload")
+    _eventually(
+        lambda: _has_event(context, "reloaded"), "a line of the reload"
+    )
 
 
 @behave.when("a settings file that can't be read takes its place")
@@ -200,16 +202,16 @@
 
 @behave.then("it says that the reload was refused, and serves on")
 def step_refused(context):
-    _eventually(lambda: _said(context, "reload refused"), "a refusal")
+    _eventually(lambda: _has_event(context, "reload refused"), "a refusal")
     assert _ready(context)
 
 
 @behave.when("it is told to stop while a request is in progress")
 def step_stop(context):
-    asking = eventlet.spawn(_ask, context)
+    asking = eventlet.spawn(_send_request, context)
     _eventually(lambda: len(context.runner.requests) > 1, "a request")
     context.process.send_signal(signal.SIGTERM)
-    _eventually(lambda: _said(context, "stopping"), "a line of the stop")
+    _eventually(lambda: _has_event(context, "stopping"), "a line of the stop")
     context.ready = _ready(context)
     context.got = asking.wait()
 
@@ -229,7 +231,7 @@
 @behave.when("the program is started with a settings file without an address")
 def step_no_address(context):
     _prepare(context)
-    _file(context, Platform={})
+    _write_settings(context, Platform={})
     context.process = _start(context)
 
 
@@ -243,7 +245,7 @@
 @behave.when("the program is asked to check a settings file")
 def step_check(context):
     _prepare(context)
-    _file(context)
+    _write_settings(context)
     context.process = _start(context, "check", str(context.path))
 
 
@@ -256,14 +258,14 @@
 
 
 #: Counters and histograms appear with their first observation.
-_SHOWN_LATER = {
+_EXPOSED_ON_USE = {
     "citronvalve_forward_malformed_total",
     "citronvalve_forward_orders_total",
     "citronvalve_forward_event_gap_seconds",
 }
 
 
-def _on_page():
+def _documented_metrics():
     page = pathlib.Path("docs/OPERATIONS.md").read_text()
     part = page.split("### Metrics")[1].split("\n|")[0]
     names = re.findall(r"`(\w+)`", part)
@@ -288,6 +290,6 @@
     connection.request("GET", "/metrics")
     text = connection.getresponse().read().decode()
     served = set(re.findall(r"^# TYPE (\w+) ", text, re.M))
-    page = _on_page()
+    page = _documented_metrics()
     assert served <= page, served - page
-    assert page - _SHOWN_LATER <= served, page - served
+    assert page - _EXPOSED_ON_USE <= served, page - served
