--- a/tests/adapter/program.feature
+++ b/tests/adapter/program.feature
@@ -1,28 +1,27 @@
-Feature: The program on the users' machines, as a process
-  It is started with the platform's settings file, learns all from the store,
-  and is told what to do by signals.
+Feature: The program on the users' machines runs as a process
+  It reads the platform's settings file, gets its data from the store and is
+  controlled by signals.
 
-  Scenario: it starts, serves, takes new settings, and ends in order
-    A caller whose request is in progress when the program is told to stop
-    gets its whole answer.
+  Scenario: it starts, serves, reloads its settings and stops gracefully
+    Guards against a stop that cuts off the response to a request in progress.
 
     Given the program runs beside a store and a runner
-    When a caller asks it for something
-    Then the caller gets the whole answer of the runner
-    And the runner has been given the team and not the key
-    And each metric that it serves stands on the operators' page, and each of the page is served
-    When the settings file changes and the program is told so
-    Then it says that it has reloaded
-    When a settings file that can't be read takes its place
-    Then it says that the reload was refused, and serves on
-    When it is told to stop while a request is in progress
-    Then it is ready no more, and the caller gets the answer
-    And it ends by itself with 0
+    When a caller sends a request
+    Then the caller gets the whole response of the runner
+    And the runner has received the team and not the key
+    And the metrics that it serves are those on the operators' page
+    When the settings file changes and the program gets SIGHUP
+    Then it logs the reload
+    When an invalid settings file replaces it and the program gets SIGHUP
+    Then it logs that the reload was refused, and goes on serving
+    When it gets SIGTERM while a request is in progress
+    Then it is not ready, and the caller gets the whole response
+    And it exits with 0
 
-  Scenario: a settings file that can't be used
+  Scenario: an invalid settings file
     When the program is started with a settings file without an address
-    Then it ends with 2 and names the field
+    Then it exits with 2 and names the field
 
-  Scenario: what is made of a settings file is shown
-    When the program is asked to check a settings file
-    Then it prints the daemon's own settings
+  Scenario: the check command prints the settings that a file gives
+    When the program checks a settings file
+    Then it prints the daemon's settings
--- a/tests/adapter/steps/adapter_steps.py
+++ b/tests/adapter/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the adapter of the users' platform."""
+"""Steps for the adapter of the users' platform."""
 
 import copy
 import json
@@ -57,7 +57,9 @@
         context.store.put("t", f"key-{number:05d}", {"n": number})
 
 
-@behave.given("after the first page a row of it goes, and one of it changes")
+@behave.given(
+    "after the first page one of its rows is removed and one changes"
+)
 def step_between(context):
     def between():
         context.store.drop("t", "key-00007")
@@ -66,7 +68,7 @@
     context.store.after_page = between
 
 
-@behave.then("they are what the store holds, at its newest revision")
+@behave.then("they are the rows of the store at its newest revision")
 def step_newest(context):
     value_by_key = {row.key: row.value for row in context.found.rows}
     assert "key-00007" not in value_by_key
@@ -102,24 +104,24 @@
     )
 
 
-@behave.when("a row is written that must not exist")
+@behave.when("a row is inserted on condition that it does not exist")
 def step_write(context):
     _insert_row(context)
 
 
-@behave.when("a row is written twice that must not exist")
+@behave.when("the same row is inserted twice on that condition")
 def step_write_twice(context):
     _insert_row(context)
     _insert_row(context)
     assert context.outcome.rows[0].value == {"a": 1}
 
 
-@behave.when("the table is read whole")
+@behave.when("all rows of the table are read")
 def step_read(context):
     context.found = context.service.scan("t")
 
 
-@behave.when("the row is dropped and written again")
+@behave.when("the row is removed and written again")
 def step_again(context):
     before = context.service.scan("t").revision
     context.store.drop("t", "key-00000")
@@ -127,20 +129,20 @@
     context.found = context.service.follow("t", before, 0)
 
 
-@behave.when("a row goes and the history is forgotten")
+@behave.when("a row is removed and the history is truncated")
 def step_forget(context):
     context.store.drop("t", "key-00001")
     context.store.forgotten = 10_000
 
 
-@behave.given("another daemon vouches for what is known")
-@behave.when("another daemon vouches for what is known")
+@behave.given("another daemon confirms the held rows")
+@behave.when("another daemon confirms the held rows")
 def step_vouch(context):
     context.calls = dict(context.store.calls)
     context.tail.confirm(context.tail.state()._replace(age=600), "another")
 
 
-@behave.when("news arrive that begin after what is known")
+@behave.when("an update arrives that begins after the held revision")
 def step_gap(context):
     newer = context.tail.revision + 5
     context.tail.apply_update(newer, rows.Scan(newer + 1, (), ("key-00000",)))
@@ -156,7 +158,7 @@
     assert len(context.found.rows) == count
 
 
-@behave.then("the changes hold the row and drop none")
+@behave.then("the changes contain the row and no removal")
 def step_kept(context):
     assert [r.value for r in context.found.rows] == [{"n": 7}]
     assert not context.found.deleted
@@ -178,14 +180,14 @@
     assert context.store.calls == context.calls, context.store.calls
 
 
-@behave.then("after that it makes one")
+@behave.then("after that it makes a call")
 def step_calls(context):
     eventlet.sleep(0.15)
     context.tail.step()
     assert context.store.calls != context.calls
 
 
-@behave.then("the follower reads for itself at once")
+@behave.then("the follower reads from the store at once")
 def step_reads(context):
     assert len(context.held.keys) == 3
     context.tail.step()
@@ -210,15 +212,15 @@
 _OPEN = {"Name": "m~7", "epoch": 7, "rank": 0, "State": "open"}
 _ENTRY_BY_WHAT = {
     "all its fields": {},
-    "fields that nobody knows": {"Shade": "blue"},
+    "unknown fields": {"Shade": "blue"},
     "a group that is open": {"group": _OPEN},
     "a state of draining": {"State": "draining"},
     "no service": {"Service": None},
     "a number as address": {"Address": 7},
     "an address without a port": {"Address": "10.0.0.9"},
-    "a state that nobody knows": {"State": "dancing"},
-    "no group but null": {"group": None},
-    "a phase that nobody knows": {"group": _OPEN | {"State": "humming"}},
+    "an unknown state": {"State": "dancing"},
+    "a null group": {"group": None},
+    "an unknown phase": {"group": _OPEN | {"State": "humming"}},
 }
 
 
@@ -233,7 +235,7 @@
     context.runner = entries.EntryDecoder(clock.SystemClock()).decode(row)
 
 
-@behave.then("it names {named}")
+@behave.then("it gives {named}")
 def step_named(context, named):
     found = context.runner
     if named == "no runner":
@@ -241,7 +243,7 @@
         return
     assert found.id == "i-1" and found.datacentre == "zone-a"
     assert found.is_open_head == (named == "a head")
-    assert found.leaving == (named == "a leaver")
+    assert found.leaving == (named == "a leaving runner")
 
 
 _CONFIGURATION = {
@@ -285,11 +287,11 @@
 
 def _altered_configuration(what):
     altered = copy.deepcopy(_CONFIGURATION)
-    if what == "a kind that nobody knows":
+    if what == "an unknown kind":
         altered["Routes"][0]["Kind"] = "sometimes"
     elif what == "no teams":
         del altered["Tenants"]
-    elif what == "a word as version":
+    elif what == "a text as version":
         altered["Version"] = "seven"
     elif what == "no routes":
         del altered["Routes"]
@@ -304,7 +306,7 @@
     context.read = configuration.decode(row)
 
 
-@behave.then("what is declared is {read}")
+@behave.then("the configuration is {read}")
 def step_read_as(context, read):
     catalogue = context.read
     if read == "refused":
@@ -322,12 +324,12 @@
         "read, as run once at most": lambda: (
             route.kind is kind.RequestKind.AT_MOST_ONCE
         ),
-        "read, and asks for no key": lambda: not catalogue.needs_key,
+        "read, and needs no key": lambda: not catalogue.needs_key,
     }
     assert check[read](), catalogue
 
 
-@behave.when("the settings file of the platform's pages is read")
+@behave.when("a settings file of the platform is read")
 def step_settings(context):
     from adapter import settingsfile
 
@@ -360,13 +362,13 @@
     assert settings.first_start is True
 
 
-@behave.when("another daemon goes on vouching for what it read before")
+@behave.when("another daemon keeps confirming an earlier read")
 def step_vouch_on(context):
     context.calls = dict(context.store.calls)
     context.read_at = context.clock.now()
 
 
-@behave.then("the follower makes a call within {seconds:g} s of that reading")
+@behave.then("the follower makes a call within {seconds:g} s of that read")
 def step_call_within(context, seconds):
     until = context.read_at + round(seconds * 1_000)
     while context.clock.now() < until:
@@ -377,4 +379,4 @@
         if context.store.calls != context.calls:
             return
         eventlet.sleep(0.05)
-    raise AssertionError("it believed an old reading")
+    raise AssertionError("the follower trusted an old read")
--- a/tests/adapter/steps/program_steps.py
+++ b/tests/adapter/steps/program_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the program on the users' machines."""
+"""Steps for the program on the users' machines."""
 
 import http.client
 import json
@@ -162,18 +162,18 @@
     _eventually(serves, "the program is ready")
 
 
-@behave.when("a caller asks it for something")
+@behave.when("a caller sends a request")
 def step_ask(context):
     context.got = _send_request(context)
 
 
-@behave.then("the caller gets the whole answer of the runner")
+@behave.then("the caller gets the whole response of the runner")
 def step_answer(context):
     assert context.got.startswith(b"HTTP/1.1 200"), context.got
     assert context.got.endswith(b"answer of i-1"), context.got
 
 
-@behave.then("the runner has been given the team and not the key")
+@behave.then("the runner has received the team and not the key")
 def step_team(context):
     asked = context.runner.requests[0].lower()
     assert "x-tenant: team-1" in asked, asked
@@ -181,32 +181,34 @@
     assert "x-api-key" not in asked, asked
 
 
-@behave.when("the settings file changes and the program is told so")
+@behave.when("the settings file changes and the program gets SIGHUP")
 def step_change(context):
     _write_settings(context, Bounds={"RetryBudgetSlack": 99, "GraceS": 6})
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.then("it says that it has reloaded")
+@behave.then("it logs the reload")
 def step_reloaded(context):
     _eventually(
         lambda: _has_event(context, "reloaded"), "a line of the reload"
     )
 
 
-@behave.when("a settings file that can't be read takes its place")
+@behave.when(
+    "an invalid settings file replaces it and the program gets SIGHUP"
+)
 def step_spoil(context):
     context.path.write_text("{")
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.then("it says that the reload was refused, and serves on")
+@behave.then("it logs that the reload was refused, and goes on serving")
 def step_refused(context):
     _eventually(lambda: _has_event(context, "reload refused"), "a refusal")
     assert _ready(context)
 
 
-@behave.when("it is told to stop while a request is in progress")
+@behave.when("it gets SIGTERM while a request is in progress")
 def step_stop(context):
     asking = eventlet.spawn(_send_request, context)
     _eventually(lambda: len(context.runner.requests) > 1, "a request")
@@ -216,13 +218,13 @@
     context.got = asking.wait()
 
 
-@behave.then("it is ready no more, and the caller gets the answer")
+@behave.then("it is not ready, and the caller gets the whole response")
 def step_not_ready(context):
     assert not context.ready
     step_answer(context)
 
 
-@behave.then("it ends by itself with 0")
+@behave.then("it exits with 0")
 def step_ended(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     assert context.process.poll() == 0, context.log.read_text()[-500:]
@@ -235,21 +237,21 @@
     context.process = _start(context)
 
 
-@behave.then("it ends with 2 and names the field")
+@behave.then("it exits with 2 and names the field")
 def step_names(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     assert context.process.poll() == 2
     assert "Address" in context.log.read_text(), context.log.read_text()
 
 
-@behave.when("the program is asked to check a settings file")
+@behave.when("the program checks a settings file")
 def step_check(context):
     _prepare(context)
     _write_settings(context)
     context.process = _start(context, "check", str(context.path))
 
 
-@behave.then("it prints the daemon's own settings")
+@behave.then("it prints the daemon's settings")
 def step_printed(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     shown = json.loads(context.log.read_text())
@@ -257,7 +259,7 @@
     assert shown["repeats"]["slack"] == 130
 
 
-#: Counters and histograms appear with their first observation.
+#: Counters and histograms that are served only after their first observation.
 _EXPOSED_ON_USE = {
     "citronvalve_forward_malformed_total",
     "citronvalve_forward_orders_total",
@@ -281,10 +283,7 @@
     return found
 
 
-@behave.then(
-    "each metric that it serves stands on the operators' page, and each of "
-    "the page is served"
-)
+@behave.then("the metrics that it serves are those on the operators' page")
 def step_metrics(context):
     connection = http.client.HTTPConnection("127.0.0.1", context.ports[1])
     connection.request("GET", "/metrics")
--- a/tests/adapter/store.feature
+++ b/tests/adapter/store.feature
@@ -1,10 +1,11 @@
 Feature: The users' store as the product's table service
-  It has outages, loses answers, turns some away, and forgets its history.
+  The store has outages, loses responses, rejects calls and truncates its
+  history.
 
   Scenario Outline: a conditional write while the store is <trouble>
     Given a store of rows
     And the store is "<trouble>"
-    When a row is written that must not exist
+    When a row is inserted on condition that it does not exist
     Then the outcome is "<outcome>"
 
     Examples:
@@ -14,70 +15,72 @@
       | many    | Unavailable |
       | lost    | AnswerLost  |
 
-  Scenario: a condition that does not hold shows the row as it is
+  Scenario: a failed condition returns the present row
     Given a store of rows
-    When a row is written twice that must not exist
+    When the same row is inserted twice on that condition
     Then the outcome is "Conflict"
 
-  Scenario: a table larger than a page is read whole
+  Scenario: a table larger than a page is read completely
     Given a store of rows
     And 1203 rows of a table
-    When the table is read whole
+    When all rows of the table are read
     Then 1203 rows are found
 
-  Scenario: a row of an earlier page goes while a later one is read
-    Guards against a removed row that a large table's reading keeps for good.
+  Scenario: a row of an earlier page is removed while a later one is read
+    Guards against keeping the removed row when a table has several pages.
 
     Given a store of rows
     And 1203 rows of a table
-    And after the first page a row of it goes, and one of it changes
-    When the table is read whole
+    And after the first page one of its rows is removed and one changes
+    When all rows of the table are read
     Then 1202 rows are found
-    And they are what the store holds, at its newest revision
+    And they are the rows of the store at its newest revision
 
-  Scenario: a row that was dropped and written again within one answer is there
-    A runner that leaves and returns between two calls must not be taken for
-    gone.
+  Scenario: a row is removed and written again within one response
+    Guards against treating a runner as removed that leaves and returns between
+    two calls.
 
     Given a store of rows
     And 1 rows of a table
-    When the row is dropped and written again
-    Then the changes hold the row and drop none
+    When the row is removed and written again
+    Then the changes contain the row and no removal
 
-  Scenario: the history is gone
-    The table is then read whole, and rows that went meanwhile are dropped.
+  Scenario: the store has truncated its history
+    Guards against keeping rows that were removed in the truncated part: the
+    follower reads all rows again.
 
     Given a store of rows
     And 3 rows of a table
     And the table is followed
-    When a row goes and the history is forgotten
+    When a row is removed and the history is truncated
     Then the follower holds 2 rows after two more calls
 
-  Scenario: another daemon reads for this one
-    Calls are paid for; while another vouches, this one makes none, and when
-    the word stops it reads for itself.
+  Scenario: another daemon confirms the table
+    Calls to the store are charged. The follower makes none while another
+    daemon confirms its rows, and reads again when confirmations stop.
 
     Given a store of rows
     And 3 rows of a table
     And the table is followed
-    When another daemon vouches for what is known
+    When another daemon confirms the held rows
     Then the follower makes no call for 0.9 s
-    And after that it makes one
+    And after that it makes a call
 
   Scenario: a reader whose own call hangs vouches on for a while
-    Its word is as old as what it read. A runner that left meanwhile would get
-    requests later than two seconds after the store said so.
+    A confirmation is as old as the read behind it. Guards against trusting it
+    for too long: a runner that left would get requests later than two seconds
+    after the store reported it.
 
     Given a store of rows
     And 3 rows of a table
     And the table is followed
-    When another daemon goes on vouching for what it read before
-    Then the follower makes a call within 1.6 s of that reading
+    When another daemon keeps confirming an earlier read
+    Then the follower makes a call within 1.6 s of that read
 
-  Scenario: news that came after a gap are not taken for all there is
+  Scenario: an update after a gap is not applied
     Given a store of rows
     And 3 rows of a table
     And the table is followed
-    And another daemon vouches for what is known
-    When news arrive that begin after what is known
-    Then the follower reads for itself at once
+    And another daemon confirms the held rows
+    When an update arrives that begins after the held revision
+    Then the follower reads from the store at once
