--- a/src/citronvalve/cli/explaining.py
+++ b/src/citronvalve/cli/explaining.py
@@ -86,8 +86,8 @@
     for line in sorted(lines, key=_wall_time):
         if line.get("request") or not since <= _wall_time(line) <= until:
             continue
-        about = {line.get("upstream"), line.get("runner")} & upstreams
-        if not about and line.get("group") not in groups:
+        matching = {line.get("upstream"), line.get("runner")} & upstreams
+        if not matching and line.get("group") not in groups:
             continue
         # Every daemon logs the same change; only the first line is kept.
         key = tuple(
--- a/src/citronvalve/cli/outcomes.py
+++ b/src/citronvalve/cli/outcomes.py
@@ -43,7 +43,7 @@
 
 
 def unavailable_report(failure: missing.Missing) -> report.Report:
-    """Return the report of a failed read from the platform.
+    """Return the report of a platform that could not be reached.
 
     :param failure: why there is no response.
     """
--- a/src/citronvalve/cli/status.py
+++ b/src/citronvalve/cli/status.py
@@ -106,21 +106,21 @@
 
 def _report(fleet: _FleetStatus) -> report.Report:
     headers = ("daemon", "data centre", "version", "", "age ms", "requests")
-    lines = [_daemon_line(fleet, asked) for asked in fleet.results]
+    lines = [_daemon_line(fleet, result) for result in fleet.results]
     text = [_committed_text(fleet), report.format_table(headers, lines)]
     if fleet.silent:
         text.append("not confirmed by: " + ", ".join(fleet.silent))
     text += [
-        f"{asked.status.name}: {asked.status.table_trouble}"
-        for asked in fleet.results
-        if asked.status and asked.status.table_trouble
+        f"{result.status.name}: {result.status.table_trouble}"
+        for result in fleet.results
+        if result.status and result.status.table_trouble
     ]
     body = {
         "committed": fleet.committed,
         "platform": "ok" if fleet.head else fleet.head.reason,
         "in_force": fleet.code == exitcode.ExitCode.OK,
         "silent": fleet.silent,
-        "daemons": [_daemon_body(fleet, asked) for asked in fleet.results],
+        "daemons": [_daemon_body(fleet, result) for result in fleet.results],
     }
     remedy = _REMEDY_BY_CODE[fleet.code]
     return report.Report(fleet.code, "\n".join(text), body, remedy)
--- a/tests/adapter/steps/program_steps.py
+++ b/tests/adapter/steps/program_steps.py
@@ -175,10 +175,10 @@
 
 @behave.then("the runner has received the team and not the key")
 def step_team(context):
-    asked = context.runner.requests[0].lower()
-    assert "x-tenant: team-1" in asked, asked
-    assert "x-expect-runner: i-1" in asked, asked
-    assert "x-api-key" not in asked, asked
+    received = context.runner.requests[0].lower()
+    assert "x-tenant: team-1" in received, received
+    assert "x-expect-runner: i-1" in received, received
+    assert "x-api-key" not in received, received
 
 
 @behave.when("the settings file changes and the program gets SIGHUP")
@@ -210,12 +210,12 @@
 
 @behave.when("it gets SIGTERM while a request is in progress")
 def step_stop(context):
-    asking = eventlet.spawn(_send_request, context)
+    pending = eventlet.spawn(_send_request, context)
     _eventually(lambda: len(context.runner.requests) > 1, "a request")
     context.process.send_signal(signal.SIGTERM)
     _eventually(lambda: _has_event(context, "stopping"), "a line of the stop")
     context.ready = _ready(context)
-    context.got = asking.wait()
+    context.got = pending.wait()
 
 
 @behave.then("it is not ready, and the caller gets the whole response")
