--- a/src/citronvalve/cli/editing.py
+++ b/src/citronvalve/cli/editing.py
@@ -1,4 +1,4 @@
-"""Commands that plan and make edits."""
+"""Commands that plan and apply edits of the table."""
 
 import pathlib
 from typing import Any
@@ -23,29 +23,29 @@
 ) -> report.Report:
     """Show what applying a declaration would change.
 
-    :param file: declaration in JSON with comments.
-    :param allow_removals: most rows of a section may go.
+    :param file: declaration file in JSON with comments.
+    :param allow_removals: allow the removal of most rows of a section.
     :param platform: URL of the platform.
     """
-    declaration = _read(file)
+    declaration = _read_declaration(file)
     if declaration.mistakes:
-        return outcomes.mistakes(declaration.mistakes)
+        return outcomes.mistakes_report(declaration.mistakes)
     wanted = planning.apply_declaration(declaration, allow_removals)
-    planned = session.edits(platform).plan(wanted)
+    planned = session.open_editor(platform).plan(wanted)
     if missing.is_missing(planned):
-        return outcomes.unavailable(planned)
+        return outcomes.unavailable_report(planned)
     if planned.mistakes:
-        return outcomes.mistakes(planned.mistakes)
+        return outcomes.mistakes_report(planned.mistakes)
     body = {
         "outcome": "planned",
         "base": planned.base,
-        "changes": changes.body(planned.changes),
+        "changes": changes.to_dicts(planned.changes),
     }
-    text = f"no change: version {planned.base} already says this"
+    text = f"no change: version {planned.base} already matches"
     if planned.changes:
         text = (
-            f"{changes.grid(planned.changes)}\n"
-            f"{len(planned.changes)} rows change; to make just this edit: "
+            f"{changes.format_table(planned.changes)}\n"
+            f"{len(planned.changes)} rows change; to apply exactly this edit: "
             f"citronvalve apply {file} --expect {planned.base}"
         )
     return report.Report(exitcode.ExitCode.OK, text, body)
@@ -60,21 +60,24 @@
     allow_removals: bool = False,
     platform: str = "",
 ) -> report.Report:
-    """Make the table say what a declaration says.
-
-    :param file: declaration in JSON with comments.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was planned on; another is a conflict.
-    :param allow_removals: most rows of a section may go.
+    """Change the table to match a declaration.
+
+    :param file: declaration file in JSON with comments.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the plan is based on; if the table is at
+        another one, the edit fails as a conflict.
+    :param allow_removals: allow the removal of most rows of a section.
     :param platform: URL of the platform.
     """
-    declaration = _read(file)
+    declaration = _read_declaration(file)
     if declaration.mistakes:
-        return outcomes.mistakes(declaration.mistakes)
+        return outcomes.mistakes_report(declaration.mistakes)
     wanted = planning.apply_declaration(declaration, allow_removals)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def set_row(
@@ -89,25 +92,28 @@
     """Set columns of one row, as in datacentres/sapporo state=out.
 
     :param key: section and name of the row.
-    :param columns: column=value; values as in a declaration.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param new: add a row that is not there yet.
-    :param expect: version that was looked at; another is a conflict.
+    :param columns: column=value, with values as in a declaration.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param new: add a row that does not exist yet.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     value_by_column = {}
-    for word in columns:
-        column, equals, value = word.partition("=")
-        if not equals:
-            wrong = mistake.Mistake(
-                key, word, word, "no value", "write column=value"
+    for assignment in columns:
+        column, separator, value = assignment.partition("=")
+        if not separator:
+            missing_value = mistake.Mistake(
+                key, assignment, assignment, "no value", "write column=value"
             )
-            return outcomes.mistakes((wrong,))
-        value_by_column[column] = _value(value)
+            return outcomes.mistakes_report((missing_value,))
+        value_by_column[column] = _parse_value(value)
     wanted = rowedits.set_columns(key, value_by_column, new)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def remove_row(
@@ -121,14 +127,17 @@
     """Remove one row.
 
     :param key: section and name of the row.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was looked at; another is a conflict.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     wanted = rowedits.remove_row(key)
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).apply(wanted, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).apply(wanted, author, expect)
+    )
 
 
 def revert(
@@ -139,26 +148,29 @@
     expect: int | None = None,
     platform: str = "",
 ) -> report.Report:
-    """Make the table say what it said at an earlier version, as a new edit.
+    """Restore the rows of an earlier version as a new edit.
 
-    :param version: the earlier version.
-    :param who: who makes the edit, for the audit trail.
-    :param why: why, for the audit trail.
-    :param expect: version that was looked at; another is a conflict.
+    :param version: version to restore.
+    :param who: author of the edit, for the audit trail.
+    :param why: reason for the edit, for the audit trail.
+    :param expect: version that the edit is based on; if the table is at
+        another one, the edit fails as a conflict.
     :param platform: URL of the platform.
     """
     author = edit.Author(who, why)
-    return outcomes.of(session.edits(platform).revert(version, author, expect))
+    return outcomes.edit_report(
+        session.open_editor(platform).revert(version, author, expect)
+    )
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return json5.loads(text)
     except ValueError:
         return text
 
 
-def _read(file: str) -> document.Document:
+def _read_declaration(file: str) -> document.Document:
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/citronvalve/cli/explaining.py
+++ b/src/citronvalve/cli/explaining.py
@@ -1,4 +1,4 @@
-"""The command that tells one request's story from the daemons' logs."""
+"""The command that traces one request through the daemons' logs."""
 
 from collections.abc import Iterable
 import pathlib
@@ -10,24 +10,24 @@
 from citronvalve.cli import report
 from citronvalve.model import clock
 
-#: What changed at an upstream this long before a request's end may be the
-#: cause of it: a replica that stands still tells so after four seconds.
-_BEFORE: clock.Ms = 6_000
+#: Changes at an upstream are shown from this long before the request's first
+#: line, as they may be the cause of its outcome: a stalled replica is reported
+#: only after four seconds.
+_LOOKBACK: clock.Ms = 6_000
 
-_OF_EVERY_LINE = ("wall_ms", "at_ms", "event", "daemon", "datacentre")
+_COMMON_FIELDS = ("wall_ms", "at_ms", "event", "daemon", "datacentre")
 
 _Line = dict[str, Any]
 
 
 def explain(request: str, *files: str) -> report.Report:
-    """Tell what was decided for a request, in order.
+    """Show the decisions about a request in chronological order.
 
-    Beside its own lines it shows what its upstreams and their groups went
-    through shortly before. Daemons' times are of their wall clocks, which
-    may differ by some ms.
+    Includes changes of its upstreams and their groups from shortly before.
+    Times are from the daemons' wall clocks, which may differ by some ms.
 
-    :param request: its id.
-    :param files: logs of one or more daemons.
+    :param request: id of the request.
+    :param files: log files of one or more daemons.
     """
     try:
         lines = [line for file in files for line in _read(file)]
@@ -36,29 +36,31 @@
             exitcode.ExitCode.BAD_INPUT,
             str(error),
             {"outcome": "unreadable"},
-            "name log files that can be read",
+            "give log files that can be read",
         )
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+    own_lines = [line for line in lines if line.get("request") == request]
+    if not own_lines:
         return report.Report(
             exitcode.ExitCode.REFUSED,
-            f"no line tells of {request} in {len(lines)} lines",
+            f"no line mentions {request} in {len(lines)} lines",
             {"outcome": "unknown"},
-            "give the logs of every daemon of that time; the id may be of "
-            "another try, or its lines were dropped under load",
+            "give the logs of all daemons from that time; the id may be of "
+            "another attempt, or its lines were dropped under load",
         )
-    story = sorted([*own, *_around(lines, own)], key=_wall)
-    began = min(map(_wall, own))
-    text = "\n".join(_told(line, began) for line in story)
+    timeline = sorted(
+        [*own_lines, *_related_lines(lines, own_lines)], key=_wall_time
+    )
+    started_at = min(map(_wall_time, own_lines))
+    text = "\n".join(_format_line(line, started_at) for line in timeline)
     return report.Report(
-        exitcode.ExitCode.OK, text, {"outcome": "ok", "lines": story}
+        exitcode.ExitCode.OK, text, {"outcome": "ok", "lines": timeline}
     )
 
 
 def _read(file: str) -> Iterable[_Line]:
-    with pathlib.Path(file).open(encoding="utf-8", errors="replace") as read:
-        for text in read:
-            # Collectors put their own words before a line.
+    with pathlib.Path(file).open(encoding="utf-8", errors="replace") as stream:
+        for text in stream:
+            # Log collectors put a prefix before the JSON object.
             start = text.find("{")
             if start < 0:
                 continue
@@ -70,43 +72,45 @@
                 yield line
 
 
-def _around(lines: list[_Line], own: list[_Line]) -> list[_Line]:
-    until = max(map(_wall, own))
-    since = min(map(_wall, own)) - _BEFORE
-    upstreams = {line["upstream"] for line in own if "upstream" in line}
+def _related_lines(lines: list[_Line], own_lines: list[_Line]) -> list[_Line]:
+    until = max(map(_wall_time, own_lines))
+    since = min(map(_wall_time, own_lines)) - _LOOKBACK
+    upstreams = {line["upstream"] for line in own_lines if "upstream" in line}
     groups = {
         line["group"]
         for line in lines
         if line.get("runner") in upstreams and line.get("group")
     }
     seen: set[tuple] = set()
-    found = []
-    for line in sorted(lines, key=_wall):
-        if line.get("request") or not since <= _wall(line) <= until:
+    related = []
+    for line in sorted(lines, key=_wall_time):
+        if line.get("request") or not since <= _wall_time(line) <= until:
             continue
-        about = {line.get("upstream"), line.get("runner")} & upstreams
-        if not about and line.get("group") not in groups:
+        matching = {line.get("upstream"), line.get("runner")} & upstreams
+        if not matching and line.get("group") not in groups:
             continue
-        # Each daemon notes the same change; one of them is enough.
+        # Every daemon logs the same change; only the first line is kept.
         key = tuple(
             str(line.get(name))
             for name in ("event", "runner", "upstream", "phase", "order")
         )
         if key not in seen:
             seen.add(key)
-            found.append(line)
-    return found
+            related.append(line)
+    return related
 
 
-def _wall(line: _Line) -> clock.Ms:
+def _wall_time(line: _Line) -> clock.Ms:
     return int(line.get("wall_ms", 0))
 
 
-def _told(line: _Line, began: clock.Ms) -> str:
-    inputs = " ".join(
+def _format_line(line: _Line, started_at: clock.Ms) -> str:
+    fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in _OF_EVERY_LINE and name != "request"
+        if name not in _COMMON_FIELDS and name != "request"
+    )
+    offset = _wall_time(line) - started_at
+    return (
+        f"{offset:+7d} ms  {line.get('daemon', '')}  {line['event']}: {fields}"
     )
-    at = _wall(line) - began
-    return f"{at:+7d} ms  {line.get('daemon', '')}  {line['event']}: {inputs}"
--- a/src/citronvalve/cli/main.py
+++ b/src/citronvalve/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' tool."""
+"""Entry point of the operators' command-line tool."""
 
 from collections.abc import Callable
 import functools
@@ -13,20 +13,20 @@
 from citronvalve.cli import editing
 from citronvalve.cli import explaining
 from citronvalve.cli import grouping
-from citronvalve.cli import looking
+from citronvalve.cli import queries
 from citronvalve.cli import reference
 from citronvalve.cli import report
 from citronvalve.cli import status
 
-_JSON_DOC = "\n:param json: print one JSON object for programs.\n"
+_JSON_DOC = "\n:param json: print one JSON object instead of text.\n"
 
 
 def _command(run: Callable[..., report.Report]) -> Callable:
-    """Add ``--json`` to a command."""
+    """Wrap a command so that it accepts ``--json`` and prints its report."""
 
     @functools.wraps(run)
     def command(*args, json: bool = False, **options) -> int:
-        return _tell(run(*args, **options), json)
+        return _print_report(run(*args, **options), json)
 
     signature = inspect.signature(run)
     option = inspect.Parameter(
@@ -45,17 +45,17 @@
     return command
 
 
-def _tell(done: report.Report, as_json: bool) -> int:
-    code = int(done.code)
+def _print_report(result: report.Report, as_json: bool) -> int:
+    code = int(result.code)
     if as_json:
-        body = {"exit_code": code, **done.body}
-        if done.remedy:
-            body["remedy"] = done.remedy
+        body = {"exit_code": code, **result.body}
+        if result.remedy:
+            body["remedy"] = result.remedy
         print(msgspec.json.encode(body).decode())
         return code
-    print(done.text)
-    if done.remedy:
-        print(f"remedy: {done.remedy}", file=sys.stderr)
+    print(result.text)
+    if result.remedy:
+        print(f"remedy: {result.remedy}", file=sys.stderr)
     return code
 
 
@@ -63,14 +63,14 @@
     "plan": _command(editing.plan),
     "apply": _command(editing.apply),
     "table": {
-        "show": _command(looking.show),
+        "show": _command(queries.show),
         "columns": _command(reference.columns),
-        "history": _command(looking.history),
+        "history": _command(queries.history),
         "set": _command(editing.set_row),
         "remove": _command(editing.remove_row),
         "revert": _command(editing.revert),
     },
-    "audit": _command(looking.trail),
+    "audit": _command(queries.trail),
     "status": _command(status.status),
     "groups": _command(grouping.groups),
     "explain": _command(explaining.explain),
@@ -81,10 +81,10 @@
 def main(argv: list[str] | None = None) -> None:
     """Run one command and exit with its code.
 
-    :param argv: words after the program's name; None takes the process's.
+    :param argv: arguments after the program's name; None uses sys.argv.
     """
     if argv is None:
-        # A reader such as head may leave early; that is no failure of ours.
+        # A reader such as head may close the pipe early; this is no error.
         signal.signal(signal.SIGPIPE, signal.SIG_DFL)
     sys.exit(defopt.run(_COMMANDS, argv=argv, no_negated_flags=True))
 
--- a/src/citronvalve/cli/outcomes.py
+++ b/src/citronvalve/cli/outcomes.py
@@ -1,12 +1,12 @@
-"""Tells operators what came of an edit or a read."""
+"""Convert results of edits and reads to reports."""
 
 from collections.abc import Iterable
 from typing import Any
 
 from citronvalve.cli import changes
 from citronvalve.cli import exitcode
-from citronvalve.cli import moments
 from citronvalve.cli import report
+from citronvalve.cli import timestamps
 from citronvalve.model import missing
 from citronvalve.table import edit
 from citronvalve.table import mistake
@@ -14,66 +14,71 @@
 _Code = exitcode.ExitCode
 
 
-def of(outcome: edit.Outcome) -> report.Report:
+def edit_report(outcome: edit.Outcome) -> report.Report:
     """Return the report of an edit.
 
-    :param outcome: what the editor returned.
+    :param outcome: result from the editor.
     """
-    for kind, tell in _TELL_BY_KIND.items():
-        if isinstance(outcome, kind):
-            return tell(outcome)
+    for outcome_type, make_report in _REPORT_BY_TYPE.items():
+        if isinstance(outcome, outcome_type):
+            return make_report(outcome)
     raise TypeError(f"no report for {outcome!r}")
 
 
-def mistakes(found: Iterable[mistake.Mistake]) -> report.Report:
-    """Return the report of a declaration that is wrong.
+def mistakes_report(found: Iterable[mistake.Mistake]) -> report.Report:
+    """Return the report of invalid input.
 
-    :param found: everything that is wrong with it.
+    :param found: all mistakes in it.
     """
     found = tuple(found)
-    heads = ("row", "column", "value", "why", "remedy")
+    headers = ("row", "column", "value", "why", "remedy")
     lines = ((*m[:2], repr(m.value), m.why, m.remedy) for m in found)
-    text = report.grid(heads, lines)
+    text = report.format_table(headers, lines)
     return report.Report(
         _Code.BAD_INPUT,
         f"{len(found)} mistakes; nothing was changed\n{text}",
         {"outcome": "mistakes", "mistakes": [m._asdict() for m in found]},
-        "mend the rows above and run it again",
+        "correct the rows above and run the command again",
     )
 
 
-def unavailable(lost: missing.Missing) -> report.Report:
-    """Return the report of a platform that could not be asked.
+def unavailable_report(failure: missing.Missing) -> report.Report:
+    """Return the report of a platform that could not be reached.
 
-    :param lost: what came back instead of an answer.
+    :param failure: why there is no response.
     """
     return report.Report(
         _Code.UNAVAILABLE,
-        f"the platform could not be asked: {lost.reason} ({lost.where})",
-        {"outcome": "unavailable", "reason": lost.reason, "at": lost.where},
-        "nothing was changed; check --platform and run it again",
+        f"the platform could not be reached: {failure.reason} "
+        f"({failure.where})",
+        {
+            "outcome": "unavailable",
+            "reason": failure.reason,
+            "at": failure.where,
+        },
+        "nothing was changed; check --platform and run the command again",
     )
 
 
 def entry_body(entry: edit.Entry) -> dict[str, Any]:
-    """Return an audit entry for programs.
+    """Return an audit entry as a dictionary for JSON output.
 
-    :param entry: as read.
+    :param entry: audit entry of one edit.
     """
-    return entry._asdict() | {"changes": changes.body(entry.changes)}
+    return entry._asdict() | {"changes": changes.to_dicts(entry.changes)}
 
 
 def _accepted(outcome: edit.Accepted) -> report.Report:
     return report.Report(
         _Code.OK,
-        f"{changes.grid(outcome.changes)}\n"
+        f"{changes.format_table(outcome.changes)}\n"
         f"committed as version {outcome.version}; `citronvalve status` shows "
         "when it is in force everywhere",
         {
             "outcome": "accepted",
             "version": outcome.version,
             "edit": outcome.edit,
-            "changes": changes.body(outcome.changes),
+            "changes": changes.to_dicts(outcome.changes),
         },
     )
 
@@ -81,16 +86,16 @@
 def _unchanged(outcome: edit.Unchanged) -> report.Report:
     return report.Report(
         _Code.OK,
-        f"no change: version {outcome.version} already says this",
+        f"no change: version {outcome.version} already matches",
         {"outcome": "unchanged", "version": outcome.version},
     )
 
 
 def _refused(outcome: edit.Refused) -> report.Report:
-    return mistakes(outcome.mistakes)
+    return mistakes_report(outcome.mistakes)
 
 
-def _outrun(outcome: edit.Conflict) -> report.Report:
+def _conflict(outcome: edit.Conflict) -> report.Report:
     lines = [
         f"conflict: the edit was made for version {outcome.expected}, the "
         f"table is at {outcome.version}; nothing was changed"
@@ -98,12 +103,12 @@
     for entry in outcome.winners:
         lines.append(
             f"version {entry.version} by {entry.who} at "
-            f"{moments.text(entry.at)}: {entry.why}"
+            f"{timestamps.format_utc(entry.at)}: {entry.why}"
         )
-        lines.append(changes.grid(entry.changes))
+        lines.append(changes.format_table(entry.changes))
     if outcome.unread_reason:
         lines.append(
-            f"who changed it could not be read: {outcome.unread_reason}"
+            f"the conflicting edits could not be read: {outcome.unread_reason}"
         )
     return report.Report(
         _Code.CONFLICT,
@@ -114,7 +119,7 @@
             "version": outcome.version,
             "winners": [entry_body(entry) for entry in outcome.winners],
         },
-        "look at `citronvalve plan` again, then apply with "
+        "run `citronvalve plan` again, then apply with "
         f"--expect {outcome.version}",
     )
 
@@ -130,17 +135,17 @@
             "base": outcome.base,
             "reason": outcome.reason,
         },
-        f"once the platform answers, look whether `citronvalve audit "
+        f"once the platform responds, check whether `citronvalve audit "
         f"{outcome.base + 1}` shows this edit; if not, run it again with "
         f"--expect {outcome.base}: only one of the two can take effect",
     )
 
 
-_TELL_BY_KIND = {
+_REPORT_BY_TYPE = {
     edit.Accepted: _accepted,
     edit.Unchanged: _unchanged,
     edit.Refused: _refused,
-    edit.Conflict: _outrun,
+    edit.Conflict: _conflict,
     edit.Unknown: _unknown,
-    missing.Missing: unavailable,
+    missing.Missing: unavailable_report,
 }
--- a/src/citronvalve/cli/report.py
+++ b/src/citronvalve/cli/report.py
@@ -1,4 +1,4 @@
-"""What a command tells: text for people, a body for programs."""
+"""Output of a command, as text and as a JSON object."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -7,12 +7,18 @@
 
 from citronvalve.cli import exitcode
 
-#: Characters of one cell; a longer value is cut, --json gives it whole.
-WIDEST_CELL = 60
+#: Longer values are truncated in text; --json prints them in full.
+MAX_CELL_CHARS = 60
 
 
 class Report(NamedTuple):
-    """The end of a command; ``remedy`` says what to do about a failure."""
+    """Result of a command.
+
+    :ivar code: exit code.
+    :ivar text: output for people.
+    :ivar body: fields of the JSON output.
+    :ivar remedy: how to resolve a failure; empty on success.
+    """
 
     code: exitcode.ExitCode
     text: str
@@ -20,28 +26,34 @@
     remedy: str = ""
 
 
-def grid(heads: Sequence[str], lines: Iterable[Sequence[Any]]) -> str:
-    """Return a table with aligned columns.
+def format_table(
+    headers: Sequence[str], lines: Iterable[Sequence[Any]]
+) -> str:
+    """Return a text table with aligned columns.
 
-    :param heads: one name a column.
-    :param lines: as many cells in each.
+    :param headers: names of the columns.
+    :param lines: cells of each line, one for each column.
     """
-    cells = [[_cell(each) for each in line] for line in lines]
-    table = [list(heads), *cells]
+    cells = [[_format_cell(each) for each in line] for line in lines]
+    table = [list(headers), *cells]
     widths = [max(map(len, column)) for column in zip(*table, strict=True)]
-    ruled = [table[0], ["-" * width for width in widths], *cells]
+    output_lines = [table[0], ["-" * width for width in widths], *cells]
     return "\n".join(
         "  ".join(
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ).rstrip()
-        for line in ruled
+        for line in output_lines
     )
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if isinstance(value, (list, tuple)):
         value = ", ".join(map(str, value))
     if isinstance(value, bool):
         value = "yes" if value else "no"
     text = "-" if value is None else str(value)
-    return text if len(text) <= WIDEST_CELL else text[: WIDEST_CELL - 1] + "…"
+    return (
+        text
+        if len(text) <= MAX_CELL_CHARS
+        else text[: MAX_CELL_CHARS - 1] + "…"
+    )
--- a/src/citronvalve/cli/moments.py
+++ b/src/citronvalve/cli/timestamps.py
@@ -1,12 +1,12 @@
-"""Writes moments for people."""
+"""Format timestamps as text."""
 
 import datetime
 
 from citronvalve.model import clock
 
 
-def text(at: clock.Ms) -> str:
-    """Return a moment in UTC, to the second.
+def format_utc(at: clock.Ms) -> str:
+    """Return a timestamp as text in UTC, with seconds.
 
     :param at: ms since the epoch.
     """
--- a/tests/adapter/steps/program_steps.py
+++ b/tests/adapter/steps/program_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the program on the users' machines."""
+"""Steps for the program on the users' machines."""
 
 import http.client
 import json
@@ -20,7 +20,7 @@
 from standins import scriptedrunner
 
 _PROGRAM = pathlib.Path("platform/serve.py")
-_PATIENCE = 15
+_TIMEOUT_SECONDS = 15
 
 
 def _free_port():
@@ -31,7 +31,7 @@
     return port
 
 
-def _file(context, **changes):
+def _write_settings(context, **changes):
     ports = context.ports
     value = {
         "NodeName": "front-a-1",
@@ -78,15 +78,15 @@
 
 
 def _eventually(condition, what):
-    until = time.monotonic() + _PATIENCE
+    until = time.monotonic() + _TIMEOUT_SECONDS
     while time.monotonic() < until:
         if condition():
             return
         eventlet.sleep(0.05)
-    raise AssertionError(f"not in {_PATIENCE} s: {what}")
+    raise AssertionError(f"not in {_TIMEOUT_SECONDS} s: {what}")
 
 
-def _said(context, event):
+def _has_event(context, event):
     return f'"event":"{event}"' in context.log.read_text()
 
 
@@ -99,7 +99,7 @@
     return b" 200 " in got.partition(b"\r\n")[0]
 
 
-def _ask(context):
+def _send_request(context):
     return scriptedrunner.exchange(
         f"127.0.0.1:{context.ports[0]}",
         b"GET /a/b HTTP/1.1\r\nHost: h.example\r\nX-Api-Key: k\r\n"
@@ -150,7 +150,7 @@
             "Slots": 6,
         },
     )
-    _file(context)
+    _write_settings(context)
     context.process = _start(context)
 
     def serves():
@@ -162,65 +162,69 @@
     _eventually(serves, "the program is ready")
 
 
-@behave.when("a caller asks it for something")
+@behave.when("a caller sends a request")
 def step_ask(context):
-    context.got = _ask(context)
+    context.got = _send_request(context)
 
 
-@behave.then("the caller gets the whole answer of the runner")
+@behave.then("the caller gets the whole response of the runner")
 def step_answer(context):
     assert context.got.startswith(b"HTTP/1.1 200"), context.got
     assert context.got.endswith(b"answer of i-1"), context.got
 
 
-@behave.then("the runner has been given the team and not the key")
+@behave.then("the runner has received the team and not the key")
 def step_team(context):
-    asked = context.runner.requests[0].lower()
-    assert "x-tenant: team-1" in asked, asked
-    assert "x-expect-runner: i-1" in asked, asked
-    assert "x-api-key" not in asked, asked
+    received = context.runner.requests[0].lower()
+    assert "x-tenant: team-1" in received, received
+    assert "x-expect-runner: i-1" in received, received
+    assert "x-api-key" not in received, received
 
 
-@behave.when("the settings file changes and the program is told so")
+@behave.when("the settings file changes and the program gets SIGHUP")
 def step_change(context):
-    _file(context, Bounds={"RetryBudgetSlack": 99, "GraceS": 6})
+    _write_settings(context, Bounds={"RetryBudgetSlack": 99, "GraceS": 6})
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.then("it says that it has reloaded")
+@behave.then("it logs the reload")
 def step_reloaded(context):
-    _eventually(lambda: _said(context, "reloaded"), "a line of the reload")
+    _eventually(
+        lambda: _has_event(context, "reloaded"), "a line of the reload"
+    )
 
 
-@behave.when("a settings file that can't be read takes its place")
+@behave.when(
+    "an invalid settings file replaces it and the program gets SIGHUP"
+)
 def step_spoil(context):
     context.path.write_text("{")
     context.process.send_signal(signal.SIGHUP)
 
 
-@behave.then("it says that the reload was refused, and serves on")
+@behave.then("it logs that the reload was refused, and goes on serving")
 def step_refused(context):
-    _eventually(lambda: _said(context, "reload refused"), "a refusal")
+    _eventually(lambda: _has_event(context, "reload refused"), "a refusal")
     assert _ready(context)
 
 
-@behave.when("it is told to stop while a request is in progress")
+@behave.when("it gets SIGTERM while a request is in progress")
 def step_stop(context):
-    asking = eventlet.spawn(_ask, context)
+    pending = eventlet.spawn(_send_request, context)
     _eventually(lambda: len(context.runner.requests) > 1, "a request")
     context.process.send_signal(signal.SIGTERM)
-    _eventually(lambda: _said(context, "stopping"), "a line of the stop")
+    _eventually(lambda: _has_event(context, "stopping"), "a line of the stop")
     context.ready = _ready(context)
-    context.got = asking.wait()
+    context.got = pending.wait()
 
 
-@behave.then("it is ready no more, and the caller gets the answer")
+@behave.then("it is not ready, and the caller gets the whole response")
 def step_not_ready(context):
     assert not context.ready
     step_answer(context)
 
 
-@behave.then("it ends by itself with 0")
+@behave.then("it exits with 0")
 def step_ended(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     assert context.process.poll() == 0, context.log.read_text()[-500:]
@@ -229,25 +233,25 @@
 @behave.when("the program is started with a settings file without an address")
 def step_no_address(context):
     _prepare(context)
-    _file(context, Platform={})
+    _write_settings(context, Platform={})
     context.process = _start(context)
 
 
-@behave.then("it ends with 2 and names the field")
+@behave.then("it exits with 2 and names the field")
 def step_names(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     assert context.process.poll() == 2
     assert "Address" in context.log.read_text(), context.log.read_text()
 
 
-@behave.when("the program is asked to check a settings file")
+@behave.when("the program checks a settings file")
 def step_check(context):
     _prepare(context)
-    _file(context)
+    _write_settings(context)
     context.process = _start(context, "check", str(context.path))
 
 
-@behave.then("it prints the daemon's own settings")
+@behave.then("it prints the daemon's settings")
 def step_printed(context):
     _eventually(lambda: context.process.poll() is not None, "its end")
     shown = json.loads(context.log.read_text())
@@ -255,15 +259,15 @@
     assert shown["repeats"]["slack"] == 130
 
 
-#: Counters and histograms appear with their first observation.
-_SHOWN_LATER = {
+#: Counters and histograms that are served only after their first observation.
+_EXPOSED_ON_USE = {
     "citronvalve_forward_malformed_total",
     "citronvalve_forward_orders_total",
     "citronvalve_forward_event_gap_seconds",
 }
 
 
-def _on_page():
+def _documented_metrics():
     page = pathlib.Path("docs/OPERATIONS.md").read_text()
     part = page.split("### Metrics")[1].split("\n|")[0]
     names = re.findall(r"`(\w+)`", part)
@@ -279,15 +283,12 @@
     return found
 
 
-@behave.then(
-    "each metric that it serves stands on the operators' page, and each of "
-    "the page is served"
-)
+@behave.then("the metrics that it serves are those on the operators' page")
 def step_metrics(context):
     connection = http.client.HTTPConnection("127.0.0.1", context.ports[1])
     connection.request("GET", "/metrics")
     text = connection.getresponse().read().decode()
     served = set(re.findall(r"^# TYPE (\w+) ", text, re.M))
-    page = _on_page()
+    page = _documented_metrics()
     assert served <= page, served - page
-    assert page - _SHOWN_LATER <= served, page - served
+    assert page - _EXPOSED_ON_USE <= served, page - served
--- a/tests/cli/steps/tool_steps.py
+++ b/tests/cli/steps/tool_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the operators' tool against a platform's process."""
+"""Steps that run the operators' tool against a platform process."""
 
 import concurrent.futures
 import contextlib
@@ -21,11 +21,11 @@
 from citronvalve.table import kinds
 from citronvalve.table import reader
 
-_TRIES_SECONDS = 10
+_WRITE_TIMEOUT_SECONDS = 10
 
 
-class Done(NamedTuple):
-    """How a command ended."""
+class CommandResult(NamedTuple):
+    """Exit code and output of a command."""
 
     returncode: int
     stdout: str
@@ -47,25 +47,25 @@
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         try:
-            main.main([*words, *_platform(context, words)])
+            main.main([*words, *_platform_option(context, words)])
         except SystemExit as end:
             code = end.code
-    return Done(code, out.getvalue(), err.getvalue())
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 def _spawn(context, *words):
-    """Run a command in a process of its own; return its exit code."""
+    """Run a command in its own process and return its exit code."""
     return subprocess.run(
         [
             *(sys.executable, "-m", "citronvalve.cli.main", *words),
-            *_platform(context, words),
+            *_platform_option(context, words),
         ],
         capture_output=True,
         check=False,
     ).returncode
 
 
-def _platform(context, words):
+def _platform_option(context, words):
     if words[0] == "settings" or words[:2] == ("table", "columns"):
         return ()
     return "--platform", f"http://{context.fleet.platform}"
@@ -83,7 +83,7 @@
     context.done = _run(context, *words.split())
 
 
-def _order(context, fault, calls=-1):
+def _inject_fault(context, fault, calls=-1):
     body = msgspec.json.encode(
         {"service": "table", "fault": fault, "calls": calls}
     )
@@ -92,29 +92,29 @@
 
 @behave.when("the platform goes down")
 def step_down(context):
-    _order(context, "down")
+    _inject_fault(context, "down")
 
 
 @behave.when("the platform is back")
 def step_back(context):
-    _order(context, "down", 0)
+    _inject_fault(context, "down", 0)
 
 
-@behave.when("the next answer of the platform is lost")
+@behave.when("the next response of the platform is lost")
 def step_lost(context):
-    _order(context, "lose-answer", 1)
+    _inject_fault(context, "lose-answer", 1)
 
 
-@behave.when("the platform takes one more edit and then goes down")
+@behave.when("the platform commits one more edit and then goes down")
 def step_takes(context):
-    _order(context, "lose-answer", 1)
+    _inject_fault(context, "lose-answer", 1)
     writes = _writes(context)
 
     def watch():
-        until = time.monotonic() + _TRIES_SECONDS
+        until = time.monotonic() + _WRITE_TIMEOUT_SECONDS
         while _writes(context) == writes and time.monotonic() < until:
             time.sleep(0.005)
-        _order(context, "down")
+        _inject_fault(context, "down")
 
     context.watching = concurrent.futures.ThreadPoolExecutor(1)
     context.watching.submit(watch)
@@ -125,12 +125,14 @@
     return urllib3.request("GET", url).json()["writes"]
 
 
-@behave.when("{count:d} tools at once set {key} {column} on version {at:d}")
+@behave.when(
+    "{count:d} tools concurrently set {key} {column} on version {at:d}"
+)
 def step_race(context, count, key, column, at):
     _race(context, count, key, column, "--expect", str(at))
 
 
-@behave.when("{count:d} tools at once set {key} {column} on any version")
+@behave.when("{count:d} tools concurrently set {key} {column} on any version")
 def step_race_any(context, count, key, column):
     _race(context, count, key, column)
 
@@ -139,19 +141,19 @@
     context.version = _version(context)
     words = ("table", "set", key)
 
-    def one(number):
-        # Never a value that is there: the tool would have no change to make.
+    def run_one(number):
+        # Each value is new, since setting the present value changes nothing.
         value = f"{column}={100 * context.version + number}"
         who = ("--who", f"operator-{number}", "--why", "race")
         return _spawn(context, *words, value, *who, *options)
 
     with concurrent.futures.ThreadPoolExecutor(count) as pool:
-        context.codes = list(pool.map(one, range(count)))
+        context.codes = list(pool.map(run_one, range(count)))
 
 
 def _version(context):
-    kept = client.PlatformClient(context.fleet.platform)
-    return reader.read_state(httptable.HttpTable(kept)).version
+    platform = client.PlatformClient(context.fleet.platform)
+    return reader.read_state(httptable.HttpTable(platform)).version
 
 
 @behave.then('it exits {code:d} and says "{says}"')
@@ -173,7 +175,7 @@
     assert _version(context) == version
 
 
-@behave.then("it shows the edit that was named before")
+@behave.then("it shows the edit id that the previous command printed")
 def step_named(context):
     words = context.before.stdout.split()
     edit = words[words.index("edit") + 1]
@@ -190,7 +192,7 @@
     assert set(context.codes) <= {0, 3}, context.codes
 
 
-@behave.then("the table's version rose by one for each that exits 0")
+@behave.then("the table's version increased by one for each that exits 0")
 def step_rose(context):
     rose = _version(context) - context.version
     assert rose == context.codes.count(0) >= 1, (rose, context.codes)
@@ -199,13 +201,15 @@
 @behave.then("docs/OPERATIONS.md has a line for each column with its bounds")
 def step_page(context):
     page = pathlib.Path("docs/OPERATIONS.md").read_text()
-    lost = [
+    missing_lines = [
         line
         for kind in kinds.KIND_BY_SECTION.values()
-        for line in map(_page_line, reference.lines_of(kind))
+        for line in map(_page_line, reference.column_lines(kind))
         if line not in page
     ]
-    assert not lost, "\n".join(["add to docs/OPERATIONS.md:", *lost])
+    assert not missing_lines, "\n".join(
+        ["add to docs/OPERATIONS.md:", *missing_lines]
+    )
 
 
 def _page_line(cells):
