--- a/tests/daemon/leading.feature
+++ b/tests/daemon/leading.feature
@@ -1,9 +1,10 @@
-Feature: A daemon that takes the lead plans from its own reading
+Feature: A new leader plans only from a list that it has read itself
 
   Scenario: a daemon takes the lead with an old list
-    Guards against a member of two groups: what a new leader holds was told by
-    its predecessor, which formed and opened a group after that and resigned.
+    Guards against a runner in two groups: the list of a new leader comes from
+    its predecessor, which may have formed and opened another group before it
+    resigned.
 
-    Given a daemon that holds a list with 6 free runners, told by the leader
-    When it takes the lead, and has not read the list itself for 1 s
-    Then it has given no order
+    Given a daemon that has received a list of 6 free runners from the leader
+    When it acquires the lease and does not read the list itself for 1 s
+    Then it has sent no order
--- a/tests/daemon/lifecycle.feature
+++ b/tests/daemon/lifecycle.feature
@@ -1,37 +1,37 @@
-Feature: A daemon starts whole or not at all, and leaves without a cut
-  Operators replace daemons at any time.  One that leaves must end what it
-  has begun; one that can't start must say why, all at once.
+Feature: Startup checks and graceful shutdown of a daemon
+  Operators replace daemons at any time.  A daemon that stops must complete
+  its requests; one that can't start must report all reasons at once.
 
-  Scenario: a graceful shutdown cuts off no request in progress
-    The operator ends a daemon with SIGTERM while a caller reads a streamed
-    answer.  The daemon says that it is not ready, closes its listener after
-    the notice, and waits for the answer to end.
-    Given a daemon in the middle of a streamed answer
-    When the daemon gets SIGTERM
-    Then it says that it is not ready
-    And a request on a kept connection in the notice is still answered
-    And new connections are refused after the notice
-    And the caller reads the whole answer, and the daemon exits with 0
+  Scenario: a graceful shutdown aborts no request in progress
+    An operator sends SIGTERM to a daemon while a caller reads a streamed
+    response.  The daemon reports that it is not ready, closes its listener
+    after the stop notice and waits for the response to end.
+    Given a daemon that is streaming a response
+    When the daemon receives SIGTERM
+    Then it reports that it is not ready
+    And a request on a keep-alive connection during the stop notice is answered
+    And new connections are refused after the stop notice
+    And the caller receives the whole response, and the daemon exits with 0
 
-  Scenario: settings with many mistakes
-    When a daemon starts with settings that hold four mistakes
-    Then it exits with 2 and names all four, each with its remedy
-    And a mistyped secret key is not shown
+  Scenario: settings with several errors
+    When a daemon starts with four errors in its settings
+    Then it exits with 2 and reports all four, each with its remedy
+    And an invalid secret key is not printed
 
   Scenario Outline: a settings file that can't be read
     When a daemon starts with a file that <is>
-    Then it exits with 2 and says "<words>"
+    Then it exits with 2 and prints "<message>"
 
     Examples:
-      | is             | words              |
+      | is             | message            |
       | does not exist | No such file       |
       | holds no JSON  | JSON with comments |
       | holds a list   | it holds a list    |
 
   Scenario: an address that is taken
-    When a daemon starts on an address that is taken
-    Then it exits with 2 and says "free the address"
+    When a daemon starts on an address that is in use
+    Then it exits with 2 and prints "free the address"
 
   Scenario: metrics and health are served
-    Given a daemon in the middle of a streamed answer
-    Then its metrics name the requests in progress in base units
+    Given a daemon that is streaming a response
+    Then its metrics show the requests in progress and base units
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a daemon that takes the lead of the replica groups."""
+"""Steps for a daemon that becomes leader of the replica groups."""
 
 import behave
 import eventlet
@@ -22,8 +22,8 @@
 _ANY_PORT = "127.0.0.1:0"
 
 
-class _Orders(runnerclient.RunnerClient):
-    """Takes every order, and keeps it."""
+class _RecordingClient(runnerclient.RunnerClient):
+    """Accepts and records every order."""
 
     def __init__(self):
         self.given = []
@@ -51,7 +51,7 @@
     )
 
 
-def _ports(taken):
+def _platform(client):
     store = memorytable.MemoryTable()
     return platforminterface.PlatformInterface(
         lambda: store,
@@ -61,7 +61,7 @@
         lambda row: missing.NotFound("no catalogue", row.key),
         lambda key: None,
         "catalogue",
-        taken,
+        client,
         headernames.HeaderNames(),
         "/readyz",
         _settings,
@@ -75,13 +75,13 @@
 
 
 @behave.given(
-    "a daemon that holds a list with {count:d} free runners, told by the "
+    "a daemon that has received a list of {count:d} free runners from the "
     "leader"
 )
 def step_daemon(context, count):
-    context.orders = _Orders()
+    context.orders = _RecordingClient()
     context.daemon = entrydaemon.EntryDaemon(
-        _settings(), _ports(context.orders)
+        _settings(), _platform(context.orders)
     )
     directory = context.daemon.directory
     directory.adopt(_catalogue())
@@ -101,8 +101,8 @@
     directory.list_known = True
 
 
-@behave.when("it takes the lead, and has not read the list itself for 1 s")
-def step_lead(context):
+@behave.when("it acquires the lease and does not read the list itself for 1 s")
+def step_acquire(context):
     planning = eventlet.spawn(context.daemon._planner_task.run)
     context.daemon._lease.step()
     assert context.daemon._lease.held
@@ -110,7 +110,7 @@
     planning.kill()
 
 
-@behave.then("it has given no order")
+@behave.then("it has sent no order")
 def step_no_order(context):
     given = [(one.kind.value, one.runner) for one in context.orders.given]
     assert not given, given
--- a/tests/daemon/steps/lifecycle_steps.py
+++ b/tests/daemon/steps/lifecycle_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the start and the end of a daemon."""
+"""Steps for the start and the shutdown of a daemon."""
 
 import concurrent.futures
 import json
@@ -18,19 +18,19 @@
 
 _PROMPT = "a long question"
 _TOKENS = 400
-_NOTICE = 600
+_STOP_NOTICE_MS = 600
 
 
-@behave.given("a daemon in the middle of a streamed answer")
-def step_middle(context):
-    made = context.made = drill.open_in(context)
-    engine = made.engine("vm-1", "sapporo", "--token-time=4")
-    made.daemons(1, stop_notice=_NOTICE)
-    made.start()
+@behave.given("a daemon that is streaming a response")
+def step_streaming(context):
+    deployment = context.made = drill.open_in(context)
+    engine = deployment.engine("vm-1", "sapporo", "--token-time=4")
+    deployment.daemons(1, stop_notice=_STOP_NOTICE_MS)
+    deployment.start()
     pool = concurrent.futures.ThreadPoolExecutor(1)
     context.add_cleanup(pool.shutdown)
     context.answer = pool.submit(
-        made.caller().chat, deployments.MODEL, _PROMPT, tokens=_TOKENS
+        deployment.caller().chat, deployments.MODEL, _PROMPT, tokens=_TOKENS
     )
     load = f"http://{engine}/load"
     drill.eventually(
@@ -39,37 +39,41 @@
     )
 
 
-@behave.when("the daemon gets SIGTERM")
+@behave.when("the daemon receives SIGTERM")
 def step_term(context):
-    context.kept = urllib3.HTTPConnectionPool(
+    context.connections = urllib3.HTTPConnectionPool(
         *context.made.addresses().callers.split(":"), maxsize=1
     )
-    # A first call, so that the connection is kept from before the signal.
-    context.kept.request("GET", "/", retries=False)
+    # Opens the keep-alive connection before the signal.
+    context.connections.request("GET", "/", retries=False)
     context.daemon = context.made.fleet.process_by_name["daemon-0"]
     context.exit = threading.Thread(target=context.daemon.end)
     context.exit.start()
 
 
-def _ready(context):
+def _fetch_readiness(context):
     url = f"http://{context.made.addresses().operators}/readyz"
     return urllib3.request("GET", url, retries=False)
 
 
-@behave.then("it says that it is not ready")
+@behave.then("it reports that it is not ready")
 def step_unready(context):
-    drill.eventually(lambda: _ready(context).status == 503, "not ready")
-    assert "stopping" in _ready(context).json()["reasons"]
+    drill.eventually(
+        lambda: _fetch_readiness(context).status == 503, "not ready"
+    )
+    assert "stopping" in _fetch_readiness(context).json()["reasons"]
 
 
-@behave.then("a request on a kept connection in the notice is still answered")
-def step_kept(context):
+@behave.then(
+    "a request on a keep-alive connection during the stop notice is answered"
+)
+def step_keep_alive(context):
     body = {
         "model": deployments.MODEL,
         "messages": [{"role": "user", "content": "short"}],
         "max_tokens": 2,
     }
-    answered = context.kept.request(
+    answered = context.connections.request(
         "POST",
         "/v1/chat/completions",
         json=body,
@@ -79,7 +83,7 @@
     assert answered.status == 200, answered.data
 
 
-@behave.then("new connections are refused after the notice")
+@behave.then("new connections are refused after the stop notice")
 def step_refused(context):
     host, _, port = context.made.addresses().callers.rpartition(":")
 
@@ -91,19 +95,23 @@
         return False
 
     drill.eventually(refused, "the listener is closed")
-    assert not context.answer.done(), "the answer ended before the listener"
+    assert not context.answer.done(), (
+        "the response ended before the listener closed"
+    )
 
 
-@behave.then("the caller reads the whole answer, and the daemon exits with 0")
+@behave.then(
+    "the caller receives the whole response, and the daemon exits with 0"
+)
 def step_exits(context):
-    seen = context.answer.result(drill.PATIENCE)
+    response = context.answer.result(drill.PATIENCE)
     expected = answer.whole(deployments.MODEL, _PROMPT, _TOKENS)
-    assert seen.whole and seen.text == expected, seen
+    assert response.whole and response.text == expected, response
     context.exit.join(drill.PATIENCE)
     assert context.daemon.wait() == 0, context.daemon.output()
 
 
-def _start(context, path):
+def _run_daemon(context, path):
     context.done = subprocess.run(
         [sys.executable, "-m", "citronvalve.daemon.main", "--settings", path],
         capture_output=True,
@@ -113,14 +121,14 @@
     )
 
 
-def _write(context, text):
+def _write_settings(context, text):
     made = context.made = drill.open_in(context)
     path = made.fleet.folder / "bad.json5"
     path.write_text(text)
     return str(path)
 
 
-_GOOD = {
+_VALID_SETTINGS = {
     "name": "one",
     "datacentre": "sapporo",
     "callers": "127.0.0.1:1",
@@ -130,19 +138,19 @@
 }
 
 
-@behave.when("a daemon starts with settings that hold four mistakes")
-def step_four(context):
-    wrong = _GOOD | {
+@behave.when("a daemon starts with four errors in its settings")
+def step_four_errors(context):
+    settings = _VALID_SETTINGS | {
         "callers": "localhost",
         "body": "large",
         "colour": "green",
         "peer_secret_key": "hush-hush",
     }
-    wrong.pop("platform")
-    _start(context, _write(context, json.dumps(wrong)))
+    settings.pop("platform")
+    _run_daemon(context, _write_settings(context, json.dumps(settings)))
 
 
-@behave.then("it exits with 2 and names all four, each with its remedy")
+@behave.then("it exits with 2 and reports all four, each with its remedy")
 def step_names(context):
     assert context.done.returncode == 2, context.done
     for words in (
@@ -154,7 +162,7 @@
         assert words in context.done.stderr, context.done.stderr
 
 
-@behave.then("a mistyped secret key is not shown")
+@behave.then("an invalid secret key is not printed")
 def step_secret(context):
     assert "hush-hush" not in context.done.stderr
     assert "peer_secret_key" in context.done.stderr
@@ -164,13 +172,13 @@
 def step_file(context, what):
     text = {"holds no JSON": "name = 5", "holds a list": "[1]"}.get(what)
     if text is None:
-        _start(context, "no-such-file.json5")
+        _run_daemon(context, "no-such-file.json5")
         return
-    _start(context, _write(context, text))
+    _run_daemon(context, _write_settings(context, text))
 
 
-@behave.when("a daemon starts on an address that is taken")
-def step_taken(context):
+@behave.when("a daemon starts on an address that is in use")
+def step_in_use(context):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -179,17 +187,17 @@
             name: process.free_address()
             for name in ("operators", "peers", "platform")
         }
-        settings = _GOOD | others | {"callers": address}
-        _start(context, _write(context, json.dumps(settings)))
+        settings = _VALID_SETTINGS | others | {"callers": address}
+        _run_daemon(context, _write_settings(context, json.dumps(settings)))
 
 
-@behave.then('it exits with 2 and says "{words}"')
-def step_says(context, words):
+@behave.then('it exits with 2 and prints "{message}"')
+def step_prints(context, message):
     assert context.done.returncode == 2, context.done
-    assert words in context.done.stderr, context.done.stderr
+    assert message in context.done.stderr, context.done.stderr
 
 
-@behave.then("its metrics name the requests in progress in base units")
+@behave.then("its metrics show the requests in progress and base units")
 def step_metrics(context):
     url = f"http://{context.made.addresses().operators}/metrics"
     began = time.monotonic()
--- a/tests/logs/environment.py
+++ b/tests/logs/environment.py
@@ -1,4 +1,4 @@
-"""The daemon's parts run on green threads here as they do in a daemon."""
+"""Run the daemon's components on green threads, as in a daemon."""
 
 from citronvalve.daemon import green
 
--- a/tests/logs/logs.feature
+++ b/tests/logs/logs.feature
@@ -1,14 +1,14 @@
-Feature: Lines that tell why, bounded, and never in the way
-  After a complaint there are only logs. They must be there for what went
-  wrong, and must cost no request anything when nobody reads them.
+Feature: A bounded, non-blocking decision log
+  Complaints are analysed from logs alone.  The log must show the causes of
+  failures, and a slow or absent reader must not delay any request.
 
   Scenario Outline: the reader of the log <what>
-    A pipe holds 64 KB; a write into a full one would stop the whole daemon.
+    A pipe holds 64 KB; a blocking write to a full one would stop the daemon.
 
     Given a log whose reader <what>
-    When 20000 lines are noted
-    Then noting them took less than 4 s in all
-    And every line that is read is whole
+    When 20000 lines are logged
+    Then logging them took less than 4 s in total
+    And every line that is read is complete
     And lines that were dropped are counted
 
     Examples:
@@ -17,22 +17,22 @@
       | reads nothing |
       | has closed    |
 
-  Scenario: changes of belief are the last to go
+  Scenario: state changes are logged when notes are dropped
     Given a log whose reader reads nothing
-    When more is noted than fits into a second
-    Then a change of belief is still taken
+    When more notes are logged than fit into a second
+    Then a state change is still logged
 
-  Scenario: what was dropped is told once there is room again
-    Given a log whose reader has a pause of a second
-    Then a line tells how many were dropped
+  Scenario: the number of dropped lines is logged once there is room again
+    Given a log whose reader pauses for a second
+    Then a line reports how many were dropped
 
   Scenario Outline: a <kind> request is traced from its id to its cause
-    The lines are those that the daemons wrote while scripted runners failed.
+    The lines are those that a daemon logs while scripted runners fail.
 
-    Given a daemon before scripted runners, whose log is kept
+    Given a daemon with scripted runners, whose log is recorded
     When a request is <kind>
-    And its id is given to the tool with the log
-    Then the tool tells of "<cause>"
+    And the tool explains its id from the log
+    Then the tool shows "<cause>"
 
     Examples:
       | kind       | cause                        |
--- a/tests/logs/steps/log_steps.py
+++ b/tests/logs/steps/log_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the log and what the tool makes of it."""
+"""Steps for the decision log and the tool that explains it."""
 
 import json
 import os
@@ -30,7 +30,7 @@
         os.close(context.reader)
 
 
-def _drain(context):
+def _read_all(context):
     _os.set_blocking(context.reader, False)
     got = b""
     while True:
@@ -43,8 +43,8 @@
         got += data
 
 
-@behave.when("{count:d} lines are noted")
-def step_note(context, count):
+@behave.when("{count:d} lines are logged")
+def step_log_lines(context, count):
     began = time.monotonic()
     context.got = b""
     for number in range(count):
@@ -53,21 +53,21 @@
             context.clock.advance(20)
             context.log.flush()
         if context.what == "reads slowly" and number % 1_000 == 0:
-            context.got += _drain(context)
+            context.got += _read_all(context)
     context.took = time.monotonic() - began
 
 
-@behave.then("noting them took less than {seconds:g} s in all")
+@behave.then("logging them took less than {seconds:g} s in total")
 def step_took(context, seconds):
     assert context.took < seconds, context.took
 
 
-@behave.then("every line that is read is whole")
-def step_whole(context):
+@behave.then("every line that is read is complete")
+def step_complete(context):
     if context.what == "has closed":
         return
     while True:
-        got = _drain(context)
+        got = _read_all(context)
         if not got:
             break
         context.got += got
@@ -83,7 +83,7 @@
     assert context.log.dropped > 0
 
 
-@behave.when("more is noted than fits into a second")
+@behave.when("more notes are logged than fit into a second")
 def step_more(context):
     for number in range(5_000):
         context.log.note("try ended", f"r-{number}", why="x" * 100)
@@ -91,14 +91,14 @@
     assert context.dropped
 
 
-@behave.then("a change of belief is still taken")
+@behave.then("a state change is still logged")
 def step_change(context):
     context.log.change("runner gone", runner="i-1")
     assert context.log.dropped == context.dropped
 
 
-@behave.then("a line tells how many were dropped")
-def step_told(context):
+@behave.then("a line reports how many were dropped")
+def step_reported(context):
     for number in range(5_000):
         context.log.note("try ended", f"r-{number}", why="x" * 100)
     dropped = context.log.dropped
@@ -107,21 +107,21 @@
     got = b""
     for _ in range(100):
         context.log.flush()
-        got += _drain(context)
-    told = [
+        got += _read_all(context)
+    reports = [
         json.loads(line)
         for line in got.splitlines()
         if b"lines dropped" in line
     ]
-    assert [line["count"] for line in told] == [dropped], told
+    assert [line["count"] for line in reports] == [dropped], reports
 
 
-@behave.given("a daemon before scripted runners, whose log is kept")
+@behave.given("a daemon with scripted runners, whose log is recorded")
 def step_rig(context):
     pass
 
 
-_WAY_BY_KIND = {
+_SCRIPTS_BY_KIND = {
     "refused": ("/once/a", {}),
     "late": (
         "/stream/a",
@@ -136,7 +136,7 @@
 
 @behave.when("a request is {kind}")
 def step_kind(context, kind):
-    path, scripts = _WAY_BY_KIND[kind]
+    path, scripts = _SCRIPTS_BY_KIND[kind]
     context.rig = rigs.Rig(scripts)
     if "head-2" in scripts:
         held = context.rig.directory.runner_by_id["head-2"]
@@ -148,7 +148,7 @@
     context.rig.send(path, "X-Model: large\r\nX-Tokens: 100,60\r\n")
 
 
-@behave.when("its id is given to the tool with the log")
+@behave.when("the tool explains its id from the log")
 def step_tool(context):
     now = clock.SystemClock().wall()
     with tempfile.TemporaryDirectory() as folder:
@@ -168,10 +168,10 @@
                 for event, inputs in context.rig.log.lines
             )
         )
-        context.told = explaining.explain("req-1", str(path))
+        context.explanation = explaining.explain("req-1", str(path))
 
 
-@behave.then('the tool tells of "{cause}"')
+@behave.then('the tool shows "{cause}"')
 def step_cause(context, cause):
-    assert int(context.told.code) == 0, context.told
-    assert cause in context.told.text, context.told.text
+    assert int(context.explanation.code) == 0, context.explanation
+    assert cause in context.explanation.text, context.explanation.text
