--- a/src/citronvalve/daemon/entrydaemon.py
+++ b/src/citronvalve/daemon/entrydaemon.py
@@ -179,18 +179,18 @@
         return self._settings.first_start and not self._forwarder.received
 
     def _follow_tables(self) -> None:
-        listed = runnerlistener.RunnerListener(
+        runner_listener = runnerlistener.RunnerListener(
             self.env, self.directory, self._loads, self._platform.decode_runner
         )
-        listed.schedule = _schedule
-        declared = configurationlistener.ConfigurationListener(
+        runner_listener.schedule = _schedule
+        configuration_listener = configurationlistener.ConfigurationListener(
             self.env, self.directory, self._platform
         )
         for table, listener_ in (
-            (self._platform.operators_table, declared),
-            (self._platform.runners_table, listed),
+            (self._platform.operators_table, configuration_listener),
+            (self._platform.runners_table, runner_listener),
         ):
-            followed = tail.Tail(
+            tail_ = tail.Tail(
                 self._platform.open_table(),
                 table,
                 listener_,
@@ -198,20 +198,22 @@
                 self.env.clock,
                 eventlet.sleep,
             )
-            self._messages.tables.tail_by_table[table] = followed
-            followed.is_reader = self._messages.is_reader
-            followed.on_call = functools.partial(
+            self._messages.tables.tail_by_table[table] = tail_
+            tail_.is_reader = self._messages.is_reader
+            tail_.on_call = functools.partial(
                 self.env.metrics.record_platform_read, table
             )
-            followed.on_unreadable = functools.partial(
+            tail_.on_unreadable = functools.partial(
                 self._messages.request_full_update, table
             )
-            followed.on_read = functools.partial(
+            tail_.on_read = functools.partial(
                 self._messages.broadcast_changes, table
             )
-            if listener_ is listed:
-                listed.store_failed_at = lambda t=followed: t.outage.failed_at
-            eventlet.spawn(followed.run)
+            if listener_ is runner_listener:
+                runner_listener.store_failed_at = lambda t=tail_: (
+                    t.outage.failed_at
+                )
+            eventlet.spawn(tail_.run)
 
     def _renew_lease(self) -> None:
         while True:
@@ -228,23 +230,25 @@
             eventlet.sleep(_CLEANUP_INTERVAL / clock.SECOND)
 
     def _update_gauges(self) -> None:
-        show = self.env.metrics.set_gauge
+        set_gauge = self.env.metrics.set_gauge
         catalogue = self.directory.catalogue
         version = catalogue.version if catalogue else 0
         now = self.env.clock.now()
         age = (now - self.directory.confirmed_at) / clock.SECOND
-        show("in_progress", "Requests now.", self._forwarder.in_progress)
-        show("connections", "Callers' connections.", self._acceptor.count)
-        show("log_lines_dropped", "Lines dropped.", self._log.dropped)
-        show("leading", "Whether it leads.", float(bool(self._lease.held)))
-        show("daemons", "Daemons known.", self._lease.daemon_count)
+        set_gauge("in_progress", "Requests now.", self._forwarder.in_progress)
+        set_gauge("connections", "Callers' connections.", self._acceptor.count)
+        set_gauge("log_lines_dropped", "Lines dropped.", self._log.dropped)
+        set_gauge(
+            "leading", "Whether it leads.", float(bool(self._lease.held))
+        )
+        set_gauge("daemons", "Daemons known.", self._lease.daemon_count)
         tail_by_table = self._messages.tables.tail_by_table
         listed = tail_by_table[self._platform.runners_table].revision
         declared = tail_by_table[self._platform.operators_table].revision
-        show("upstream_list_revision", "Known up to here.", listed)
-        show("declarations_revision", "Known up to here.", declared)
-        show("configuration_version", "Version in force.", version)
-        show("configuration_age_seconds", "Since it was the newest.", age)
+        set_gauge("upstream_list_revision", "Known up to here.", listed)
+        set_gauge("declarations_revision", "Known up to here.", declared)
+        set_gauge("configuration_version", "Version in force.", version)
+        set_gauge("configuration_age_seconds", "Since it was the newest.", age)
 
     def _on_stop(self, *_: object) -> None:
         # A signal handler must not switch tasks.
--- a/src/citronvalve/daemon/operators.py
+++ b/src/citronvalve/daemon/operators.py
@@ -110,21 +110,23 @@
         return status
 
     def _metrics(self) -> tuple[str, str, bytes]:
-        show = self._env.metrics.set_gauge
-        show("in_progress", "Requests in progress.", self._progress.count)
-        show("table_version", "Table version in force.", self._view.version)
-        show(
+        set_gauge = self._env.metrics.set_gauge
+        set_gauge("in_progress", "Requests in progress.", self._progress.count)
+        set_gauge(
+            "table_version", "Table version in force.", self._view.version
+        )
+        set_gauge(
             "table_age_seconds",
             "Time since the version was known to be the newest.",
             self._view.age / clock.SECOND,
         )
         peers = self._peer_task.peer.status()
-        show("peers_alive", "Members seen alive.", len(peers.alive))
-        show("peers_suspect", "Members in doubt.", len(peers.suspect))
-        show("peer_rejoins", "Lives begun anew.", peers.rejoins)
-        show("peer_acting", "Whether it may act as keeper.", peers.acting)
-        show("table_silent", "Members yet to confirm.", len(peers.silent))
-        show(
+        set_gauge("peers_alive", "Members seen alive.", len(peers.alive))
+        set_gauge("peers_suspect", "Members in doubt.", len(peers.suspect))
+        set_gauge("peer_rejoins", "Lives begun anew.", peers.rejoins)
+        set_gauge("peer_acting", "Whether it may act as keeper.", peers.acting)
+        set_gauge("table_silent", "Members yet to confirm.", len(peers.silent))
+        set_gauge(
             "peer_messages_dropped",
             "Messages of peers dropped, in and out.",
             sum(self._peer_task.dropped_by_reason().values()),
--- a/src/citronvalve/daemon/policysync.py
+++ b/src/citronvalve/daemon/policysync.py
@@ -85,17 +85,17 @@
     def _exchange_losses(self, now: clock.Ms) -> None:
         facts = self._peer.crashes()
         for fact in facts:
-            known = (fact.fingerprint, fact.upstream)
-            if known not in self._known_losses:
-                self._known_losses.add(known)
+            loss_key = (fact.fingerprint, fact.upstream)
+            if loss_key not in self._known_losses:
+                self._known_losses.add(loss_key)
                 self._policy.record_remote_loss(
-                    crashfence.Loss(*known, fact.age), now
+                    crashfence.Loss(*loss_key, fact.age), now
                 )
         for loss in self._policy.recent_losses(now):
-            known = (loss.fingerprint, loss.upstream)
-            if known not in self._known_losses:
-                self._known_losses.add(known)
+            loss_key = (loss.fingerprint, loss.upstream)
+            if loss_key not in self._known_losses:
+                self._known_losses.add(loss_key)
                 start_id = self._policy.fleet.start_id(loss.upstream)
-                self._peer.publish_crash(*known, start_id)
+                self._peer.publish_crash(*loss_key, start_id)
         if not facts:
             self._known_losses.clear()
--- a/src/citronvalve/daemon/runnerlistener.py
+++ b/src/citronvalve/daemon/runnerlistener.py
@@ -101,23 +101,26 @@
             self._remove(key, "left the list")
 
     def _is_known(self, row: rows.Row) -> bool:
-        held = self._directory.runner_by_id.get(row.key)
-        return held is not None and held.list_version >= row.version
+        known = self._directory.runner_by_id.get(row.key)
+        return known is not None and known.list_version >= row.version
 
     def _update(self, runner: runners.Runner) -> None:
-        held = self._directory.update_runner(runner)
-        if held is not None and held.list_version >= runner.list_version:
+        previous = self._directory.update_runner(runner)
+        if (
+            previous is not None
+            and previous.list_version >= runner.list_version
+        ):
             return
         group = runner.membership
-        previous_group = held.membership if held else None
+        previous_group = previous.membership if previous else None
         if (
-            held is None
-            or held.start_id != runner.start_id
+            previous is None
+            or previous.start_id != runner.start_id
             or group != previous_group
         ):
             # Earlier failures say nothing about another start or group.
             load = self._loads.of(runner.id)
-            if runner.is_open_head or held is None:
+            if runner.is_open_head or previous is None:
                 load.reset_failures()
             self._env.log.change(
                 "runner changed",
@@ -129,7 +132,7 @@
                 leaving=runner.leaving,
                 version=runner.list_version,
             )
-        elif held.leaving != runner.leaving:
+        elif previous.leaving != runner.leaving:
             self._env.log.change(
                 "runner leaving", runner=runner.id, version=runner.list_version
             )
--- a/src/citronvalve/daemon/tabletask.py
+++ b/src/citronvalve/daemon/tabletask.py
@@ -73,8 +73,10 @@
     def _is_due(self) -> bool:
         if self._read_at is None or not self._view.table:
             return True
-        rested = self._env.clock.now() - self._read_at >= _FALLBACK_INTERVAL
-        return rested or self._peer_task.peer.is_watcher()
+        is_overdue = (
+            self._env.clock.now() - self._read_at >= _FALLBACK_INTERVAL
+        )
+        return is_overdue or self._peer_task.peer.is_watcher()
 
     def _read(self) -> None:
         started_at = self._read_at = self._env.clock.now()
