--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -15,7 +15,7 @@
 _DATACENTRE = "hakodate"
 
 
-class _Ports:
+class _Platform:
     """The part of the platform's interface that declarations need.
 
     Each row takes the data centre of its key out of service.
@@ -24,7 +24,7 @@
     catalogue_key = "configuration"
 
     @staticmethod
-    def datacentre_out(key: str) -> str:
+    def parse_datacentre_out(key: str) -> str:
         """Return the data centre that a key takes out of service."""
         return key
 
@@ -63,7 +63,9 @@
 
     def __init__(self, time_source):
         self.directory = directories.Directory(_DATACENTRE)
-        super().__init__(_environment(time_source), self.directory, _Ports())
+        super().__init__(
+            _environment(time_source), self.directory, _Platform()
+        )
 
     @property
     def keys(self):
