--- /dev/null
+++ b/src/citronvalve/daemon/messagetask.py
@@ -0,0 +1,273 @@
+"""Task that exchanges messages about the platform with other daemons."""
+
+from collections.abc import Callable
+from collections.abc import Iterable
+
+import eventlet
+
+from citronvalve.daemon import loadbroadcaster
+from citronvalve.daemon import tablemessages
+from citronvalve.forward import environment as environments
+from citronvalve.model import clock
+from citronvalve.model import missing
+from citronvalve.peers import distributor as distributors
+from citronvalve.peers import messagecodec
+from citronvalve.peers import messages
+from citronvalve.peers import peersettings
+from citronvalve.peers import sockets as sockets_
+from citronvalve.policy import upstreamchoice
+from citronvalve.replicas import lease as leases
+from citronvalve.storage import rows
+
+#: Interval between the heartbeats of the leader, which state how far it has
+#: read.  A heartbeat is valid for 1.5 s, so that a configuration change is in
+#: force within two seconds even if the leader is killed as it arrives.
+_HEARTBEAT_INTERVAL: clock.Ms = 300
+
+#: Hellos sent after the set of daemons changes: the first message to a peer
+#: is lost while the socket connects.
+_HELLO_COUNT = 3
+
+#: Time after the start within which a daemon and the others have exchanged
+#: messages.
+_DISCOVERY_TIME: clock.Ms = 1_000
+
+#: Larger messages are not sent; daemons that miss changes read the table.
+_MAX_MESSAGE_BYTES = 90_000
+
+#: Bounds the rate of changes to a fifth of the slowest network link, 20
+#: Mbit/s: a configuration that changes many times a second would otherwise
+#: saturate the coordinators' links and delay each version by seconds.
+_BROADCAST_BYTES_PER_MS = 500
+
+
+class MessageTask:
+    """Distributes what the leader reads, so that one daemon reads for all.
+
+    If each daemon followed the tables itself, the store would serve as many
+    calls as there are daemons, all with the same response.
+
+    :param env: the daemon's environment.
+    :param address: host:port at which other daemons reach this one.
+    :param lease: the leader lease and the known daemons.
+    :param loads: the loads that are sent and received.
+    :ivar tables: makes and applies messages about the followed tables.
+    :ivar on_crash: called with the fingerprint of a request and the upstream
+        that was lost with it, as another daemon reports them.
+    :ivar load_broadcaster: sends the load of upstreams.
+    :ivar on_stall: called with the id of a stalled upstream.
+    """
+
+    def __init__(
+        self,
+        env: environments.Environment,
+        address: str,
+        lease: leases.Lease,
+        loads: upstreamchoice.LoadTable,
+    ) -> None:
+        self._env = env
+        self._lease = lease
+        self._address = address
+        self._sockets = sockets_.Sockets(
+            peersettings.PeerSettings(
+                env.name, env.datacentre, f"tcp://{address}"
+            ),
+            env.clock,
+        )
+        self._codec = messagecodec.MessageCodec()
+        self.tables = tablemessages.TableMessages(env, lease)
+        self._handler_by_type: dict[type, Callable] = {
+            messages.Hello: self._on_hello,
+            messages.Heartbeat: self.tables.on_heartbeat,
+            messages.TableChanges: self.tables.on_changes,
+            messages.FullTableRequest: self.tables.on_full_request,
+            messages.Crash: self._on_crash,
+            messages.Stall: self._on_stall,
+            messages.DaemonLoads: self._on_daemon_loads,
+            messages.DatacentreLoads: self._on_datacentre_loads,
+            messages.OtherLoads: self._on_other_loads,
+            messages.Relayed: self._on_relayed,
+        }
+        self.on_crash: Callable[[str, str], None] = lambda *_: None
+        self._distributor = distributors.Distributor(
+            env.name, env.datacentre, loads
+        )
+        self.load_broadcaster = loadbroadcaster.LoadBroadcaster(
+            env, loads, self._distributor, self._send_all
+        )
+        self._known_count = 0
+        self._started_at = env.clock.now()
+        self._hellos_due = 0
+        self.on_stall: Callable[[str], None] = lambda _: None
+
+    def start(self) -> None:
+        """Open the sockets and start the tasks."""
+        self._sockets.bind()
+        eventlet.spawn(self._receive)
+        eventlet.spawn(self._send_heartbeats)
+        self.load_broadcaster.start()
+
+    def close(self) -> None:
+        """Close the sockets."""
+        self._sockets.close()
+
+    def broadcast_changes(
+        self, table: str, base: int, scan: rows.Scan
+    ) -> clock.Ms:
+        """Send the result of a table read, if this daemon reads for others.
+
+        :param table: the table's name.
+        :param base: revision after which the rows changed.
+        :param scan: the rows that were read.
+        :returns: ms for which further changes should be batched.
+        """
+        lease = self._lease.held if self._lease.is_renewed else 0
+        if not (scan.rows or scan.deleted) or not self.is_reader():
+            return 0
+        changes = self.tables.make_changes(lease, table, base, scan)
+        if lease:
+            self._broadcast(changes)
+        else:
+            self._broadcast_locally(changes)
+        # Each coordinator forwards it to all daemons of its data centre.
+        size = len(self._codec.encode(changes))
+        return (
+            size
+            * self._distributor.topology.fan_out
+            // _BROADCAST_BYTES_PER_MS
+        )
+
+    def is_reader(self) -> bool:
+        """Return whether this daemon reads the tables for others.
+
+        The leader reads for all.  While there is no leader, as at the start
+        and after it was killed, the coordinator of each data centre reads for
+        that data centre; it is known once the daemons have exchanged
+        messages.
+        """
+        if self._lease.is_renewed:
+            return True
+        now = self._env.clock.now()
+        if (
+            self._lease.has_recent_leader
+            or now - self._started_at < _DISCOVERY_TIME
+        ):
+            return False
+        return self._distributor.topology.is_coordinator(now)
+
+    def broadcast_stall(self, upstream: str) -> None:
+        """Report a stalled upstream to all daemons.
+
+        The leader probes it; the others send it no requests meanwhile.
+
+        :param upstream: the upstream's id.
+        """
+        if self._lease.held:
+            self.on_stall(upstream)
+        self._broadcast(messages.Stall(upstream))
+
+    def request_full_update(self, table: str) -> None:
+        """Ask the leader for a full update of a table.
+
+        :param table: the table's name.
+        """
+        if self._lease.has_recent_leader:
+            wanted = messages.FullTableRequest(self._env.name, table)
+            self._send_all([distributors.Outgoing(self._lease.leader, wanted)])
+
+    def broadcast_crash(self, fingerprint: str, upstream: str) -> None:
+        """Report an upstream that was lost with a request to all daemons.
+
+        :param fingerprint: the request's fingerprint.
+        :param upstream: the upstream's id.
+        """
+        self._broadcast(messages.Crash(fingerprint, upstream))
+
+    def hears_majority(self) -> bool:
+        """Return whether most of the other daemons are reachable."""
+        others = len(self._lease.peer_by_name) - 1
+        heard = self._distributor.reachable_count(self._env.clock.now())
+        return 2 * heard > others or not others
+
+    def _receive(self) -> None:
+        while True:
+            message = self._codec.decode(self._sockets.receive())
+            if isinstance(message, missing.Missing):
+                self._env.log.change("news unreadable", why=message.reason)
+                continue
+            self._handler_by_type[type(message)](message)
+            # A socket that always has another message would starve the
+            # other tasks.
+            eventlet.sleep(0)
+
+    def _send_heartbeats(self) -> None:
+        while True:
+            self._update_peers()
+            if self._lease.is_renewed:
+                self._broadcast(self.tables.make_heartbeat(self._lease.held))
+            elif self.is_reader():
+                self._broadcast_locally(self.tables.make_heartbeat(0))
+            eventlet.sleep(_HEARTBEAT_INTERVAL / clock.SECOND)
+
+    def _update_peers(self) -> None:
+        peers = self._lease.peer_by_name
+        if len(peers) != self._known_count:
+            self._known_count = len(peers)
+            self._hellos_due = _HELLO_COUNT
+            self._distributor.set_daemons(
+                {name: peer.datacentre for name, peer in peers.items()}
+            )
+        if self._hellos_due:
+            self._hellos_due -= 1
+            self._broadcast(
+                messages.Hello(
+                    self._env.name, self._address, self._env.datacentre
+                )
+            )
+
+    def _broadcast(self, item: messages.Broadcast) -> None:
+        now = self._env.clock.now()
+        self._send_all(self._distributor.broadcast(item, now))
+
+    def _broadcast_locally(self, item: messages.Broadcast) -> None:
+        now = self._env.clock.now()
+        self._send_all(self._distributor.broadcast_locally(item, now))
+
+    def _send_all(self, out: Iterable[distributors.Outgoing]) -> None:
+        peers = self._lease.peer_by_name
+        last, data = None, b""
+        for name, message in out:
+            peer = peers.get(name)
+            # Consecutive entries mostly carry the same message.
+            if message is not last:
+                last, data = message, self._codec.encode(message)
+            if peer is not None and len(data) <= _MAX_MESSAGE_BYTES:
+                self._sockets.send(f"tcp://{peer.address}", data)
+
+    def _on_hello(self, message: messages.Hello) -> None:
+        peer = leases.Peer(message.address, message.datacentre)
+        self._lease.add_peer(message.name, peer)
+
+    def _on_crash(self, message: messages.Crash) -> None:
+        self.on_crash(message.fingerprint, message.upstream)
+
+    def _on_stall(self, message: messages.Stall) -> None:
+        self.on_stall(message.upstream)
+
+    def _on_daemon_loads(self, message: messages.DaemonLoads) -> None:
+        self._distributor.apply_daemon_loads(message, self._env.clock.now())
+
+    def _on_datacentre_loads(self, message: messages.DatacentreLoads) -> None:
+        now = self._env.clock.now()
+        self._send_all(self._distributor.apply_datacentre_loads(message, now))
+
+    def _on_other_loads(self, message: messages.OtherLoads) -> None:
+        self._distributor.apply_other_loads(message, self._env.clock.now())
+
+    def _on_relayed(self, message: messages.Relayed) -> None:
+        now = self._env.clock.now()
+        onward = self._distributor.forward(message, now)
+        if onward is None:
+            return
+        self._send_all(onward)
+        self._handler_by_type[type(message.payload)](message.payload)
--- a/src/citronvalve/daemon/operators.py
+++ b/src/citronvalve/daemon/operators.py
@@ -22,9 +22,9 @@
 
     :param settings: the daemon's settings.
     :param env: the daemon's environment.
-    :param view: the table and the loads.
-    :param progress: requests in progress.
-    :param peering: the daemon among its peers.
+    :param view: holds the table and the loads.
+    :param progress: counts requests in progress.
+    :param peer_task: the daemon as a member of the fleet.
     """
 
     def __init__(
@@ -33,14 +33,14 @@
         env: environments.Environment,
         view: views.View,
         progress: progresses.Progress,
-        peering: peertask.PeerTask,
+        peer_task: peertask.PeerTask,
     ) -> None:
-        self._peering = peering
+        self._peer_task = peer_task
         self._settings = settings
         self._env = env
         self._view = view
         self._progress = progress
-        self._answer_by_path = {
+        self._handler_by_path = {
             "/healthz": self._health,
             "/readyz": self._ready,
             "/status": self._status,
@@ -50,9 +50,11 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable
     ) -> Iterable[bytes]:
-        answer = self._answer_by_path.get(environ["PATH_INFO"], self._nothing)
-        status, kind, body = answer()
-        start_response(status, [("Content-Type", kind)])
+        handler = self._handler_by_path.get(
+            environ["PATH_INFO"], self._not_found
+        )
+        status, content_type, body = handler()
+        start_response(status, [("Content-Type", content_type)])
         return [body]
 
     def _health(self) -> tuple[str, str, bytes]:
@@ -72,18 +74,18 @@
         return "200 OK", _JSON, msgspec.json.encode(self.status())
 
     def status(self) -> dict[str, Any]:
-        """Return what this daemon knows of itself and the upstreams."""
+        """Return the state of this daemon, its upstreams and its peers."""
         now = self._env.clock.now()
-        peer = self._peering.peer
-        confirmed = peer.confirmation(peer.table_version())
+        peer = self._peer_task.peer
+        confirmation = peer.confirmation(peer.table_version())
         return {
             "name": self._env.name,
             "datacentre": self._env.datacentre,
             "table_version": self._view.version,
             "table_age_ms": self._view.age,
-            "table_trouble": self._peering.trouble(),
-            "members": confirmed.members,
-            "silent": list(confirmed.silent),
+            "table_trouble": self._peer_task.table_problem(),
+            "members": confirmation.members,
+            "silent": list(confirmation.silent),
             "stopping": self._progress.stopping,
             "in_progress": self._progress.count,
             "upstreams": [
@@ -102,33 +104,35 @@
         }
 
     def _peers(self) -> dict[str, Any]:
-        status = self._peering.peer.status()._asdict()
+        status = self._peer_task.peer.status()._asdict()
         status["far"] = [far._asdict() for far in status["far"]]
-        status["dropped_by_reason"] = self._peering.dropped()
+        status["dropped_by_reason"] = self._peer_task.dropped_by_reason()
         return status
 
     def _metrics(self) -> tuple[str, str, bytes]:
-        show = self._env.metrics.set_gauge
-        show("in_progress", "Requests in progress.", self._progress.count)
-        show("table_version", "Table version in force.", self._view.version)
-        show(
+        set_gauge = self._env.metrics.set_gauge
+        set_gauge("in_progress", "Requests in progress.", self._progress.count)
+        set_gauge(
+            "table_version", "Table version in force.", self._view.version
+        )
+        set_gauge(
             "table_age_seconds",
             "Time since the version was known to be the newest.",
             self._view.age / clock.SECOND,
         )
-        peers = self._peering.peer.status()
-        show("peers_alive", "Members seen alive.", len(peers.alive))
-        show("peers_suspect", "Members in doubt.", len(peers.suspect))
-        show("peer_rejoins", "Lives begun anew.", peers.rejoins)
-        show("peer_acting", "Whether it may act as keeper.", peers.acting)
-        show("table_silent", "Members yet to confirm.", len(peers.silent))
-        show(
+        peers = self._peer_task.peer.status()
+        set_gauge("peers_alive", "Members seen alive.", len(peers.alive))
+        set_gauge("peers_suspect", "Members in doubt.", len(peers.suspect))
+        set_gauge("peer_rejoins", "Lives begun anew.", peers.rejoins)
+        set_gauge("peer_acting", "Whether it may act as keeper.", peers.acting)
+        set_gauge("table_silent", "Members yet to confirm.", len(peers.silent))
+        set_gauge(
             "peer_messages_dropped",
             "Messages of peers dropped, in and out.",
-            sum(self._peering.dropped().values()),
+            sum(self._peer_task.dropped_by_reason().values()),
         )
         return "200 OK", _TEXT, self._env.metrics.render()
 
-    def _nothing(self) -> tuple[str, str, bytes]:
-        paths = b", ".join(path.encode() for path in self._answer_by_path)
+    def _not_found(self) -> tuple[str, str, bytes]:
+        paths = b", ".join(path.encode() for path in self._handler_by_path)
         return "404 Not Found", "text/plain", b"use one of " + paths
--- a/src/citronvalve/daemon/tabletask.py
+++ b/src/citronvalve/daemon/tabletask.py
@@ -1,4 +1,4 @@
-"""Reads new versions of the operators' table, when it is this one's turn."""
+"""Task that reads new versions of the operators' table."""
 
 import eventlet
 
@@ -13,23 +13,23 @@
 from citronvalve.table import watcher as watchers
 
 
-#: A daemon that is no watcher looks this often all the same, so that one
-#: whose peers can't reach it still gets an edit within 9 s.  At 1,600
-#: daemons these are 200 reads a second of the 2,000 that the platform serves.
-_REST: clock.Ms = 8_000
+#: Read interval of a daemon that is no watcher, so that one whose peers
+#: can't reach it still gets an edit within 9 s.  1,600 daemons cause 200
+#: reads a second of the 2,000 that the platform serves.
+_FALLBACK_INTERVAL: clock.Ms = 8_000
 
 
 class TableTask:
-    """Reads what changed in the table, and spreads it.
+    """Reads changes of the table and publishes them to the peers.
 
-    Two members of a data centre read it: 1,600 daemons that each looked
-    twice a second would take more than the platform serves.  One that has
-    no table yet looks as well.
+    Two watchers in each data centre read the table: 1,600 daemons that each
+    read it twice a second would exceed what the platform serves.  A daemon
+    that has no table yet reads it too.
 
     :param env: the daemon's environment.
-    :param view: shows the version in force.
+    :param view: holds the table in force.
     :param table: the platform's table service.
-    :param peering: brings versions into force, here and elsewhere.
+    :param peer_task: applies versions here and publishes them.
     """
 
     def __init__(
@@ -37,75 +37,77 @@
         env: environments.Environment,
         view: views.View,
         table: tableservice.TableService,
-        peering: peertask.PeerTask,
+        peer_task: peertask.PeerTask,
     ) -> None:
         self._env = env
         self._view = view
-        self._peering = peering
+        self._peer_task = peer_task
         self._watcher = watchers.Watcher(
             watchers.PollTiming(), env.rng, env.invariants
         )
         self._poller = pollers.Poller(table, self._watcher, env.clock)
         self._comparing = reconcileschedule.ReconcileSchedule(env.rng)
-        self._looked_at: clock.Ms | None = None
-        self._trouble = ""
+        self._read_at: clock.Ms | None = None
+        self._problem = ""
 
     def run(self) -> None:
-        """Read for ever."""
+        """Run forever."""
         while True:
             self.step()
             eventlet.sleep(self._watcher.poll_delay() / clock.SECOND)
 
     def step(self) -> None:
-        """Read once, if it is this daemon's turn."""
-        peer = self._peering.peer
+        """Read or compare the table where due."""
+        peer = self._peer_task.peer
         if self._is_due():
             self._watcher.skip_to(peer.table_version())
             self._read()
         now = self._env.clock.now()
-        doubted = peer.is_table_disputed()
-        if self._comparing.is_due(now, peer.is_watcher(), doubted):
+        disputed = peer.is_table_disputed()
+        if self._comparing.is_due(now, peer.is_watcher(), disputed):
             self._compare(now)
         confirmed_at = peer.table_confirmed_at()
         if confirmed_at is not None:
             self._view.confirm_table(confirmed_at)
 
     def _is_due(self) -> bool:
-        if self._looked_at is None or not self._view.table:
+        if self._read_at is None or not self._view.table:
             return True
-        rested = self._env.clock.now() - self._looked_at >= _REST
-        return rested or self._peering.peer.is_watcher()
+        is_overdue = (
+            self._env.clock.now() - self._read_at >= _FALLBACK_INTERVAL
+        )
+        return is_overdue or self._peer_task.peer.is_watcher()
 
     def _read(self) -> None:
-        asked_at = self._looked_at = self._env.clock.now()
-        told = self._poller.poll()
-        if missing.is_missing(told):
-            self._note(told.reason)
+        started_at = self._read_at = self._env.clock.now()
+        delta = self._poller.poll()
+        if missing.is_missing(delta):
+            self._log_problem(delta.reason)
             return
-        if told is not None:
-            self._peering.offer_table(told)
-        if self._peering.peer.table_version() == self._watcher.revision:
-            self._peering.peer.confirm_table(asked_at)
-        self._note(self._peering.trouble())
+        if delta is not None:
+            self._peer_task.publish_table(delta)
+        if self._peer_task.peer.table_version() == self._watcher.revision:
+            self._peer_task.peer.confirm_table(started_at)
+        self._log_problem(self._peer_task.table_problem())
 
     def _compare(self, now: clock.Ms) -> None:
         self._comparing.record_full_read(now)
-        whole = self._poller.read_full()
-        if missing.is_missing(whole):
-            self._note(whole.reason)
+        full = self._poller.read_full()
+        if missing.is_missing(full):
+            self._log_problem(full.reason)
             return
-        # A large table takes tens of ms to decode and as long to compare;
-        # tokens go out in between.
+        # Decoding a large table takes tens of ms, and so does comparing it.
+        # Yielding in between lets other tasks send tokens.
         eventlet.sleep(0)
-        self._peering.compare_table(whole)
-        self._note(self._peering.trouble())
+        self._peer_task.reconcile_table(full)
+        self._log_problem(self._peer_task.table_problem())
 
-    def _note(self, trouble: str) -> None:
-        # One line when it begins and one when it ends: an hour's outage
-        # would else fill the log with one line a look.
-        if bool(trouble) != bool(self._trouble):
-            if trouble:
-                self._env.log.warning("table not read", extra={"why": trouble})
+    def _log_problem(self, problem: str) -> None:
+        # Logs only the start and the end of an outage; otherwise one of an
+        # hour would fill the log with a line for each read.
+        if bool(problem) != bool(self._problem):
+            if problem:
+                self._env.log.warning("table not read", extra={"why": problem})
             else:
                 self._env.log.notice("table read again")
-        self._trouble = trouble
+        self._problem = problem
--- a/tests/daemon/steps/leading_steps.py
+++ b/tests/daemon/steps/leading_steps.py
@@ -1,11 +1,11 @@
-"""Steps about a daemon that takes the lead of the replica groups."""
+"""Steps for a daemon that becomes leader of the replica groups."""
 
 import behave
 import eventlet
 
 from citronvalve.daemon import entrydaemon
 from citronvalve.daemon import entrysettings
-from citronvalve.daemon import ports
+from citronvalve.daemon import platforminterface
 from citronvalve.forward import headernames
 from citronvalve.forward import placement
 from citronvalve.model import missing
@@ -22,8 +22,8 @@
 _ANY_PORT = "127.0.0.1:0"
 
 
-class _Orders(runnerclient.RunnerClient):
-    """Takes every order, and keeps it."""
+class _RecordingClient(runnerclient.RunnerClient):
+    """Accepts and records every order."""
 
     def __init__(self):
         self.given = []
@@ -51,9 +51,9 @@
     )
 
 
-def _ports(taken):
+def _platform(client):
     store = memorytable.MemoryTable()
-    return ports.Ports(
+    return platforminterface.PlatformInterface(
         lambda: store,
         "list",
         "operators",
@@ -61,7 +61,7 @@
         lambda row: missing.NotFound("no catalogue", row.key),
         lambda key: None,
         "catalogue",
-        taken,
+        client,
         headernames.HeaderNames(),
         "/readyz",
         _settings,
@@ -75,13 +75,13 @@
 
 
 @behave.given(
-    "a daemon that holds a list with {count:d} free runners, told by the "
+    "a daemon that has received a list of {count:d} free runners from the "
     "leader"
 )
 def step_daemon(context, count):
-    context.orders = _Orders()
+    context.orders = _RecordingClient()
     context.daemon = entrydaemon.EntryDaemon(
-        _settings(), _ports(context.orders)
+        _settings(), _platform(context.orders)
     )
     directory = context.daemon.directory
     directory.adopt(_catalogue())
@@ -101,16 +101,16 @@
     directory.list_known = True
 
 
-@behave.when("it takes the lead, and has not read the list itself for 1 s")
-def step_lead(context):
-    planning = eventlet.spawn(context.daemon._conductor.run)
+@behave.when("it acquires the lease and does not read the list itself for 1 s")
+def step_acquire(context):
+    planning = eventlet.spawn(context.daemon._planner_task.run)
     context.daemon._lease.step()
     assert context.daemon._lease.held
     eventlet.sleep(1)
     planning.kill()
 
 
-@behave.then("it has given no order")
+@behave.then("it has sent no order")
 def step_no_order(context):
     given = [(one.kind.value, one.runner) for one in context.orders.given]
     assert not given, given
--- a/tests/storage/listeners.py
+++ b/tests/storage/listeners.py
@@ -2,8 +2,8 @@
 
 import random
 
-from citronvalve.daemon import declarations
-from citronvalve.daemon import runnerlist
+from citronvalve.daemon import configurationlistener
+from citronvalve.daemon import runnerlistener
 from citronvalve.forward import directory as directories
 from citronvalve.forward import environment as environments
 from citronvalve.forward import headernames
@@ -15,7 +15,7 @@
 _DATACENTRE = "hakodate"
 
 
-class _Ports:
+class _Platform:
     """The part of the platform's interface that declarations need.
 
     Each row takes the data centre of its key out of service.
@@ -24,7 +24,7 @@
     catalogue_key = "configuration"
 
     @staticmethod
-    def datacentre_out(key: str) -> str:
+    def parse_datacentre_out(key: str) -> str:
         """Return the data centre that a key takes out of service."""
         return key
 
@@ -40,7 +40,7 @@
     )
 
 
-class UpstreamListener(runnerlist.RunnerList):
+class UpstreamListener(runnerlistener.RunnerListener):
     """The list of upstreams; its keys are the upstreams in use."""
 
     def __init__(self, time_source):
@@ -58,12 +58,14 @@
         return set(self.directory.runner_by_id)
 
 
-class EvacuationListener(declarations.Declarations):
+class EvacuationListener(configurationlistener.ConfigurationListener):
     """The declarations; its keys are the data centres out of service."""
 
     def __init__(self, time_source):
         self.directory = directories.Directory(_DATACENTRE)
-        super().__init__(_environment(time_source), self.directory, _Ports())
+        super().__init__(
+            _environment(time_source), self.directory, _Platform()
+        )
 
     @property
     def keys(self):
