--- /dev/null
+++ b/standins/builds/__init__.py
@@ -0,0 +1,1 @@
+"""Runs daemons of two builds in one fleet."""
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -3,7 +3,6 @@
 import hashlib
 import json
 import subprocess  # noqa: S404 - a demo or drill plays the operator
-import sys
 import time
 from typing import Any
 
@@ -138,9 +137,11 @@
         """
         done = subprocess.run(
             [
-                *(sys.executable, "-m", "citronvalve.cli.main", *words),
+                *(self.fleet.build.interpreter, "-m"),
+                *("citronvalve.cli.main", *words),
                 *("--json", "--platform", self.fleet.platform),
             ],
+            cwd=self.fleet.build.root,
             capture_output=True,
             text=True,
             check=False,
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -8,6 +8,7 @@
 
 import urllib3
 
+from standins.builds import build as builds
 from standins import process
 
 
@@ -23,10 +24,12 @@
     """Starts processes and ends every one of them.
 
     :param folder: takes settings, declarations and logs.
+    :ivar build: the checkout that daemons run from their next start on.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
+        self.build = builds.HERE
         self.process_by_name: dict[str, process.Process] = {}
         self.addresses_by_daemon: dict[str, DaemonAddresses] = {}
         self.platform = ""
@@ -97,8 +100,12 @@
         self.addresses_by_daemon[name] = addresses
         self._start(
             name,
-            ["-m", "citronvalve.daemon.main", "--settings", str(path)],
+            [
+                *self.build.arguments(name, "citronvalve.daemon.main"),
+                *("--settings", str(path)),
+            ],
             addresses.callers,
+            self.build,
         )
         return addresses
 
@@ -133,9 +140,15 @@
         )
         return address
 
-    def _start(self, name: str, arguments: list[str], address: str) -> None:
+    def _start(
+        self,
+        name: str,
+        arguments: list[str],
+        address: str,
+        build: builds.Build = builds.HERE,
+    ) -> None:
         self.process_by_name[name] = process.Process(
-            name, arguments, address, self.folder
+            name, arguments, address, self.folder, build=build
         )
 
 
--- a/standins/process.py
+++ b/standins/process.py
@@ -7,10 +7,10 @@
 import signal
 import socket
 import subprocess  # noqa: S404 - the system itself starts no process
-import sys
 import time
 
-_ROOT = pathlib.Path(__file__).parent.parent
+from standins.builds import build as builds
+
 _HOST = "127.0.0.1"
 _START_SECONDS = 30
 _END_SECONDS = 30
@@ -49,6 +49,7 @@
     :param address: host:port that it listens at once it is up.
     :param folder: where its output goes.
     :param variables: added to the environment.
+    :param build: the checkout that it runs.
     """
 
     def __init__(
@@ -58,6 +59,7 @@
         address: str,
         folder: pathlib.Path,
         variables: dict[str, str] | None = None,
+        build: builds.Build = builds.HERE,
     ) -> None:
         self.name = name
         self.arguments = arguments
@@ -65,8 +67,8 @@
         self.log = folder / f"{name}.log"
         with self.log.open("ab") as output:
             self._popen = subprocess.Popen(
-                [sys.executable, *arguments],
-                cwd=_ROOT,
+                [build.interpreter, *arguments],
+                cwd=build.root,
                 env=os.environ | (variables or {}),
                 stdin=subprocess.DEVNULL,
                 stdout=output,
--- a/standins/soak/daemon.py
+++ b/standins/soak/daemon.py
@@ -5,6 +5,7 @@
 import pathlib
 import signal
 
+from standins.builds import build as builds
 from standins import process
 from standins.soak import relay as relays
 
@@ -18,7 +19,9 @@
     :param zone: where it stands.
     :param store: host:port of the store.
     :param folder: takes settings and output.
+    :ivar build: the checkout that it runs from its next start on.
     :ivar front: host:port for callers.
+    :ivar peers: host:port for other daemons.
     :ivar link: harms its connections to the store.
     :ivar up: whether it should be serving.
     """
@@ -27,9 +30,10 @@
         self, name: str, zone: str, store: str, folder: pathlib.Path
     ) -> None:
         self.name, self.zone = name, zone
+        self.build = builds.HERE
         self.front = process.free_address()
         self.ready = process.free_address()
-        self._peers = process.free_address()
+        self.peers = process.free_address()
         self.link = relays.Relay(store)
         self._folder = folder
         self._settings = folder / f"{name}.json"
@@ -43,17 +47,21 @@
         self.write()
         self._process = process.Process(
             self.name,
-            ["-W", "ignore", "platform/serve.py"],
+            [
+                *("-W", "ignore"),
+                *self.build.arguments(self.name, "platform/serve.py"),
+            ],
             self.ready,
             self._folder,
             {"CITRONVALVE_CONFIG": str(self._settings)},
+            self.build,
         )
         self._first = False
         self.up = True
 
     def write(self) -> None:
         """Write the settings file as it is to be now."""
-        port = int(self._peers.rpartition(":")[2])
+        port = int(self.peers.rpartition(":")[2])
         value = {
             "NodeName": self.name,
             "Zone": self.zone,
