--- a/standins/builds/forwardfleet.py
+++ b/standins/builds/forwardfleet.py
@@ -106,11 +106,11 @@
         check.that(not unread, "every message could be read", unread[:3])
         if ways is None:
             return
-        is_other = {
+        is_other_by_name = {
             daemon.name: daemon.name in others
             for daemon in soak.installation.daemons
         }
-        for way, seen in exchanged.count(counts, is_other).items():
+        for way, seen in exchanged.count(counts, is_other_by_name).items():
             ways[way].update(seen)
 
 
--- a/standins/builds/main.py
+++ b/standins/builds/main.py
@@ -27,6 +27,12 @@
 from standins.builds import ownfleet  # noqa: E402
 
 
+_OWN_INTERFACE = (
+    ("Daemons of one build replaced by those of the other", ownfleet.OwnFleet),
+    ("One daemon of each build, with every kind of message", ownfleet.Pair),
+)
+
+
 def beside(*, other: str, seed: int = 1) -> int:
     """Run both interfaces; return 1 if anything was wrong.
 
@@ -36,8 +42,8 @@
     build = builds.Build(pathlib.Path(other).resolve())
     check = checks.Check()
     _compare_schemas(build, check)
-    for run in (ownfleet.OwnFleet, ownfleet.Pair):
-        print(f"== {run.__doc__.splitlines()[0]}", flush=True)
+    for title, run in _OWN_INTERFACE:
+        print(f"== {title}", flush=True)
         with tempfile.TemporaryDirectory() as folder:
             run(pathlib.Path(folder), build, check).run()
     forwardfleet.run(build, check, seed)
--- a/standins/builds/schema.py
+++ b/standins/builds/schema.py
@@ -37,12 +37,13 @@
 def _shape(info: Any) -> Any:
     """Return a type as a JSON value without names of the project."""
     if isinstance(info, msgspec.inspect.StructType):
-        fields = [_field(field) for field in info.fields]
-        if not info.array_like:
-            fields = dict(
-                zip((f.encode_name for f in info.fields), fields, strict=True)
-            )
-        return {"tag": info.tag, "fields": fields}
+        if info.array_like:
+            return {
+                "tag": info.tag,
+                "fields": [_field(f) for f in info.fields],
+            }
+        by_name = {f.encode_name: _field(f) for f in info.fields}
+        return {"tag": info.tag, "fields": by_name}
     if isinstance(info, msgspec.inspect.NamedTupleType):
         return {"fields": [_field(field) for field in info.fields]}
     if isinstance(info, msgspec.inspect.TypedDictType):
@@ -87,7 +88,9 @@
     """Print the shapes as JSON."""
     root = pathlib.Path(sys.argv[1])
     sys.path[:0] = [str(root / "src"), str(root / "platform")]
-    tagged, numbered, maps = {}, {}, set()
+    tagged: dict[Any, Any] = {}
+    numbered: dict[str, Any] = {}
+    maps: set[str] = set()
     for module in _modules():
         numbered |= _numbered(module)
         for value in vars(module).values():
