--- a/benchmarks/comparison.py
+++ b/benchmarks/comparison.py
@@ -7,7 +7,7 @@
 from benchmarks import figure
 from benchmarks import timing
 from citronvalve.storage import rows
-from citronvalve.storage import rowversions
+from citronvalve.storage import versionindex
 
 _SIZES = (70, 220, 12_000)
 
@@ -30,7 +30,7 @@
         found = tuple(
             rows.Row("list", f"i-{n:010x}", _ENTRY, n) for n in range(size)
         )
-        held = rowversions.RowVersions()
+        held = versionindex.VersionIndex()
         held.update(found)
         changed = found[:1]
         bytes_read = len(msgspec.json.encode(found))
--- a/src/citronvalve/forward/callerconnection.py
+++ b/src/citronvalve/forward/callerconnection.py
@@ -277,8 +277,8 @@
 
     def _reset(self) -> None:
         with contextlib.suppress(OSError):
-            # Without a reset, an aborted response of unknown length could be
-            # taken for a complete one.
+            # Without a reset, an aborted response of unknown length would look
+            # like a complete one.
             self._sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
             )
--- a/src/citronvalve/storage/resync.py
+++ b/src/citronvalve/storage/resync.py
@@ -1,7 +1,7 @@
 """Schedule of the full reads that correct wrong rows of a followed table."""
 
 from citronvalve.model import clock
-from citronvalve.storage import rowversions
+from citronvalve.storage import versionindex
 
 #: Wrong rows are corrected within this time, whatever their cause.  A daemon
 #: that reads for others reads all rows this often; the others compare digests
@@ -19,13 +19,13 @@
 class ResyncSchedule:
     """Decides when a full read of a table is due.
 
-    :ivar row_versions: keys and versions of the current rows.
+    :ivar version_index: keys and versions of the current rows.
     :ivar is_full_read_needed: whether the next read must be a full one.
     :ivar is_full_update_requested: whether another daemon needs all rows.
     """
 
     def __init__(self) -> None:
-        self.row_versions = rowversions.RowVersions()
+        self.version_index = versionindex.VersionIndex()
         self.is_full_read_needed = True
         self.is_full_update_requested = False
         self._full_read_at: clock.Ms = 0
@@ -74,5 +74,5 @@
     @property
     def _interval(self) -> clock.Ms:
         return max(
-            _FULL_READ_INTERVAL, len(self.row_versions) * _INTERVAL_PER_ROW
+            _FULL_READ_INTERVAL, len(self.version_index) * _INTERVAL_PER_ROW
         )
--- a/src/citronvalve/storage/tablestate.py
+++ b/src/citronvalve/storage/tablestate.py
@@ -10,7 +10,7 @@
 
     The last change has revision ``changed_revision``, and there is none
     after it up to ``revision``, which was the newest ``age`` ms ago.
-    ``digest`` is that of all rows (:class:`rowversions.RowVersions`), None
+    ``digest`` is that of all rows (:class:`versionindex.VersionIndex`), None
     from an older release.
     """
 
--- a/src/citronvalve/storage/tail.py
+++ b/src/citronvalve/storage/tail.py
@@ -8,10 +8,10 @@
 from citronvalve.storage import outage
 from citronvalve.storage import resync
 from citronvalve.storage import rows
-from citronvalve.storage import rowversions
 from citronvalve.storage import tablelistener as listeners
 from citronvalve.storage import tableservice
 from citronvalve.storage import tablestate
+from citronvalve.storage import versionindex
 
 #: Maximum time that a call waits for a change.  It also bounds how long rows
 #: are reported as current while the service is silent.
@@ -136,7 +136,7 @@
     def _update_from(self, scan: rows.Scan) -> tuple[int, rows.Scan]:
         if self._resync.is_full_update_requested:
             return 0, scan
-        changed, deleted = self._resync.row_versions.difference(scan.rows)
+        changed, deleted = self._resync.version_index.difference(scan.rows)
         return self.changed_revision, rows.Scan(
             scan.revision, changed, deleted
         )
@@ -216,7 +216,7 @@
             return
         read_at = self._clock.now() - state.age
         if state.revision >= self.revision:
-            if state.digest == self._resync.row_versions.digest:
+            if state.digest == self._resync.version_index.digest:
                 self._resync.record_match(read_at)
             elif state.digest is not None:
                 self._handle_mismatch(state, source)
@@ -239,7 +239,7 @@
             self.changed_revision,
             self.revision,
             age,
-            self._resync.row_versions.digest,
+            self._resync.version_index.digest,
         )
 
     def _handle_mismatch(
@@ -260,7 +260,7 @@
         source: str,
         base: int,
         revision: int,
-        difference: rowversions.Difference,
+        difference: versionindex.Difference,
     ) -> None:
         self._log.change(
             "table updated",
@@ -282,10 +282,10 @@
         )
 
     def _apply_all(self, source: str, scan: rows.Scan) -> None:
-        difference = self._resync.row_versions.difference(scan.rows)
+        difference = self._resync.version_index.difference(scan.rows)
         if difference.rows or difference.deleted or not self.revision:
             self._log_update(source, 0, scan.revision, difference)
-            self._resync.row_versions.update(*difference)
+            self._resync.version_index.update(*difference)
             self.changed_revision = scan.revision
         self.revision = scan.revision
         # A full read does not name the rows that were deleted before it.
@@ -293,9 +293,9 @@
 
     def _apply_changes(self, source: str, base: int, scan: rows.Scan) -> None:
         if scan.rows or scan.deleted:
-            difference = rowversions.Difference(scan.rows, scan.deleted)
+            difference = versionindex.Difference(scan.rows, scan.deleted)
             self._log_update(source, base, scan.revision, difference)
-            self._resync.row_versions.update(*difference)
+            self._resync.version_index.update(*difference)
             self._listener.apply_changes(scan.rows, scan.deleted)
             self.changed_revision = scan.revision
         self.revision = scan.revision
--- a/src/citronvalve/storage/rowversions.py
+++ b/src/citronvalve/storage/versionindex.py
@@ -15,7 +15,7 @@
     deleted: tuple[str, ...]
 
 
-class RowVersions:
+class VersionIndex:
     """Versions by key, with a digest to compare the rows of two daemons.
 
     :ivar digest: equal for equal keys and versions; the cost of an update
--- a/src/citronvalve/table/kinds.py
+++ b/src/citronvalve/table/kinds.py
@@ -12,7 +12,7 @@
 
 
 #: Names are used in keys, URLs, metric labels and logs.  With the separator
-#: of keys or with blanks, two rows could not be told apart.
+#: of keys or with blanks, two rows could get the same key.
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,62}")
 
 #: Characters in a text column; without a limit one row could fill the store.
